--- a/include/cassiastile/host/machine_keeper.hpp
+++ b/include/cassiastile/host/machine_keeper.hpp
@@ -65,8 +65,8 @@
     base::TimePoint ordered_at{};
     base::TimePoint answered_at{};
     std::string going_to;
-    bool withheld = false;
-    base::TimePoint withheld_at{};
+    bool cordoned = false;
+    base::TimePoint cordoned_at{};
     base::TimePoint idle_since{};
     base::TimePoint retry_at{};
     base::TimePoint blocked_logged_at{};
@@ -95,7 +95,7 @@
   // Ends the lives of workers whose machine is down or has another worker.
   void EndLostLives(base::TimePoint asked_at);
   void Move(Known& known, const jobs::MachineMove& move);
-  void Withhold(Known& known, bool withheld, base::TimePoint now);
+  void SetCordoned(Known& known, bool cordoned, base::TimePoint now);
   bool MayOrder(const std::string& machine) const;
   // Records an order, then gives it.
   void Record(const std::string& machine,
--- a/include/cassiastile/jobs/admission.hpp
+++ b/include/cassiastile/jobs/admission.hpp
@@ -12,16 +12,16 @@
 
 enum class RefusalReason : std::uint8_t {
   kNone,
-  kOverload,     // It could not be done in time behind the work before it.
-  kStoreAway,    // Jobs can't be recorded now.
-  kNoScheduler,  // No host is in office.
-  kTooLarge,     // No worker of the pool is large enough.
+  kOverload,          // It could not be done in time behind the work before it.
+  kStoreUnavailable,  // Jobs can't be recorded now.
+  kNoScheduler,       // No host is in office.
+  kTooLarge,          // No worker of the pool is large enough.
 };
 
 inline constexpr std::array<base::EnumName<RefusalReason>, 5> kRefusalNames{{
     {RefusalReason::kNone, "none"},
     {RefusalReason::kOverload, "overload"},
-    {RefusalReason::kStoreAway, "store away"},
+    {RefusalReason::kStoreUnavailable, "store away"},
     {RefusalReason::kNoScheduler, "no scheduler"},
     {RefusalReason::kTooLarge, "too large"},
 }};
@@ -32,9 +32,9 @@
   Resources pool;  // What jobs can use, with what is on its way.
   // Its customer hands in more jobs a second than its weight.
   bool beyond_share = false;
-  bool fits_now = false;                   // Its first step finds room at once.
-  std::chrono::milliseconds chain{0};      // Longest chain of the job.
-  std::chrono::milliseconds objective{0};  // From its first request on.
+  bool fits_now = false;  // Its first step finds room at once.
+  std::chrono::milliseconds critical_path{0};  // Longest chain of the job.
+  std::chrono::milliseconds objective{0};      // From its first request on.
 };
 
 struct AdmissionVerdict {
--- a/include/cassiastile/jobs/duration_model.hpp
+++ b/include/cassiastile/jobs/duration_model.hpp
@@ -28,8 +28,9 @@
                                    std::chrono::milliseconds estimate) const;
   // For each step, the expected time from its begin to the end of the job; the
   // largest is that of the longest chain.
-  std::vector<std::chrono::milliseconds> ExpectTails(const std::string& queue,
-                                                     const JobSpec& spec) const;
+  std::vector<std::chrono::milliseconds> ExpectCriticalPaths(
+      const std::string& queue,
+      const JobSpec& spec) const;
   // Expected work of one occurrence, long-running steps left out.
   Work ExpectWork(const std::string& queue, const JobSpec& spec) const;
 
@@ -37,7 +38,7 @@
   std::string Encode() const;
   // Fails with kInvalid when the bytes are not what Encode wrote.
   static base::Result<DurationModel> Decode(const std::string& bytes);
-  bool Knows(const std::string& queue) const {
+  bool HasSamples(const std::string& queue) const {
     return m_entries.contains(queue);
   }
   // Grows with each observation.
--- a/include/cassiastile/jobs/fleet_config.hpp
+++ b/include/cassiastile/jobs/fleet_config.hpp
@@ -14,7 +14,7 @@
 
 // How long the placement advisor of a queue takes, and how long what it says
 // holds.
-struct AdviceTerms {
+struct AdviceConfig {
   std::chrono::milliseconds decision{0};
   std::chrono::milliseconds per_worker{0};
   std::chrono::milliseconds validity{0};
@@ -30,7 +30,7 @@
   double stretch = 1.0;  // Factor of the longest chain in a job's objective.
   std::chrono::milliseconds slack{0};  // Added to the objective.
   bool open = false;                   // Needs no key.
-  std::optional<AdviceTerms> advice;
+  std::optional<AdviceConfig> advice;
 };
 
 // A service is a pool of machines whose workers run the tasks of its queues.
--- a/include/cassiastile/jobs/job.hpp
+++ b/include/cassiastile/jobs/job.hpp
@@ -49,7 +49,7 @@
   base::TimePoint ordered_at{};
   base::TimePoint confirmed_at{};   // Of the start, or of the stop.
   base::TimePoint progressed_at{};  // When the percentage last changed.
-  base::TimePoint at_work_since{};  // Of a long-running task; zero if not.
+  base::TimePoint serving_since{};  // Of a long-running task; zero if not.
   int percent = -1;
   int paced_percent = 100;
   std::int64_t load = 0;
@@ -93,9 +93,10 @@
   // how old it is. Clocks may step; only the order of jobs hangs on it.
   std::chrono::milliseconds arrived_wall{0};
   base::TimePoint objective{};  // When it should be done.
-  base::TimePoint worthless{};  // When being done is worth nothing any more.
+  base::TimePoint
+      worthless_after{};  // When being done is worth nothing any more.
   // Expected from the begin of each step to the end of the job.
-  std::vector<std::chrono::milliseconds> tails;
+  std::vector<std::chrono::milliseconds> critical_paths;
   base::TimePoint finished_at{};
   JobPhase phase = JobPhase::kQueued;
   JobPhase stored_phase = JobPhase::kQueued;  // The newest one in the store.
--- a/include/cassiastile/jobs/pool_plan.hpp
+++ b/include/cassiastile/jobs/pool_plan.hpp
@@ -22,10 +22,10 @@
 
 struct PoolDemand {
   bool standby = false;
-  Resources used;      // By all tasks.
-  Resources lasting;   // By long-running tasks.
-  Resources unplaced;  // Needed by tasks that found no room.
-  Work arriving;       // Handed in per millisecond.
+  Resources used;               // By all tasks.
+  Resources long_running_used;  // By long-running tasks.
+  Resources unplaced;           // Needed by tasks that found no room.
+  Work arriving;                // Handed in per millisecond.
   std::size_t min_machines = 0;
 };
 
--- a/include/cassiastile/jobs/scheduler.hpp
+++ b/include/cassiastile/jobs/scheduler.hpp
@@ -103,23 +103,23 @@
 // A worker as the scheduler knows it.
 struct WorkerState {
   WorkerEntry entry;
-  bool listed = false;  // In the platform's list now.
-  bool heard = false;   // Has reported in this term of the scheduler.
+  bool listed = false;        // In the platform's list now.
+  bool has_reported = false;  // Has reported in this term of the scheduler.
   base::TimePoint last_report{};
   // After this nothing that was ordered so far can still run there.
   base::TimePoint lease_bound{};
-  Resources used;                 // By runs that may be alive.
-  Resources lasting;              // The part of it used by long-running tasks.
-  std::int64_t lasting_runs = 0;  // Long-running ones that are no fillers.
+  Resources used;               // By runs that may be alive.
+  Resources long_running_used;  // The part of it used by long-running tasks.
+  std::int64_t long_running_runs = 0;  // Long-running ones that are no fillers.
   // Kept free in this round for a task that fits nowhere yet.
   Resources reserved;
   std::vector<std::pair<TaskRef, std::uint32_t>> runs;
   std::uint64_t last_end = 0;   // Newest end seen.
   std::uint64_t acked_end = 0;  // Newest end that the store covers.
   WorkerHealth health;
-  bool over = false;          // This life was ended on purpose.
+  bool terminated = false;    // This life was ended on purpose.
   bool silent = false;        // Did not answer the last time.
-  bool withheld = false;      // About to move or to be maintained.
+  bool cordoned = false;      // About to move or to be maintained.
   bool wants_report = false;  // A report sent now would decide something.
 
   // Books a run of a step, and takes it off again.
@@ -138,11 +138,11 @@
   void ApplyConfig(std::shared_ptr<const FleetConfig> config);
 
   // Takes over the jobs of a predecessor. Runs at workers that do not report
-  // count as alive until `silent_bound`.
+  // count as alive until `latest_lease_end`.
   void Recover(std::vector<Job> jobs,
                base::TimePoint now,
                base::WallTime wall,
-               base::TimePoint silent_bound);
+               base::TimePoint latest_lease_end);
 
   // Callers.
   Submission Submit(const std::string& id,
@@ -168,7 +168,7 @@
   // The platform says that this life of a worker is over.
   void WorkerGone(const WorkerId& worker, base::TimePoint now);
   // The same, by an order of our own: there is no need to ask it any more.
-  void LifeEnded(const WorkerId& worker, base::TimePoint now);
+  void WorkerTerminated(const WorkerId& worker, base::TimePoint now);
   // An order was sent that lets the worker go on until `bound`.
   void LeaseSent(const std::string& worker, base::TimePoint bound);
   void StartAnswered(const WorkerId& worker,
@@ -204,32 +204,32 @@
   // Whether all that may run on a machine may be ended now without taking more
   // tasks of a step away than it allows. Counts workers that are not listed,
   // too: a run of theirs may be alive.
-  bool MayVacate(const std::string& machine) const;
+  bool CanDrainMachine(const std::string& machine) const;
   // Stops those long-running tasks of a withheld worker that may be taken away
   // now; they start again elsewhere.
   void Evacuate(const std::string& worker, base::TimePoint now);
   // A task that forbids it, or nothing.
-  std::optional<TaskId> VacancyBlocker(const std::string& machine) const;
+  std::optional<TaskId> DrainBlocker(const std::string& machine) const;
   // Everything on a worker is about to be ended on purpose.
-  void Vacated(const std::string& worker, base::TimePoint now);
+  void MarkVacated(const std::string& worker, base::TimePoint now);
   // Places nothing more on a worker that is about to be taken away.
-  void Withhold(const std::string& worker, bool withheld);
+  void SetCordoned(const std::string& worker, bool cordoned);
   // What the pools' planner looks at.
   struct PoolLoad {
     Resources capacity;
     Resources used;
-    Resources lasting;   // Used by long-running tasks.
-    Resources unplaced;  // Needed by tasks that found no room.
-    Work backlog;        // Left of the jobs that are worth something.
-    Work arriving_work;  // Handed in per millisecond.
+    Resources long_running_used;  // Used by long-running tasks.
+    Resources unplaced;           // Needed by tasks that found no room.
+    Work backlog;                 // Left of the jobs that are worth something.
+    Work arriving_work;           // Handed in per millisecond.
     std::size_t workers = 0;
     // Distinct workers that long-running steps need, with one to move to.
     std::size_t min_workers = 0;
   };
   using PoolLoads = std::map<std::string, PoolLoad>;  // By service.
-  PoolLoads LookAtPools(base::TimePoint now);
+  PoolLoads GetPoolLoads(base::TimePoint now);
   // Capacity on its way to each pool.
-  void SetArriving(std::map<std::string, Resources> arriving) {
+  void SetArrivingCapacity(std::map<std::string, Resources> arriving) {
     m_arriving = std::move(arriving);
   }
 
@@ -242,7 +242,9 @@
   std::size_t JobCount() const { return m_jobs.size(); }
 
   // How long tasks take, as a predecessor has learnt it; before Recover.
-  void Learn(DurationModel durations) { m_durations = std::move(durations); }
+  void SetDurations(DurationModel durations) {
+    m_durations = std::move(durations);
+  }
   const DurationModel& Durations() const { return m_durations; }
 
  private:
@@ -281,7 +283,9 @@
   // Takes a run off the books and, unless its task is over, lists the task as
   // waiting again.
   void DropRun(const TaskRef& ref, std::uint32_t number, base::TimePoint now);
-  void DropRunsOf(WorkerState& worker, std::int64_t born, base::TimePoint now);
+  void DropRunsOf(WorkerState& worker,
+                  std::int64_t incarnation_ms,
+                  base::TimePoint now);
   void StopRun(const TaskRef& ref,
                Run& run,
                StopReason reason,
--- a/include/cassiastile/jobs/worker_health.hpp
+++ b/include/cassiastile/jobs/worker_health.hpp
@@ -18,12 +18,12 @@
 
   // At most one task at a time while it is on probation.
   bool IsQuarantined(base::TimePoint now) const;
-  bool IsOnProbation() const { return m_failures_in_row >= kSuspicious; }
+  bool IsOnProbation() const { return m_failures_in_row >= kProbationFailures; }
 
  private:
   // Two failures in a row happen by chance among tasks that fail by their own
   // fault; three on one worker seldom do.
-  static constexpr std::uint32_t kSuspicious = 3;
+  static constexpr std::uint32_t kProbationFailures = 3;
 
   std::uint32_t m_failures_in_row = 0;
   std::uint32_t m_quarantines = 0;
--- a/include/cassiastile/jobs/worker_view.hpp
+++ b/include/cassiastile/jobs/worker_view.hpp
@@ -18,7 +18,8 @@
 // runs nothing and knows nothing of before.
 struct WorkerId {
   std::string id;
-  std::int64_t born = 0;  // Start of this life, milliseconds since 1970.
+  std::int64_t incarnation_ms =
+      0;  // Start of this life, milliseconds since 1970.
 
   friend bool operator==(const WorkerId&, const WorkerId&) = default;
 };
@@ -41,18 +42,18 @@
   kDone,
   kFailed,
   kStopped,
-  kLapsed,  // The worker's lease ran out.
-  kBroken,  // Another member of the gang ended.
-  kAlone,   // The gang was not complete in time.
+  kLeaseExpired,    // The worker's lease ran out.
+  kGangBroken,      // Another member of the gang ended.
+  kGangIncomplete,  // The gang was not complete in time.
 };
 
 inline constexpr std::array<base::EnumName<RunEnd>, 6> kRunEndNames{{
     {RunEnd::kDone, "done"},
     {RunEnd::kFailed, "failed"},
     {RunEnd::kStopped, "stopped"},
-    {RunEnd::kLapsed, "lapsed"},
-    {RunEnd::kBroken, "broken"},
-    {RunEnd::kAlone, "alone"},
+    {RunEnd::kLeaseExpired, "lapsed"},
+    {RunEnd::kGangBroken, "broken"},
+    {RunEnd::kGangIncomplete, "alone"},
 }};
 
 // Why a run is stopped.
@@ -100,7 +101,7 @@
 
 // What a worker answers when its lease is extended.
 struct WorkerReport {
-  std::int64_t born = 0;
+  std::int64_t incarnation_ms = 0;
   std::chrono::milliseconds clock{0};  // The worker's own steady clock.
   std::vector<ListedRun> running;
   std::vector<ListedEnd> ended;
@@ -109,16 +110,16 @@
 // How a worker answered an order to start a run.
 enum class StartResult : std::uint8_t {
   kRunning,
-  kFenced,       // A newer scheduler has spoken to this worker.
-  kStaleRun,     // This or a later run has already ended there.
-  kTooLate,      // The lease in the order was over when it arrived.
-  kNoRoom,       // The worker's capacity is in use.
-  kNoTicket,     // The placement ticket is not valid there.
-  kBusy,         // The worker is not healthy; it did nothing.
-  kOtherLife,    // Another life of the worker has the address now.
-  kRejected,     // The worker can't read the order.
-  kUnreachable,  // The connection was refused; nothing arrived.
-  kUnknown,      // No answer; it may be carried out later.
+  kFenced,            // A newer scheduler has spoken to this worker.
+  kStaleRun,          // This or a later run has already ended there.
+  kTooLate,           // The lease in the order was over when it arrived.
+  kNoRoom,            // The worker's capacity is in use.
+  kNoTicket,          // The placement ticket is not valid there.
+  kBusy,              // The worker is not healthy; it did nothing.
+  kOtherIncarnation,  // Another life of the worker has the address now.
+  kRejected,          // The worker can't read the order.
+  kUnreachable,       // The connection was refused; nothing arrived.
+  kUnknown,           // No answer; it may be carried out later.
 };
 
 inline constexpr std::array<base::EnumName<StartResult>, 11> kStartResultNames{{
@@ -129,7 +130,7 @@
     {StartResult::kNoRoom, "no room"},
     {StartResult::kNoTicket, "no ticket"},
     {StartResult::kBusy, "busy"},
-    {StartResult::kOtherLife, "other life"},
+    {StartResult::kOtherIncarnation, "other life"},
     {StartResult::kRejected, "rejected"},
     {StartResult::kUnreachable, "unreachable"},
     {StartResult::kUnknown, "unknown"},
--- a/include/cassiastile/sim/promise_watch.hpp
+++ b/include/cassiastile/sim/invariant_checker.hpp
@@ -11,24 +11,24 @@
 
 // Checks what must hold for runs, from what callers sent and heard and from
 // what workers saw. Each violation is a sentence.
-class PromiseWatch final : public RunWatch {
+class InvariantChecker final : public RunObserver {
  public:
   // A caller is about to hand in a job; its tasks may run from now on.
-  void HandedIn(const std::string& job, jobs::JobSpec spec);
+  void JobSubmitted(const std::string& job, jobs::JobSpec spec);
   // All that the caller has heard of the job so far is refusals.
   void Refused(const std::string& job);
   void Accepted(const std::string& job);
   void CancelAcknowledged(const std::string& job);
   // A job was said to be in this state.
-  void SaidToBe(const std::string& job, jobs::JobPhase phase);
-
-  void Began(const jobs::WorkerId& worker,
-             const jobs::StartOrder& order) override;
-  void Ended(const jobs::WorkerId& worker,
-             const jobs::TaskId& task,
-             std::uint32_t run,
-             jobs::RunEnd how) override;
-  void Noted(const jobs::TaskId& task) override;
+  void PhaseReported(const std::string& job, jobs::JobPhase phase);
+
+  void RunStarted(const jobs::WorkerId& worker,
+                  const jobs::StartOrder& order) override;
+  void RunEnded(const jobs::WorkerId& worker,
+                const jobs::TaskId& task,
+                std::uint32_t run,
+                jobs::RunEnd how) override;
+  void EndAcknowledged(const jobs::TaskId& task) override;
 
   void Violate(std::string what) { m_violations.push_back(std::move(what)); }
 
--- a/include/cassiastile/sim/worker_model.hpp
+++ b/include/cassiastile/sim/worker_model.hpp
@@ -13,17 +13,17 @@
 namespace cassiastile::sim {
 
 // Sees what becomes of runs.
-class RunWatch {
+class RunObserver {
  public:
-  virtual ~RunWatch() = default;
-  virtual void Began(const jobs::WorkerId& worker,
-                     const jobs::StartOrder& order) = 0;
-  virtual void Ended(const jobs::WorkerId& worker,
-                     const jobs::TaskId& task,
-                     std::uint32_t run,
-                     jobs::RunEnd how) = 0;
+  virtual ~RunObserver() = default;
+  virtual void RunStarted(const jobs::WorkerId& worker,
+                          const jobs::StartOrder& order) = 0;
+  virtual void RunEnded(const jobs::WorkerId& worker,
+                        const jobs::TaskId& task,
+                        std::uint32_t run,
+                        jobs::RunEnd how) = 0;
   // The scheduler has acknowledged a successful end; it counts for good.
-  virtual void Noted(const jobs::TaskId& task) = 0;
+  virtual void EndAcknowledged(const jobs::TaskId& task) = 0;
 };
 
 // One life of a worker: fences, leases, runs and the list of their ends. Time
@@ -31,7 +31,9 @@
 class WorkerModel {
  public:
   // The watch must outlive the model.
-  WorkerModel(jobs::WorkerEntry entry, base::TimePoint began, RunWatch& watch);
+  WorkerModel(jobs::WorkerEntry entry,
+              base::TimePoint began,
+              RunObserver& watch);
 
   // `step` says what the task needs and how long it takes.
   jobs::StartResult Start(const jobs::StartOrder& order,
@@ -68,7 +70,7 @@
 
   jobs::WorkerEntry m_entry;
   base::TimePoint m_began;
-  RunWatch& m_watch;
+  RunObserver& m_watch;
   std::uint64_t m_fence = 0;
   std::chrono::milliseconds m_until{0};  // Of the lease, by its own clock.
   jobs::Resources m_used;
--- a/src/bin/measure_jobs.cpp
+++ b/src/bin/measure_jobs.cpp
@@ -159,7 +159,7 @@
       m_report.Measure([&] { Report(m_workers[i]); });
     }
     if (round % static_cast<int>(kRoundsPerReport) == 0) {
-      m_look.Measure([&] { m_scheduler.LookAtPools(m_clock.Now()); });
+      m_look.Measure([&] { m_scheduler.GetPoolLoads(m_clock.Now()); });
     }
     m_clock.Advance(kRound);
   }
@@ -194,7 +194,7 @@
       return true;
     });
     WorkerReport report;
-    report.born = 1;
+    report.incarnation_ms = 1;
     report.clock = milliseconds(1);
     for (const LiveTask& task : worker.running) {
       report.running.push_back({task.order.task, task.order.run, "", 50, 0});
--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -133,7 +133,7 @@
     for (const Row& row : page.rows) {
       auto durations = jobs::DurationModel::Decode(row.value);
       if (durations) {
-        m_scheduler.Learn(std::move(*durations));
+        m_scheduler.SetDurations(std::move(*durations));
       } else {
         m_log.Write("office.bad_row", {{"error", durations.error().message}});
       }
@@ -202,7 +202,7 @@
     if (known == m_entries.end() || known->second.id != entry->id ||
         known->second.draining != entry->draining) {
       m_log.Write("worker.listed", {{"worker", row.key},
-                                    {"born", entry->id.born},
+                                    {"born", entry->id.incarnation_ms},
                                     {"service", entry->service},
                                     {"machine", entry->machine},
                                     {"draining", entry->draining},
@@ -251,9 +251,9 @@
   std::vector<jobs::Job> recovered = DecodeRecovered();
   const std::size_t count = recovered.size();
   // The former office may go on until its unconfirmed term is over.
-  const base::TimePoint silent_bound = LeaseEnd(now + kUnconfirmedTerm);
+  const base::TimePoint latest_lease_end = LeaseEnd(now + kUnconfirmedTerm);
   m_scheduler.Recover(std::move(recovered), now, m_loop.GetClock().WallNow(),
-                      silent_bound);
+                      latest_lease_end);
   m_serving = true;
   m_machines.Begin(Fence(), [this] { return m_chain->StoreNow(); });
   m_log.Write("office.serving", {{"fence", Fence()},
--- a/src/cassiastile/host/dispatcher_jobs.cpp
+++ b/src/cassiastile/host/dispatcher_jobs.cpp
@@ -62,7 +62,7 @@
                  {"commits_fail_for_ms",
                   base::Milliseconds(m_loop.GetClock().Now() -
                                      *m_chain->FailingSince())}});
-    respond(Refuse(jobs::RefusalReason::kStoreAway, kRetryAfterOutage));
+    respond(Refuse(jobs::RefusalReason::kStoreUnavailable, kRetryAfterOutage));
     return;
   }
   auto spec = m_ports.decode_job(request.spec);
--- a/src/cassiastile/host/dispatcher_workers.cpp
+++ b/src/cassiastile/host/dispatcher_workers.cpp
@@ -45,7 +45,7 @@
 void Dispatcher::ServeLinks() {
   const base::TimePoint now = m_loop.GetClock().Now();
   for (const auto& [id, worker] : m_scheduler.Workers()) {
-    if (worker.entry.endpoint.empty() || worker.over) {
+    if (worker.entry.endpoint.empty() || worker.terminated) {
       continue;
     }
     Link& link = m_links[id];
@@ -134,7 +134,7 @@
   }
   link.silent = false;
   link.failures = 0;
-  if (result->born < link.address.id.born) {
+  if (result->incarnation_ms < link.address.id.incarnation_ms) {
     return;
   }
   link.clock_known = true;
--- a/src/cassiastile/host/host_node_test.cpp
+++ b/src/cassiastile/host/host_node_test.cpp
@@ -84,7 +84,7 @@
   world.KillHost(*world.Holder());
   world.RunFor(milliseconds(3000));
   ASSERT_TRUE(world.Holder().has_value());
-  EXPECT_TRUE(world.SchedulerOfHolder().Durations().Knows("queue-0"));
+  EXPECT_TRUE(world.SchedulerOfHolder().Durations().HasSamples("queue-0"));
 }
 
 // The table answers with a page at a time.
--- a/src/cassiastile/host/machine_keeper.cpp
+++ b/src/cassiastile/host/machine_keeper.cpp
@@ -165,7 +165,7 @@
   if (!m_has_list || !may_order) {
     return;
   }
-  const PoolLoads loads = m_scheduler.LookAtPools(now);
+  const PoolLoads loads = m_scheduler.GetPoolLoads(now);
   if (now - m_loads_logged_at > kLoadLogInterval) {
     m_loads_logged_at = now;
     LogLoads(loads);
@@ -219,7 +219,7 @@
   if (up && (answered || given_up)) {
     known.pending = Pending::kNone;
     known.going_to.clear();
-    Withhold(known, false, asked_at);
+    SetCordoned(known, false, asked_at);
   }
 }
 
@@ -227,7 +227,7 @@
   std::vector<jobs::WorkerId> lost;
   for (const auto& [id, worker] : m_scheduler.Workers()) {
     // One that answers is alive, whatever the list says.
-    const bool answers = worker.heard && !worker.silent;
+    const bool answers = worker.has_reported && !worker.silent;
     if (worker.runs.empty() || answers || worker.entry.machine.empty() ||
         worker.last_report > asked_at) {
       continue;
@@ -256,11 +256,13 @@
   return m_scheduler.FindWorkerOnMachine(known.machine.name);
 }
 
-void MachineKeeper::Withhold(Known& known, bool withheld, base::TimePoint now) {
-  known.withheld = withheld;
-  known.withheld_at = now;
+void MachineKeeper::SetCordoned(Known& known,
+                                bool cordoned,
+                                base::TimePoint now) {
+  known.cordoned = cordoned;
+  known.cordoned_at = now;
   if (const jobs::WorkerState* worker = WorkerOf(known)) {
-    m_scheduler.Withhold(worker->entry.id.id, withheld);
+    m_scheduler.SetCordoned(worker->entry.id.id, cordoned);
   }
 }
 
@@ -292,25 +294,25 @@
     machine.busy = known.machine.state != MachineState::kUp ||
                    known.pending == Pending::kMove || now < known.retry_at ||
                    !MayOrder(name);
-    machine.withheld = known.withheld;
-    machine.withheld_at = known.withheld_at;
+    machine.cordoned = known.cordoned;
+    machine.cordoned_at = known.cordoned_at;
     if (const jobs::WorkerState* worker = WorkerOf(known)) {
       const std::string& id = worker->entry.id.id;
-      if (known.withheld && !machine.begun && !machine.down && !machine.busy) {
+      if (known.cordoned && !machine.begun && !machine.down && !machine.busy) {
         m_scheduler.Evacuate(id, now);
       }
-      machine.finite_cpu = worker->used.cpu - worker->lasting.cpu;
+      machine.finite_cpu = worker->used.cpu - worker->long_running_used.cpu;
       machine.idle = worker->runs.empty();
       machine.needed = IsNeeded(pools, known.machine.pool);
     }
-    machine.may_vacate = m_scheduler.MayVacate(name);
+    machine.can_drain = m_scheduler.CanDrainMachine(name);
     all_begun = all_begun && machine.begun;
-    if (!machine.begun && !machine.may_vacate &&
+    if (!machine.begun && !machine.can_drain &&
         now - known.blocked_logged_at > kBlockedLogInterval) {
       known.blocked_logged_at = now;
       const jobs::WorkerState* worker = WorkerOf(known);
       const std::string id = worker == nullptr ? "" : worker->entry.id.id;
-      const auto blocker = m_scheduler.VacancyBlocker(name);
+      const auto blocker = m_scheduler.DrainBlocker(name);
       m_log.Write("wave.blocked", {{"machine", name},
                                    {"worker", id},
                                    {"job", blocker ? blocker->job : ""}});
@@ -327,13 +329,13 @@
        .left = std::chrono::duration_cast<std::chrono::milliseconds>(
            wave.seen_at + wave.request.due - now)},
       now);
-  for (const std::string& name : plan.withhold) {
-    Withhold(m_machines[name], true, now);
+  for (const std::string& name : plan.cordon) {
+    SetCordoned(m_machines[name], true, now);
   }
   for (const std::string& name : plan.maintain) {
     Known& known = m_machines[name];
     // Others of this round may have changed what may be vacated.
-    if (m_scheduler.MayVacate(name)) {
+    if (m_scheduler.CanDrainMachine(name)) {
       Maintain(wave, known);
     }
   }
@@ -358,7 +360,7 @@
   known.ordered_at = m_loop.GetClock().Now();
   const jobs::WorkerState* worker = WorkerOf(known);
   known.life = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
-  m_scheduler.Vacated(known.life.id, known.ordered_at);
+  m_scheduler.MarkVacated(known.life.id, known.ordered_at);
   const bool first = wave.ordered.insert(name).second;
   if (!first) {
     Record(name, {},
@@ -389,12 +391,12 @@
           machine.answered_at = now;
           // A repeated order may have been carried out long ago.
           if (first && !machine.life.id.empty()) {
-            m_scheduler.LifeEnded(machine.life, now);
+            m_scheduler.WorkerTerminated(machine.life, now);
           }
         } else if (result == MachineOrderResult::kRefused) {
           machine.pending = Pending::kNone;
           machine.retry_at = now + kRefusedPause;
-          Withhold(machine, false, now);
+          SetCordoned(machine, false, now);
         }
       }));
 }
@@ -421,7 +423,7 @@
   std::map<std::string, jobs::PoolDemand> pools;
   for (const auto& [service, load] : loads) {
     jobs::PoolDemand& demand = pools[service];
-    demand.lasting = load.lasting;
+    demand.long_running_used = load.long_running_used;
     demand.unplaced = load.unplaced;
     demand.used = load.used;
     demand.arriving = load.arriving_work;
@@ -453,7 +455,7 @@
     machine.idle_since = known.idle_since;
     machine.movable = idle && known.pending == Pending::kNone &&
                       known.machine.state == MachineState::kUp &&
-                      !known.withheld && now >= known.retry_at &&
+                      !known.cordoned && now >= known.retry_at &&
                       MayOrder(name);
   }
   std::map<std::string, jobs::Resources> arriving;
@@ -462,7 +464,7 @@
       arriving[machine.pool] += machine.capacity;
     }
   }
-  m_scheduler.SetArriving(std::move(arriving));
+  m_scheduler.SetArrivingCapacity(std::move(arriving));
   for (const jobs::MachineMove& move :
        jobs::PlanMoves(machines, pools, {}, now)) {
     Move(m_machines[move.machine], move);
@@ -480,7 +482,7 @@
                    {"workers", load.workers},
                    {"capacity", list(load.capacity)},
                    {"used", list(load.used)},
-                   {"lasting", list(load.lasting)},
+                   {"lasting", list(load.long_running_used)},
                    {"unplaced", list(load.unplaced)},
                    {"backlog_core_ms", std::llround(load.backlog.cpu)},
                    {"arriving_cores", load.arriving_work.cpu}});
@@ -495,7 +497,7 @@
   known.going_to = move.to;
   const jobs::WorkerState* worker = WorkerOf(known);
   known.life = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
-  Withhold(known, true, known.ordered_at);
+  SetCordoned(known, true, known.ordered_at);
   Record(move.machine, {}, [this, move] { SendMove(move); });
 }
 
@@ -514,11 +516,11 @@
                   machine.answered = true;
                   machine.answered_at = now;
                   machine.idle_since = {};
-                  m_scheduler.LifeEnded(machine.life, now);
+                  m_scheduler.WorkerTerminated(machine.life, now);
                 } else if (result == MachineOrderResult::kRefused) {
                   machine.pending = Pending::kNone;
                   machine.retry_at = now + kRefusedPause;
-                  Withhold(machine, false, now);
+                  SetCordoned(machine, false, now);
                 }
               }));
 }
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -59,7 +59,7 @@
   std::istringstream in(text);
   jobs::WorkerEntry entry;
   entry.id.id = id;
-  in >> entry.id.born >> entry.service >> entry.machine;
+  in >> entry.id.incarnation_ms >> entry.service >> entry.machine;
   entry.endpoint = id;
   entry.capacity = {kWorkerCpu, kWorkerMemory, 0};
   return entry;
@@ -697,10 +697,10 @@
 
 void VirtualWorld::ListWorker(const jobs::WorkerEntry& entry) {
   RowTransaction transaction;
-  transaction.puts.push_back(
-      {kWorkersTable, "", entry.id.id,
-       fmt::format("{} {} {}", entry.id.born, entry.service, entry.machine), 0,
-       false});
+  transaction.puts.push_back({kWorkersTable, "", entry.id.id,
+                              fmt::format("{} {} {}", entry.id.incarnation_ms,
+                                          entry.service, entry.machine),
+                              0, false});
   Apply(transaction);
 }
 
@@ -770,7 +770,7 @@
                                      const std::string& text,
                                      std::size_t tasks) {
   std::string job = MakeJobId();
-  m_watch.HandedIn(job, *DecodeSpec(text));
+  m_watch.JobSubmitted(job, *DecodeSpec(text));
   m_job_service[job] = service;
   m_tasks[job] = tasks;
   m_answers[job] = 0;
--- a/src/cassiastile/host/virtual_world_bench.hpp
+++ b/src/cassiastile/host/virtual_world_bench.hpp
@@ -11,7 +11,7 @@
 
 #include "cassiastile/base/random.hpp"
 #include "cassiastile/host/host_node.hpp"
-#include "cassiastile/sim/promise_watch.hpp"
+#include "cassiastile/sim/invariant_checker.hpp"
 #include "cassiastile/sim/table_model.hpp"
 #include "cassiastile/sim/worker_timer.hpp"
 
@@ -164,7 +164,7 @@
   std::vector<std::unique_ptr<Host>> m_hosts;
   std::vector<std::unique_ptr<Host>> m_dead_hosts;
   sim::TableModel m_table;
-  sim::PromiseWatch m_watch;
+  sim::InvariantChecker m_watch;
   std::uint64_t m_store_calls = 0;
   std::uint64_t m_configs_from_peers = 0;
   std::vector<std::function<bool()>> m_feeds;
--- a/src/cassiastile/jobs/admission.cpp
+++ b/src/cassiastile/jobs/admission.cpp
@@ -30,7 +30,7 @@
       input.backlog.memory / static_cast<double>(input.pool.memory));
   AdmissionVerdict verdict;
   verdict.wait = std::chrono::milliseconds(std::llround(wait_ms));
-  verdict.slack = std::max(kLeastSlack, input.objective - input.chain);
+  verdict.slack = std::max(kLeastSlack, input.objective - input.critical_path);
   if (input.beyond_share) {
     verdict.admitted = false;
     verdict.retry_after = kMinRetryAfter;
--- a/src/cassiastile/jobs/admission_test.cpp
+++ b/src/cassiastile/jobs/admission_test.cpp
@@ -13,7 +13,7 @@
   AdmissionInput input;
   input.backlog = {.cpu = backlog_core_seconds * 1000, .memory = 0};
   input.pool = {100000, 1000000, 0};
-  input.chain = milliseconds(1000);
+  input.critical_path = milliseconds(1000);
   input.objective = milliseconds(2000);
   return input;
 }
--- a/src/cassiastile/jobs/duration_model.cpp
+++ b/src/cassiastile/jobs/duration_model.cpp
@@ -67,18 +67,19 @@
   return std::chrono::milliseconds(std::llround(expected));
 }
 
-std::vector<std::chrono::milliseconds> DurationModel::ExpectTails(
+std::vector<std::chrono::milliseconds> DurationModel::ExpectCriticalPaths(
     const std::string& queue,
     const JobSpec& spec) const {
-  std::vector<std::chrono::milliseconds> tails(spec.steps.size());
+  std::vector<std::chrono::milliseconds> critical_paths(spec.steps.size());
   // Steps refer to earlier ones only.
   for (std::size_t i = spec.steps.size(); i-- > 0;) {
-    tails[i] += Expect(queue, spec.steps[i].estimate);
+    critical_paths[i] += Expect(queue, spec.steps[i].estimate);
     for (const std::uint32_t before : spec.steps[i].after) {
-      tails[before] = std::max(tails[before], tails[i]);
+      critical_paths[before] =
+          std::max(critical_paths[before], critical_paths[i]);
     }
   }
-  return tails;
+  return critical_paths;
 }
 
 std::string DurationModel::Encode() const {
--- a/src/cassiastile/jobs/duration_model_test.cpp
+++ b/src/cassiastile/jobs/duration_model_test.cpp
@@ -32,9 +32,9 @@
   spec.steps[2].estimate = milliseconds(50);
   spec.steps[2].after = {0};
   EXPECT_THAT(
-      model.ExpectTails("queue", spec),
+      model.ExpectCriticalPaths("queue", spec),
       ElementsAre(milliseconds(300), milliseconds(200), milliseconds(50)));
-  EXPECT_EQ(std::ranges::max(model.ExpectTails("queue", spec)),
+  EXPECT_EQ(std::ranges::max(model.ExpectCriticalPaths("queue", spec)),
             milliseconds(300));
 }
 
--- a/src/cassiastile/jobs/job_codec.cpp
+++ b/src/cassiastile/jobs/job_codec.cpp
@@ -91,7 +91,7 @@
   archive(row.step, row.index, task.done, task.failed_runs, task.last_run,
           task.checkpoint, static_cast<std::uint32_t>(task.runs.size()));
   for (const Run& run : task.runs) {
-    archive(run.number, run.worker.id, run.worker.born, run.machine);
+    archive(run.number, run.worker.id, run.worker.incarnation_ms, run.machine);
   }
 }
 
@@ -109,7 +109,7 @@
   archive(task.done, task.failed_runs, task.last_run, task.checkpoint, runs);
   for (std::uint32_t i = 0; i < runs; ++i) {
     Run& run = task.runs.emplace_back();
-    archive(run.number, run.worker.id, run.worker.born, run.machine);
+    archive(run.number, run.worker.id, run.worker.incarnation_ms, run.machine);
     run.phase = RunPhase::kRecovered;
     run.checkpoint = task.checkpoint;
   }
--- a/src/cassiastile/jobs/pool_plan.cpp
+++ b/src/cassiastile/jobs/pool_plan.cpp
@@ -140,8 +140,8 @@
     const double now = static_cast<double>(running) + waiting;
     return std::llround(std::max(options.headroom * arriving, now));
   };
-  const Resources running = demand.used - demand.lasting;
-  Resources wanted = demand.lasting;
+  const Resources running = demand.used - demand.long_running_used;
+  Resources wanted = demand.long_running_used;
   wanted.cpu +=
       need(demand.arriving.cpu * kPerCore, running.cpu, demand.unplaced.cpu);
   wanted.memory +=
--- a/src/cassiastile/jobs/scheduler.cpp
+++ b/src/cassiastile/jobs/scheduler.cpp
@@ -86,16 +86,16 @@
 void WorkerState::Use(const StepSpec& step) {
   used += CapacityNeed(step);
   if (step.long_running) {
-    lasting += CapacityNeed(step);
-    lasting_runs += step.fills ? 0 : 1;
+    long_running_used += CapacityNeed(step);
+    long_running_runs += step.fills ? 0 : 1;
   }
 }
 
 void WorkerState::Release(const StepSpec& step) {
   used -= CapacityNeed(step);
   if (step.long_running) {
-    lasting -= CapacityNeed(step);
-    lasting_runs -= step.fills ? 0 : 1;
+    long_running_used -= CapacityNeed(step);
+    long_running_runs -= step.fills ? 0 : 1;
   }
 }
 
@@ -116,20 +116,20 @@
 }
 
 void Scheduler::SetObjective(Job& job, const QueueConfig& queue) {
-  job.tails = m_durations.ExpectTails(job.queue, job.spec);
-  const auto chain = std::ranges::max(job.tails);
+  job.critical_paths = m_durations.ExpectCriticalPaths(job.queue, job.spec);
+  const auto chain = std::ranges::max(job.critical_paths);
   const auto allowed =
       std::chrono::milliseconds(static_cast<std::int64_t>(
           queue.stretch * static_cast<double>(chain.count()))) +
       queue.slack;
   job.objective = job.arrived_at + allowed;
-  job.worthless = job.arrived_at + kWorthlessFactor * allowed;
+  job.worthless_after = job.arrived_at + kWorthlessFactor * allowed;
 }
 
 void Scheduler::Recover(std::vector<Job> jobs,
                         base::TimePoint now,
                         base::WallTime wall,
-                        base::TimePoint silent_bound) {
+                        base::TimePoint latest_lease_end) {
   for (Job& source : jobs) {
     auto owned = std::make_unique<Job>(std::move(source));
     Job& job = *owned;
@@ -156,7 +156,7 @@
               worker.entry.machine = run.machine;
               worker.entry.service = ServiceOf(job);
             }
-            worker.lease_bound = std::max(worker.lease_bound, silent_bound);
+            worker.lease_bound = std::max(worker.lease_bound, latest_lease_end);
             worker.runs.emplace_back(ref, run.number);
             worker.Use(SpecOf(ref));
             m_used_by_customer[job.customer] += SpecOf(ref).need;
@@ -190,14 +190,14 @@
   view = {};
   view.taken_at = now;
   for (const auto& [id, job] : m_open) {
-    if (job->worthless > now && ServiceOf(*job) == service) {
+    if (job->worthless_after > now && ServiceOf(*job) == service) {
       view.backlog += RemainingWork(*job, m_durations);
     }
   }
   for (const auto& [id, worker] : m_workers) {
     if (worker.entry.service == service && IsUsable(worker, now)) {
       view.free += worker.entry.capacity - worker.used;
-      view.pool += worker.entry.capacity - worker.lasting;
+      view.pool += worker.entry.capacity - worker.long_running_used;
     }
   }
   if (const auto arriving = m_arriving.find(service);
@@ -219,7 +219,7 @@
   input.pool = view.pool;
   const StepSpec& first = job.spec.steps.front();
   input.fits_now = Fits(CapacityNeed(first) * first.count, view.free);
-  input.chain = std::ranges::max(job.tails);
+  input.critical_path = std::ranges::max(job.critical_paths);
   input.objective = std::chrono::duration_cast<std::chrono::milliseconds>(
       job.objective - now);
   return input;
@@ -328,8 +328,8 @@
   for (const std::string& id : ids->second) {
     const auto worker = m_workers.find(id);
     if (worker != m_workers.end() && worker->second.listed &&
-        (newest == nullptr ||
-         newest->entry.id.born < worker->second.entry.id.born)) {
+        (newest == nullptr || newest->entry.id.incarnation_ms <
+                                  worker->second.entry.id.incarnation_ms)) {
       newest = &worker->second;
     }
   }
@@ -474,10 +474,10 @@
   return std::exchange(m_orders, {});
 }
 
-Scheduler::PoolLoads Scheduler::LookAtPools(base::TimePoint now) {
+Scheduler::PoolLoads Scheduler::GetPoolLoads(base::TimePoint now) {
   PoolLoads pools;
   for (const auto& [id, worker] : m_workers) {
-    if (!worker.listed || worker.entry.draining || worker.withheld ||
+    if (!worker.listed || worker.entry.draining || worker.cordoned ||
         worker.silent) {
       continue;
     }
@@ -485,7 +485,7 @@
     ++load.workers;
     load.capacity += worker.entry.capacity;
     load.used += worker.used;
-    load.lasting += worker.lasting;
+    load.long_running_used += worker.long_running_used;
   }
   for (const auto& [service, need] : m_unplaced) {
     pools[service].unplaced = need;
@@ -498,7 +498,7 @@
     for (const StepSpec& step : job->spec.steps) {
       load.min_workers = std::max(load.min_workers, DistinctWorkers(step));
     }
-    if (job->worthless > now) {
+    if (job->worthless_after > now) {
       load.backlog += RemainingWork(*job, m_durations);
     }
   }
--- a/src/cassiastile/jobs/scheduler_bench.cpp
+++ b/src/cassiastile/jobs/scheduler_bench.cpp
@@ -51,15 +51,16 @@
   return spec;
 }
 
-void SchedulerBench::AddWorker(const std::string& id, std::int64_t born) {
+void SchedulerBench::AddWorker(const std::string& id,
+                               std::int64_t incarnation_ms) {
   WorkerEntry entry;
-  entry.id = {id, born};
+  entry.id = {id, incarnation_ms};
   entry.service = kService;
   entry.machine = "machine-" + id;
   entry.endpoint = id + ":1";
   entry.capacity = {kWorkerCpu, kWorkerMemory, 0};
-  const bool other_life =
-      m_entries.contains(id) && m_entries[id].id.born != born;
+  const bool other_life = m_entries.contains(id) &&
+                          m_entries[id].id.incarnation_ms != incarnation_ms;
   if (other_life) {
     m_running.erase(id);
     m_ended.erase(id);
@@ -116,7 +117,7 @@
 
 WorkerReport SchedulerBench::Listing(const std::string& worker) const {
   WorkerReport report;
-  report.born = m_entries.at(worker).id.born;
+  report.incarnation_ms = m_entries.at(worker).id.incarnation_ms;
   if (const auto found = m_running.find(worker); found != m_running.end()) {
     for (const StartOrder& order : found->second) {
       ListedRun& run = report.running.emplace_back();
--- a/src/cassiastile/jobs/scheduler_bench.hpp
+++ b/src/cassiastile/jobs/scheduler_bench.hpp
@@ -20,7 +20,7 @@
   static JobSpec LongRunning(std::uint32_t tasks,
                              std::uint32_t max_unavailable);
 
-  void AddWorker(const std::string& id, std::int64_t born = 1);
+  void AddWorker(const std::string& id, std::int64_t incarnation_ms = 1);
   void RemoveWorker(const std::string& id);
   Submission Submit(const std::string& id, JobSpec spec);
   // Plans, commits all that is to be written and returns the orders.
--- a/src/cassiastile/jobs/scheduler_place.cpp
+++ b/src/cassiastile/jobs/scheduler_place.cpp
@@ -53,8 +53,9 @@
   std::chrono::milliseconds longest{0};
   for (const Occurrence& occurrence : job.occurrences) {
     for (std::size_t i = 0; i < occurrence.steps.size(); ++i) {
-      if (!occurrence.steps[i].waiting.empty() && i < job.tails.size()) {
-        longest = std::max(longest, job.tails[i]);
+      if (!occurrence.steps[i].waiting.empty() &&
+          i < job.critical_paths.size()) {
+        longest = std::max(longest, job.critical_paths[i]);
       }
     }
   }
@@ -69,7 +70,7 @@
   rank.id = job.id;
   if (job.spec.steps.front().long_running) {
     rank.urgency = Urgency::kLongRunning;
-  } else if (now > job.worthless) {
+  } else if (now > job.worthless_after) {
     rank.urgency = Urgency::kWorthless;
   } else if (EarliestEnd(job, now) > job.objective) {
     rank.urgency = Urgency::kLate;
@@ -106,8 +107,8 @@
 }  // namespace
 
 bool Scheduler::IsUsable(const WorkerState& worker, base::TimePoint now) const {
-  return worker.listed && worker.heard && !worker.entry.draining &&
-         !worker.withheld &&
+  return worker.listed && worker.has_reported && !worker.entry.draining &&
+         !worker.cordoned &&
          now - worker.last_report < m_options.stale_report &&
          !worker.health.IsQuarantined(now);
 }
@@ -382,7 +383,8 @@
   std::int64_t best_missing = 0;
   for (WorkerState* worker : workers) {
     // Finite tasks end soon; long-running ones stay.
-    const bool can_fit = Fits(worker->lasting + need, worker->entry.capacity);
+    const bool can_fit =
+        Fits(worker->long_running_used + need, worker->entry.capacity);
     if (!can_fit || worker->reserved != Resources{} ||
         !MayHost(*worker, ref, advice)) {
       continue;
@@ -429,9 +431,9 @@
         RunsOfStep(*worker, ref) >= spec.max_unavailable) {
       cost += kTogetherCost;
     }
-    const std::int64_t lasting = worker->lasting_runs;
-    cost += spec.long_running ? -kLongRunningPack * lasting
-                              : kLongRunningDisturbs * lasting;
+    const std::int64_t long_running_used = worker->long_running_runs;
+    cost += spec.long_running ? -kLongRunningPack * long_running_used
+                              : kLongRunningDisturbs * long_running_used;
     if (best == nullptr || cost < best_cost) {
       best = worker;
       best_cost = cost;
--- a/src/cassiastile/jobs/scheduler_runs.cpp
+++ b/src/cassiastile/jobs/scheduler_runs.cpp
@@ -67,7 +67,7 @@
   }
   const StepSpec& spec = SpecOf(ref);
   const WorkerId where = run->worker;
-  const bool was_at_work = run->at_work_since != base::TimePoint{};
+  const bool was_at_work = run->serving_since != base::TimePoint{};
   if (WorkerState* worker = FindWorker(where.id)) {
     const auto erased = std::erase(worker->runs, std::pair(ref, number));
     if (erased > 0) {
@@ -100,12 +100,12 @@
 }
 
 void Scheduler::DropRunsOf(WorkerState& worker,
-                           std::int64_t born,
+                           std::int64_t incarnation_ms,
                            base::TimePoint now) {
   const auto runs = worker.runs;
   for (const auto& [ref, number] : runs) {
     const Run* run = FindRun(ref, number);
-    if (run != nullptr && run->worker.born != born) {
+    if (run != nullptr && run->worker.incarnation_ms != incarnation_ms) {
       DropRun(ref, number, now);
     }
   }
@@ -132,18 +132,19 @@
   }
   for (const WorkerEntry& entry : entries) {
     WorkerState& worker = m_workers[entry.id.id];
-    const bool other_life = entry.id.born > worker.entry.id.born;
-    if (entry.id.born < worker.entry.id.born) {
+    const bool other_life =
+        entry.id.incarnation_ms > worker.entry.id.incarnation_ms;
+    if (entry.id.incarnation_ms < worker.entry.id.incarnation_ms) {
       continue;
     }
     if (other_life) {
-      DropRunsOf(worker, entry.id.born, now);
-      worker.heard = false;
+      DropRunsOf(worker, entry.id.incarnation_ms, now);
+      worker.has_reported = false;
       worker.last_end = 0;
       worker.acked_end = 0;
       worker.health = {};
-      worker.withheld = false;
-      worker.over = false;
+      worker.cordoned = false;
+      worker.terminated = false;
     }
     worker.entry = entry;
     worker.listed = true;
@@ -166,17 +167,18 @@
                                base::TimePoint asked_at,
                                base::TimePoint now) {
   WorkerState* worker = FindWorker(id);
-  if (worker == nullptr || report.born < worker->entry.id.born) {
+  if (worker == nullptr ||
+      report.incarnation_ms < worker->entry.id.incarnation_ms) {
     return;
   }
-  if (report.born > worker->entry.id.born) {
-    DropRunsOf(*worker, report.born, now);
-    worker->entry.id.born = report.born;
+  if (report.incarnation_ms > worker->entry.id.incarnation_ms) {
+    DropRunsOf(*worker, report.incarnation_ms, now);
+    worker->entry.id.incarnation_ms = report.incarnation_ms;
     worker->last_end = 0;
     worker->acked_end = 0;
     worker->health = {};
   }
-  worker->heard = true;
+  worker->has_reported = true;
   worker->silent = false;
   worker->last_report = now;
   worker->wants_report = false;
@@ -248,8 +250,8 @@
   Task& task = *FindTask(*ref);
   if (spec.long_running) {
     const bool at_work = listed.percent >= 100;
-    if (at_work && run->at_work_since == base::TimePoint{}) {
-      run->at_work_since = now;
+    if (at_work && run->serving_since == base::TimePoint{}) {
+      run->serving_since = now;
       task.unavailable_since = {};
     }
   }
@@ -400,7 +402,7 @@
     case StartResult::kFenced:
     case StartResult::kStaleRun:
     case StartResult::kTooLate:
-    case StartResult::kOtherLife:
+    case StartResult::kOtherIncarnation:
     case StartResult::kRejected:
       worker->wants_report = true;
       DropRun(*ref, number, now);
@@ -445,11 +447,11 @@
   }
 }
 
-void Scheduler::LifeEnded(const WorkerId& id, base::TimePoint now) {
+void Scheduler::WorkerTerminated(const WorkerId& id, base::TimePoint now) {
   WorkerGone(id, now);
   WorkerState* worker = FindWorker(id.id);
   if (worker != nullptr && worker->entry.id == id) {
-    worker->over = true;
+    worker->terminated = true;
     worker->silent = true;
   }
 }
--- a/src/cassiastile/jobs/scheduler_care.cpp
+++ b/src/cassiastile/jobs/scheduler_supervision.cpp
@@ -26,13 +26,13 @@
 bool Scheduler::IsAtWork(const Run& run) const {
   const auto worker = m_workers.find(run.worker.id);
   return run.phase == RunPhase::kRunning &&
-         run.at_work_since != base::TimePoint{} && worker != m_workers.end() &&
+         run.serving_since != base::TimePoint{} && worker != m_workers.end() &&
          !worker->second.silent;
 }
 
 void Scheduler::CareForRuns(base::TimePoint now) {
   for (auto& [id, worker] : m_workers) {
-    if (!worker.heard) {
+    if (!worker.has_reported) {
       continue;
     }
     if (worker.entry.draining && worker.listed) {
@@ -120,22 +120,22 @@
   }
 }
 
-void Scheduler::Withhold(const std::string& id, bool withheld) {
+void Scheduler::SetCordoned(const std::string& id, bool cordoned) {
   if (WorkerState* worker = FindWorker(id)) {
-    worker->withheld = withheld;
+    worker->cordoned = cordoned;
   }
 }
 
-void Scheduler::Vacated(const std::string& id, base::TimePoint now) {
+void Scheduler::MarkVacated(const std::string& id, base::TimePoint now) {
   WorkerState* worker = FindWorker(id);
   if (worker == nullptr) {
     return;
   }
-  worker->withheld = true;
+  worker->cordoned = true;
   for (const auto& [ref, number] : worker->runs) {
     Run* run = FindRun(ref, number);
-    if (run != nullptr && run->at_work_since != base::TimePoint{}) {
-      run->at_work_since = {};
+    if (run != nullptr && run->serving_since != base::TimePoint{}) {
+      run->serving_since = {};
       FindTask(ref)->unavailable_since = now;
     }
   }
@@ -155,7 +155,7 @@
 
 void Scheduler::Evacuate(const std::string& id, base::TimePoint now) {
   WorkerState* worker = FindWorker(id);
-  if (worker == nullptr || !worker->heard || worker->silent) {
+  if (worker == nullptr || !worker->has_reported || worker->silent) {
     return;
   }
   for (const auto& [ref, number] : worker->runs) {
@@ -168,11 +168,11 @@
   }
 }
 
-bool Scheduler::MayVacate(const std::string& machine) const {
-  return !VacancyBlocker(machine).has_value();
+bool Scheduler::CanDrainMachine(const std::string& machine) const {
+  return !DrainBlocker(machine).has_value();
 }
 
-std::optional<TaskId> Scheduler::VacancyBlocker(
+std::optional<TaskId> Scheduler::DrainBlocker(
     const std::string& machine) const {
   const auto ids = m_workers_on_machine.find(machine);
   if (ids == m_workers_on_machine.end()) {
--- a/src/cassiastile/jobs/scheduler_test.cpp
+++ b/src/cassiastile/jobs/scheduler_test.cpp
@@ -244,7 +244,8 @@
   bench.AddWorker("a");
   bench.Submit(kJob, SchedulerBench::LongRunning(1, 0));
   std::uint64_t sequence = 0;
-  for (const RunEnd how : {RunEnd::kFailed, RunEnd::kDone, RunEnd::kLapsed}) {
+  for (const RunEnd how :
+       {RunEnd::kFailed, RunEnd::kDone, RunEnd::kLeaseExpired}) {
     bench.Advance(milliseconds(10));
     const auto starts = bench.StepAndStart();
     ASSERT_THAT(starts, SizeIs(1));
@@ -261,9 +262,9 @@
   bench.StepAndStart();
   bench.Report("a", bench.Listing("a"));
   bench.Report("b", bench.Listing("b"));
-  EXPECT_TRUE(bench.Get().MayVacate("machine-a"));
-  bench.Get().Vacated("a", bench.Now());
-  EXPECT_FALSE(bench.Get().MayVacate("machine-b"));
+  EXPECT_TRUE(bench.Get().CanDrainMachine("machine-a"));
+  bench.Get().MarkVacated("a", bench.Now());
+  EXPECT_FALSE(bench.Get().CanDrainMachine("machine-b"));
 }
 
 TEST(SchedulerTest, TaskOnASilentWorkerCountsAsAway) {
@@ -275,7 +276,7 @@
   bench.Report("a", bench.Listing("a"));
   bench.Report("b", bench.Listing("b"));
   bench.Get().WorkerSilent("a", bench.Now());
-  EXPECT_FALSE(bench.Get().MayVacate("machine-b"));
+  EXPECT_FALSE(bench.Get().CanDrainMachine("machine-b"));
 }
 
 TEST(SchedulerTest, StaysWithinTheCapacityOfWorkers) {
@@ -350,9 +351,9 @@
   bench.StepAndStart();
   bench.Report("a", bench.Listing("a"));
   SchedulerBench next = bench.Successor(milliseconds(8000));
-  EXPECT_FALSE(next.Get().MayVacate("machine-a"));
+  EXPECT_FALSE(next.Get().CanDrainMachine("machine-a"));
   next.RemoveWorker("a");
-  EXPECT_FALSE(next.Get().MayVacate("machine-a"));
+  EXPECT_FALSE(next.Get().CanDrainMachine("machine-a"));
 }
 
 // A full pool with small tasks that take each piece of room as it becomes free.
--- a/src/cassiastile/jobs/wave_plan.cpp
+++ b/src/cassiastile/jobs/wave_plan.cpp
@@ -16,13 +16,13 @@
     if (machine.down) {
       ++taken;
     } else if (!machine.begun && !machine.busy) {
-      (machine.withheld ? emptying : others).push_back(&machine);
+      (machine.cordoned ? emptying : others).push_back(&machine);
     }
   }
   for (const WaveMachine* machine : emptying) {
     const bool emptied = machine->finite_cpu == 0 ||
-                         now - machine->withheld_at > limits.max_emptying;
-    if (emptied && machine->may_vacate && taken < limits.max_down) {
+                         now - machine->cordoned_at > limits.max_drain_time;
+    if (emptied && machine->can_drain && taken < limits.max_down) {
       plan.maintain.push_back(machine->name);
       ++taken;
     }
@@ -42,7 +42,7 @@
       break;
     }
     if (hurry || machine->idle || !machine->needed) {
-      plan.withhold.push_back(machine->name);
+      plan.cordon.push_back(machine->name);
       ++planned;
     }
   }
--- a/src/cassiastile/jobs/wave_plan_test.cpp
+++ b/src/cassiastile/jobs/wave_plan_test.cpp
@@ -21,8 +21,8 @@
 
 WaveMachine Emptied(const std::string& name) {
   WaveMachine machine = MakeMachine(name);
-  machine.withheld = true;
-  machine.withheld_at = kNow - milliseconds(500);
+  machine.cordoned = true;
+  machine.cordoned_at = kNow - milliseconds(500);
   return machine;
 }
 
@@ -33,13 +33,13 @@
       PlanWave({down, Emptied("a"), Emptied("b"), MakeMachine("c")},
                {.max_down = 2, .left = milliseconds(60000)}, kNow);
   EXPECT_THAT(plan.maintain, ElementsAre("a"));
-  EXPECT_THAT(plan.withhold, IsEmpty());
+  EXPECT_THAT(plan.cordon, IsEmpty());
 }
 
 TEST(WavePlanTest, EmptiesBeforeItMaintains) {
   const WavePlan plan = PlanWave(
       {MakeMachine("a")}, {.max_down = 1, .left = milliseconds(60000)}, kNow);
-  EXPECT_THAT(plan.withhold, ElementsAre("a"));
+  EXPECT_THAT(plan.cordon, ElementsAre("a"));
   EXPECT_THAT(plan.maintain, IsEmpty());
 }
 
@@ -48,13 +48,13 @@
   busy.finite_cpu = 1000;
   const WaveLimits limits{.max_down = 1, .left = milliseconds(60000)};
   EXPECT_THAT(PlanWave({busy}, limits, kNow).maintain, IsEmpty());
-  EXPECT_THAT(PlanWave({busy}, limits, kNow + limits.max_emptying).maintain,
+  EXPECT_THAT(PlanWave({busy}, limits, kNow + limits.max_drain_time).maintain,
               SizeIs(1));
 }
 
 TEST(WavePlanTest, MachineThatMayNotBeVacatedWaits) {
   WaveMachine blocked = Emptied("a");
-  blocked.may_vacate = false;
+  blocked.can_drain = false;
   EXPECT_THAT(
       PlanWave({blocked}, {.max_down = 1, .left = milliseconds(0)}, kNow)
           .maintain,
@@ -66,9 +66,9 @@
   needed.idle = false;
   needed.needed = true;
   WaveLimits limits{.max_down = 1, .left = milliseconds(60000)};
-  EXPECT_THAT(PlanWave({needed}, limits, kNow).withhold, IsEmpty());
+  EXPECT_THAT(PlanWave({needed}, limits, kNow).cordon, IsEmpty());
   limits.left = milliseconds(5000);
-  EXPECT_THAT(PlanWave({needed}, limits, kNow).withhold, SizeIs(1));
+  EXPECT_THAT(PlanWave({needed}, limits, kNow).cordon, SizeIs(1));
 }
 
 }  // namespace
--- a/src/cassiastile/jobs/worker_health.cpp
+++ b/src/cassiastile/jobs/worker_health.cpp
@@ -21,7 +21,7 @@
 
 void WorkerHealth::RunFailed(base::TimePoint now) {
   ++m_failures_in_row;
-  if (m_failures_in_row >= kSuspicious) {
+  if (m_failures_in_row >= kProbationFailures) {
     const auto factor = 1U << std::min(m_quarantines, kMaxDoublings);
     m_until = std::max(m_until, now + kFirstQuarantine * factor);
     ++m_quarantines;
--- a/src/cassiastile/sim/promise_watch.cpp
+++ b/src/cassiastile/sim/invariant_checker.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/sim/promise_watch.hpp"
+#include "cassiastile/sim/invariant_checker.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -16,24 +16,26 @@
 
 }  // namespace
 
-void PromiseWatch::HandedIn(const std::string& job, jobs::JobSpec spec) {
+void InvariantChecker::JobSubmitted(const std::string& job,
+                                    jobs::JobSpec spec) {
   m_books[job].spec = std::move(spec);
 }
 
-void PromiseWatch::Refused(const std::string& job) {
+void InvariantChecker::Refused(const std::string& job) {
   m_books[job].refused = true;
 }
 
-void PromiseWatch::Accepted(const std::string& job) {
+void InvariantChecker::Accepted(const std::string& job) {
   m_books[job].refused = false;
   m_books[job].accepted = true;
 }
 
-void PromiseWatch::CancelAcknowledged(const std::string& job) {
+void InvariantChecker::CancelAcknowledged(const std::string& job) {
   m_books[job].accepted = false;
 }
 
-void PromiseWatch::SaidToBe(const std::string& job, jobs::JobPhase phase) {
+void InvariantChecker::PhaseReported(const std::string& job,
+                                     jobs::JobPhase phase) {
   const Book& book = m_books[job];
   std::size_t tasks = 0;
   for (const jobs::StepSpec& step : book.spec.steps) {
@@ -50,14 +52,14 @@
   }
 }
 
-const jobs::JobSpec* PromiseWatch::SpecOf(const std::string& job) const {
+const jobs::JobSpec* InvariantChecker::SpecOf(const std::string& job) const {
   const auto found = m_books.find(job);
   return found == m_books.end() ? nullptr : &found->second.spec;
 }
 
-bool PromiseWatch::IsStepDone(const Book& book,
-                              const jobs::TaskId& task,
-                              std::uint32_t step) const {
+bool InvariantChecker::IsStepDone(const Book& book,
+                                  const jobs::TaskId& task,
+                                  std::uint32_t step) const {
   const auto done =
       std::ranges::count_if(book.done, [&task, step](const jobs::TaskId& each) {
         return each.occurrence == task.occurrence && each.step == step;
@@ -65,8 +67,8 @@
   return static_cast<std::uint32_t>(done) == book.spec.steps[step].count;
 }
 
-void PromiseWatch::Began(const jobs::WorkerId& worker,
-                         const jobs::StartOrder& order) {
+void InvariantChecker::RunStarted(const jobs::WorkerId& worker,
+                                  const jobs::StartOrder& order) {
   const jobs::TaskId& task = order.task;
   const auto found = m_books.find(task.job);
   if (found == m_books.end() || found->second.spec.payload != order.payload) {
@@ -95,10 +97,10 @@
   }
 }
 
-void PromiseWatch::Ended(const jobs::WorkerId& worker,
-                         const jobs::TaskId& task,
-                         std::uint32_t /*run*/,
-                         jobs::RunEnd how) {
+void InvariantChecker::RunEnded(const jobs::WorkerId& worker,
+                                const jobs::TaskId& task,
+                                std::uint32_t /*run*/,
+                                jobs::RunEnd how) {
   const auto found = m_books.find(task.job);
   if (found == m_books.end()) {
     return;
@@ -109,16 +111,16 @@
   }
 }
 
-void PromiseWatch::Noted(const jobs::TaskId& task) {
+void InvariantChecker::EndAcknowledged(const jobs::TaskId& task) {
   m_noted.insert(task);
 }
 
-std::size_t PromiseWatch::DoneTasks(const std::string& job) const {
+std::size_t InvariantChecker::DoneTasks(const std::string& job) const {
   const auto found = m_books.find(job);
   return found == m_books.end() ? 0 : found->second.done.size();
 }
 
-std::size_t PromiseWatch::RunningTasks(const std::string& job) const {
+std::size_t InvariantChecker::RunningTasks(const std::string& job) const {
   const auto found = m_books.find(job);
   if (found == m_books.end()) {
     return 0;
--- a/src/cassiastile/sim/worker_model.cpp
+++ b/src/cassiastile/sim/worker_model.cpp
@@ -16,7 +16,7 @@
 
 WorkerModel::WorkerModel(jobs::WorkerEntry entry,
                          base::TimePoint began,
-                         RunWatch& watch)
+                         RunObserver& watch)
     : m_entry(std::move(entry)), m_began(began), m_watch(watch) {}
 
 milliseconds WorkerModel::Clock(base::TimePoint now) const {
@@ -54,7 +54,7 @@
   if (!step.long_running) {
     run.ends = now + step.estimate;
   }
-  m_watch.Began(m_entry.id, order);
+  m_watch.RunStarted(m_entry.id, order);
   return jobs::StartResult::kRunning;
 }
 
@@ -90,7 +90,7 @@
       return false;
     }
     if (end.how == jobs::RunEnd::kDone) {
-      m_watch.Noted(end.task);
+      m_watch.EndAcknowledged(end.task);
     }
     return true;
   });
@@ -99,7 +99,7 @@
 
 jobs::WorkerReport WorkerModel::Report(base::TimePoint now) const {
   jobs::WorkerReport report;
-  report.born = m_entry.id.born;
+  report.incarnation_ms = m_entry.id.incarnation_ms;
   report.clock = Clock(now);
   for (const auto& [task, run] : m_running) {
     jobs::ListedRun& listed = report.running.emplace_back();
@@ -130,7 +130,7 @@
   std::ranges::sort(due);
   for (const auto& [at, task] : due) {
     Finish(task, m_running.at(task).ends == at ? jobs::RunEnd::kDone
-                                               : jobs::RunEnd::kLapsed);
+                                               : jobs::RunEnd::kLeaseExpired);
   }
 }
 
@@ -148,7 +148,7 @@
 
 void WorkerModel::Die() {
   for (const auto& [task, run] : std::exchange(m_running, {})) {
-    m_watch.Ended(m_entry.id, task, run.number, jobs::RunEnd::kLapsed);
+    m_watch.RunEnded(m_entry.id, task, run.number, jobs::RunEnd::kLeaseExpired);
   }
 }
 
@@ -159,7 +159,7 @@
   m_used -= run.need;
   m_closed[task] = std::max(m_closed[task], run.number);
   m_ended.push_back({++m_sequence, task, run.number, how, ""});
-  m_watch.Ended(m_entry.id, task, run.number, how);
+  m_watch.RunEnded(m_entry.id, task, run.number, how);
 }
 
 }  // namespace cassiastile::sim
--- a/src/cassiastile/soak/callers.cpp
+++ b/src/cassiastile/soak/callers.cpp
@@ -109,7 +109,7 @@
   job.will_cancel = m_random() % kCancelledOneIn == 0;
   jobs::JobSpec spec = MakeSpec(job.lasts);
   job.text = adapter::EncodeJob(spec);
-  m_fleet.Watch().HandedIn(job.id, std::move(spec));
+  m_fleet.Watch().JobSubmitted(job.id, std::move(spec));
   const std::string id = job.id;
   m_jobs.emplace(id, std::move(job));
   Send(id);
@@ -238,7 +238,7 @@
           if (!phase) {
             m_fleet.Watch().Violate(phase.error().message);
           } else {
-            m_fleet.Watch().SaidToBe(id, *phase);
+            m_fleet.Watch().PhaseReported(id, *phase);
             if (*phase == jobs::JobPhase::kDone) {
               job.fate = Fate::kDone;
             }
@@ -268,7 +268,7 @@
 
 void Callers::Judge() {
   for (const auto& [id, job] : m_jobs) {
-    sim::PromiseWatch& watch = m_fleet.Watch();
+    sim::InvariantChecker& watch = m_fleet.Watch();
     const std::size_t running = watch.RunningTasks(id);
     if (job.fate == Fate::kCancelled && running > 0) {
       watch.Violate(
--- a/src/cassiastile/soak/fleet.hpp
+++ b/src/cassiastile/soak/fleet.hpp
@@ -8,7 +8,7 @@
 #include <asio/io_context.hpp>
 
 #include "cassiastile/host/asio_loop.hpp"
-#include "cassiastile/sim/promise_watch.hpp"
+#include "cassiastile/sim/invariant_checker.hpp"
 #include "cassiastile/soak/host_process.hpp"
 #include "cassiastile/soak/loopback_proxy.hpp"
 #include "cassiastile/soak/soak.hpp"
@@ -39,7 +39,7 @@
   std::string CallersEndpoint(std::size_t host) const;
   // Whether a planned stop is all that a host has seen lately.
   bool OnlyStops(std::size_t host) const;
-  sim::PromiseWatch& Watch() { return m_watch; }
+  sim::InvariantChecker& Watch() { return m_watch; }
   std::size_t Starts() const { return m_starts; }
 
  private:
@@ -99,7 +99,7 @@
   asio::io_context& m_context;
   host::Loop& m_loop;
   const SoakOptions& m_options;
-  sim::PromiseWatch m_watch;
+  sim::InvariantChecker m_watch;
   std::unique_ptr<adapter::TableServer> m_table;
   std::unique_ptr<adapter::MachineServer> m_machine_server;
   std::vector<std::unique_ptr<Machine>> m_machines;
