--- a/include/cassiastile/host/config_watch.hpp
+++ b/include/cassiastile/host/config_watcher.hpp
@@ -11,7 +11,7 @@
 
 // Follows what operators write to the table: the configuration and the waves of
 // upkeep. Versions only go forward; they also come from other hosts.
-class ConfigWatch {
+class ConfigWatcher {
  public:
   struct Listener {
     std::function<void(const std::shared_ptr<const jobs::FleetConfig>&)>
@@ -19,7 +19,7 @@
     std::function<void()> on_waves;
   };
 
-  ConfigWatch(HostPorts& ports, Loop& loop, EventLog& log, Listener listener);
+  ConfigWatcher(HostPorts& ports, Loop& loop, EventLog& log, Listener listener);
 
   void Begin();
   // Takes the text of a configuration; older versions than the one known are
@@ -32,7 +32,7 @@
   // Waves by number, with the time at which each was first seen.
   const std::map<std::uint64_t, WaveRequest>& Waves() const { return m_waves; }
   // Whether the table has answered lately.
-  bool StoreAnswers() const;
+  bool IsStoreReachable() const;
 
  private:
   void ReadAll();
--- a/include/cassiastile/host/dispatcher.hpp
+++ b/include/cassiastile/host/dispatcher.hpp
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "cassiastile/host/commit_chain.hpp"
 #include "cassiastile/host/event_log.hpp"
+#include "cassiastile/host/leader_transactions.hpp"
 #include "cassiastile/host/loop.hpp"
-#include "cassiastile/host/machine_keeper.hpp"
+#include "cassiastile/host/machine_controller.hpp"
 #include "cassiastile/host/peer_message.hpp"
 #include "cassiastile/host/ports.hpp"
 #include "cassiastile/host/settings.hpp"
@@ -47,7 +47,7 @@
              Loop& loop,
              EventLog& log,
              const HostSettings& settings,
-             std::unique_ptr<CommitChain> chain,
+             std::unique_ptr<LeaderTransactions> chain,
              std::function<void()> on_lost);
   ~Dispatcher();
   Dispatcher(const Dispatcher&) = delete;
@@ -64,9 +64,9 @@
   void Resign(std::function<void()> done);
 
   // Whether commits have failed for a while.
-  bool StoreIsAway() const;
+  bool IsStoreUnavailable() const;
   bool IsServing() const { return m_serving; }
-  std::uint64_t Fence() const { return m_chain->Fence(); }
+  std::uint64_t FencingToken() const { return m_chain->FencingToken(); }
   const jobs::Scheduler& GetScheduler() const { return m_scheduler; }
 
  private:
@@ -135,11 +135,11 @@
   Loop& m_loop;
   EventLog& m_log;
   const HostSettings& m_settings;
-  std::unique_ptr<CommitChain> m_chain;
+  std::unique_ptr<LeaderTransactions> m_chain;
   std::function<void()> m_on_lost;
   std::shared_ptr<const jobs::FleetConfig> m_config;
   jobs::Scheduler m_scheduler;
-  MachineKeeper m_machines;
+  MachineController m_machines;
   bool m_serving = false;
   bool m_resigned = false;
   bool m_plan_due = false;
--- a/include/cassiastile/host/host_node.hpp
+++ b/include/cassiastile/host/host_node.hpp
@@ -6,9 +6,9 @@
 #include <string>
 
 #include "cassiastile/base/random.hpp"
-#include "cassiastile/host/config_watch.hpp"
+#include "cassiastile/host/config_watcher.hpp"
 #include "cassiastile/host/dispatcher.hpp"
-#include "cassiastile/host/front.hpp"
+#include "cassiastile/host/job_frontend.hpp"
 #include "cassiastile/host/peer_message.hpp"
 
 namespace cassiastile::host {
@@ -24,8 +24,8 @@
 
   virtual ~PeerPort() = default;
   virtual void Greet(const std::string& endpoint,
-                     const Greeting& greeting,
-                     Done<Greeting> done) = 0;
+                     const GossipMessage& greeting,
+                     Done<GossipMessage> done) = 0;
   virtual void Ask(const std::string& endpoint,
                    const JobRequest& request,
                    std::chrono::milliseconds timeout,
@@ -42,13 +42,13 @@
            Loop& loop,
            EventLog& log,
            HostSettings settings,
-           FrontFormat format,
+           JobFrontendFormat format,
            base::Random random);
 
   void Begin();
   void Handle(const wire::HttpRequest& request,
               const wire::HttpResponder& respond);
-  Greeting Greeted(const Greeting& greeting);
+  GossipMessage HandleGossip(const GossipMessage& greeting);
   void Asked(const JobRequest& request,
              const std::function<void(JobAnswer)>& respond);
   bool IsReady() const;
@@ -56,10 +56,10 @@
   // Stops taking part: not ready any more, the office passes on.
   void BeginStop();
   // Whether all that was taken is answered and the office has passed on.
-  bool MayEnd() const;
+  bool IsReadyToExit() const;
 
-  const Dispatcher* Office() const { return m_dispatcher.get(); }
-  const ConfigWatch& Config() const { return m_config; }
+  const Dispatcher* LeaderDispatcher() const { return m_dispatcher.get(); }
+  const ConfigWatcher& Config() const { return m_config; }
   const HostSettings& Settings() const { return m_settings; }
 
  private:
@@ -76,16 +76,17 @@
   void Greet();
   void HolderRefused();
   void SendGreeting(const std::string& endpoint);
-  void SendGreeting(const std::string& endpoint, const Greeting& greeting);
+  void SendGreeting(const std::string& endpoint, const GossipMessage& greeting);
   void FetchConfig(const std::string& endpoint);
-  Greeting MakeGreeting(std::uint64_t known_version, bool with_config) const;
-  void TakeGreeting(const Greeting& greeting);
-  void TakeNotice(const OfficeNotice& notice);
+  GossipMessage MakeGreeting(std::uint64_t known_version,
+                             bool with_config) const;
+  void TakeGreeting(const GossipMessage& greeting);
+  void TakeNotice(const LeaderAnnouncement& notice);
   void WatchOffice();
   void CheckOffice();
-  void SawOffice(const OfficeSight& sight);
-  std::string WhyTaken(const OfficeSight& sight) const;
-  void TakeOffice(const OfficeSight& sight);
+  void SawOffice(const ObservedLeaderRecord& sight);
+  std::string WhyTaken(const ObservedLeaderRecord& sight) const;
+  void TakeOffice(const ObservedLeaderRecord& sight);
   // Whether a host with much more of a processor could hold the office.
   // Which peers count: those that lately reached the store, or all.
   enum class StoreSight : std::uint8_t { kAnswers, kAny };
@@ -107,19 +108,19 @@
   HostSettings m_settings;
   base::Random m_random;
   std::string m_life;
-  ConfigWatch m_config;
-  Front m_front;
+  ConfigWatcher m_config;
+  JobFrontend m_front;
   std::map<std::string, Peer> m_known;  // By host.
-  OfficeNotice m_office;
+  LeaderAnnouncement m_office;
   std::uint32_t m_refusals = 0;  // Of connections to the holder, in a row.
   std::string m_holder_gone;     // A holder whose process is gone.
   base::TimePoint m_office_heard{};
-  OfficeSight m_sight;
+  ObservedLeaderRecord m_sight;
   base::TimePoint m_sight_changed{};
   bool m_checking = false;
   std::chrono::milliseconds m_look_timeout{500};  // Of the next look.
   bool m_taking = false;
-  std::unique_ptr<CommitChain> m_candidate;
+  std::unique_ptr<LeaderTransactions> m_candidate;
   std::unique_ptr<Dispatcher> m_dispatcher;
   base::TimePoint m_behind_since{};  // Of a newer configuration.
   base::TimePoint m_config_asked_at{};
--- a/include/cassiastile/host/front.hpp
+++ b/include/cassiastile/host/job_frontend.hpp
@@ -14,7 +14,7 @@
 namespace cassiastile::host {
 
 // The texts of the callers' interface that the platform lays down.
-struct FrontFormat {
+struct JobFrontendFormat {
   std::string key_header;
   std::string timeout_header;
   std::function<std::string(jobs::JobPhase)> encode_state;
@@ -23,25 +23,25 @@
 
 // Takes callers' requests on jobs: finds the queue, checks the key and asks the
 // host in office.
-class Front {
+class JobFrontend {
  public:
-  // Asks the host in office; answers kNotInOffice when none can be asked.
+  // Asks the host in office; answers kNotLeader when none can be asked.
   using Ask = std::function<void(JobRequest,
                                  std::chrono::milliseconds timeout,
                                  std::function<void(JobAnswer)>)>;
 
   // Who is in office as this host believes, and how old that is.
-  struct Belief {
+  struct LeaderView {
     std::string holder;
     std::uint64_t fence = 0;
     std::chrono::milliseconds heard_ago{0};
   };
 
-  Front(FrontFormat format,
-        Loop& loop,
-        EventLog& log,
-        Ask ask,
-        std::function<Belief()> belief);
+  JobFrontend(JobFrontendFormat format,
+              Loop& loop,
+              EventLog& log,
+              Ask ask,
+              std::function<LeaderView()> belief);
 
   void ApplyConfig(std::shared_ptr<const jobs::FleetConfig> config);
   void Handle(const wire::HttpRequest& request,
@@ -58,11 +58,11 @@
                         const std::string& job,
                         std::chrono::milliseconds waited);
 
-  FrontFormat m_format;
+  JobFrontendFormat m_format;
   Loop& m_loop;
   EventLog& m_log;
   Ask m_ask;
-  std::function<Belief()> m_belief;
+  std::function<LeaderView()> m_belief;
   std::shared_ptr<const jobs::FleetConfig> m_config;
   std::size_t m_in_flight = 0;
 };
--- a/include/cassiastile/host/commit_chain.hpp
+++ b/include/cassiastile/host/leader_transactions.hpp
@@ -13,36 +13,40 @@
 namespace cassiastile::host {
 
 // Where the host in office keeps its rows.
-inline constexpr char kOfficeTable[] = "cassia_office";
+inline constexpr char kLeaderTable[] = "cassia_office";
 inline constexpr char kJobTable[] = "cassia_jobs";
 inline constexpr char kMachineTable[] = "cassia_machines";
 // What an office has learnt of queues; lost, it is learnt anew.
 inline constexpr char kLearntTable[] = "cassia_learnt";
 inline constexpr char kHostTable[] = "cassia_hosts";
 // All rows of an office stand in one part, so that one transaction covers them.
-inline constexpr char kOfficePart[] = "main";
-inline constexpr char kOfficeKey[] = "holder";
+inline constexpr char kLeaderPart[] = "main";
+inline constexpr char kLeaderKey[] = "holder";
 
 // What is known of the office's record in the table.
-struct OfficeSight {
+struct ObservedLeaderRecord {
   std::uint64_t version = 0;  // 0: there is no record.
-  OfficeRecord record;
+  LeaderRecord record;
 };
 
-OfficeSight ReadOfficeRow(const Row& row);
+ObservedLeaderRecord DecodeLeaderRow(const Row& row);
 
 // The commits of one term. Each expects the office's record as the one before
 // left it and rewrites it. So a commit whose answer was lost can be sent again
 // without harm, none can land after a later one, and none after the office has
 // passed on.
-class CommitChain {
+class LeaderTransactions {
  public:
-  CommitChain(RowStore& store, Loop& loop, EventLog& log, OfficeRecord self);
+  LeaderTransactions(RowStore& store,
+                     Loop& loop,
+                     EventLog& log,
+                     LeaderRecord self);
 
   // Takes the office if its record still is as it was seen. On success the
   // fence of the term is the version of the record that took it.
-  void Acquire(const OfficeSight& seen, std::function<void(bool)> done);
-  std::uint64_t Fence() const { return m_fence; }
+  void Acquire(const ObservedLeaderRecord& seen,
+               std::function<void(bool)> done);
+  std::uint64_t FencingToken() const { return m_fence; }
 
   // Writes rows. One commit is under way at a time. `done` gets true once it is
   // applied, however long that takes, or false when the office is lost.
@@ -71,7 +75,7 @@
   RowStore& m_store;
   Loop& m_loop;
   EventLog& m_log;
-  OfficeRecord m_record;
+  LeaderRecord m_record;
   std::uint64_t m_version = 0;
   std::uint64_t m_fence = 0;
   bool m_busy = false;
--- a/include/cassiastile/host/machine_keeper.hpp
+++ b/include/cassiastile/host/machine_controller.hpp
@@ -13,7 +13,7 @@
 
 namespace cassiastile::host {
 
-struct MachineKeeperOptions {
+struct MachineControllerOptions {
   std::string holder;
   // Orders of another office may still be on their way for so long.
   std::chrono::milliseconds settle{3000};
@@ -22,22 +22,23 @@
 
 // Carries out waves of upkeep and moves machines between pools during one term
 // of office.
-class MachineKeeper {
+class MachineController {
  public:
   // Writes a row with the office's next commit; the function runs once it is
   // stored.
   using StoreRow = std::function<void(Row, std::function<void()>)>;
 
-  MachineKeeper(MachinePort& port,
-                RowStore& store,
-                Loop& loop,
-                EventLog& log,
-                jobs::Scheduler& scheduler,
-                MachineKeeperOptions options,
-                StoreRow store_row,
-                std::string status_table,
-                std::string wave_prefix,
-                std::function<std::string(std::uint64_t, bool)> encode_state);
+  MachineController(
+      MachinePort& port,
+      RowStore& store,
+      Loop& loop,
+      EventLog& log,
+      jobs::Scheduler& scheduler,
+      MachineControllerOptions options,
+      StoreRow store_row,
+      std::string status_table,
+      std::string wave_prefix,
+      std::function<std::string(std::uint64_t, bool)> encode_state);
 
   // Takes what the predecessor recorded of a wave.
   void Recover(const Row& row);
@@ -111,7 +112,7 @@
   Loop& m_loop;
   EventLog& m_log;
   jobs::Scheduler& m_scheduler;
-  MachineKeeperOptions m_options;
+  MachineControllerOptions m_options;
   std::string m_status_table;
   std::string m_wave_prefix;
   std::function<std::string(std::uint64_t, bool)> m_encode_state;
--- a/include/cassiastile/host/peer_client.hpp
+++ b/include/cassiastile/host/peer_client.hpp
@@ -12,8 +12,8 @@
   explicit PeerClient(wire::LoopClient& client) : m_client(client) {}
 
   void Greet(const std::string& endpoint,
-             const Greeting& greeting,
-             Done<Greeting> done) override;
+             const GossipMessage& greeting,
+             Done<GossipMessage> done) override;
   void Ask(const std::string& endpoint,
            const JobRequest& request,
            std::chrono::milliseconds timeout,
--- a/include/cassiastile/host/peer_message.hpp
+++ b/include/cassiastile/host/peer_message.hpp
@@ -12,7 +12,7 @@
 namespace cassiastile::host {
 
 // The host that gives orders, as another host knows it.
-struct OfficeNotice {
+struct LeaderAnnouncement {
   std::uint64_t fence = 0;  // Grows with each term; 0: none known.
   std::string host;         // Empty once it has resigned.
   std::string endpoint;     // Of its peer interface.
@@ -24,25 +24,25 @@
 };
 
 // Exchanged regularly between hosts.
-struct Greeting {
+struct GossipMessage {
   std::string host;
   std::string endpoint;
   std::uint64_t config_version = 0;
   // The sender knows of a newer configuration that the table did not bring.
   bool wants_config = false;
   std::string config;  // As the operators wrote it, for those that want it.
-  OfficeNotice office;
+  LeaderAnnouncement office;
   bool in_office = false;
   // The sender holds the office and can't reach the store; whoever can should
   // take over.
-  bool wants_relief = false;
+  bool requests_takeover = false;
   bool store_answers = false;  // The sender has lately reached the store.
   double processor_share = 0;  // Of one core.
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(host, endpoint, config_version, wants_config, config, office,
-            in_office, wants_relief, store_answers, processor_share);
+            in_office, requests_takeover, store_answers, processor_share);
   }
 };
 
@@ -73,14 +73,14 @@
   kOk,
   kInvalid,  // The specification is wrong; `detail` says where.
   kNoSuchJob,
-  kForbidden,    // The job is another customer's.
-  kRefused,      // Not taken and not run; `retry_after` says when to return.
-  kNotInOffice,  // Ask another host; nothing was done.
-  kUndecided,    // Taken or not is not known yet.
+  kForbidden,       // The job is another customer's.
+  kRefused,         // Not taken and not run; `retry_after` says when to return.
+  kNotLeader,       // Ask another host; nothing was done.
+  kOutcomeUnknown,  // Taken or not is not known yet.
 };
 
 struct JobAnswer {
-  JobAnswerKind kind = JobAnswerKind::kUndecided;
+  JobAnswerKind kind = JobAnswerKind::kOutcomeUnknown;
   std::uint8_t phase = 0;   // A jobs::JobPhase, for kState.
   std::uint64_t count = 0;  // For kCount.
   std::uint8_t reason = 0;  // A jobs::RefusalReason, for kRefused.
@@ -93,15 +93,15 @@
   }
 };
 
-std::string Encode(const Greeting& message);
+std::string Encode(const GossipMessage& message);
 std::string Encode(const JobRequest& message);
 std::string Encode(const JobAnswer& message);
-base::Result<Greeting> DecodeGreeting(const std::string& bytes);
+base::Result<GossipMessage> DecodeGossipMessage(const std::string& bytes);
 base::Result<JobRequest> DecodeJobRequest(const std::string& bytes);
 base::Result<JobAnswer> DecodeJobAnswer(const std::string& bytes);
 
 // The record of who holds the office, in the platform's table.
-struct OfficeRecord {
+struct LeaderRecord {
   std::string host;  // Empty once resigned.
   std::string endpoint;
   std::string life;          // Unique to the process.
@@ -111,10 +111,10 @@
   void serialize(Archive& archive) {
     archive(host, endpoint, life, commit);
   }
-  friend bool operator==(const OfficeRecord&, const OfficeRecord&) = default;
+  friend bool operator==(const LeaderRecord&, const LeaderRecord&) = default;
 };
 
-std::string Encode(const OfficeRecord& record);
-base::Result<OfficeRecord> DecodeOfficeRecord(const std::string& bytes);
+std::string Encode(const LeaderRecord& record);
+base::Result<LeaderRecord> DecodeLeaderRecord(const std::string& bytes);
 
 }  // namespace cassiastile::host
--- a/include/cassiastile/host/ports.hpp
+++ b/include/cassiastile/host/ports.hpp
@@ -114,7 +114,7 @@
 struct WorkerCallFailure {
   bool refused = false;  // No process listens there.
   bool fenced = false;   // The worker has seen a higher fence.
-  bool other_life = false;
+  bool other_incarnation = false;
   std::string message;
 };
 
@@ -142,7 +142,7 @@
                     std::function<void(bool)> done) = 0;
 };
 
-enum class MachineState : std::uint8_t { kUp, kMoving, kUpkeep, kDown };
+enum class MachineState : std::uint8_t { kUp, kMoving, kMaintenance, kDown };
 
 // A machine that workers live on, one life after the other.
 struct Machine {
--- a/src/bin/cassia_host.cpp
+++ b/src/bin/cassia_host.cpp
@@ -52,7 +52,7 @@
           .wave_prefix = adapter::kWavePrefix};
 }
 
-host::FrontFormat MakeFormat() {
+host::JobFrontendFormat MakeFormat() {
   return {.key_header = adapter::kKeyHeader,
           .timeout_header = adapter::kTimeoutHeader,
           .encode_state = adapter::EncodeJobState,
@@ -212,7 +212,7 @@
 
   void AwaitEnd() {
     const auto waited = m_clock.Now() - m_stop_at;
-    const bool quiet = waited > kBalancerNotices && m_node.MayEnd();
+    const bool quiet = waited > kBalancerNotices && m_node.IsReadyToExit();
     if (quiet || waited > m_settings.stop_grace - kExitReserve) {
       m_context.stop();
       return;
--- a/src/cassiastile/host/config_watch.cpp
+++ b/src/cassiastile/host/config_watcher.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/host/config_watch.hpp"
+#include "cassiastile/host/config_watcher.hpp"
 
 #include <utility>
 
@@ -16,29 +16,29 @@
 
 }  // namespace
 
-ConfigWatch::ConfigWatch(HostPorts& ports,
-                         Loop& loop,
-                         EventLog& log,
-                         Listener listener)
+ConfigWatcher::ConfigWatcher(HostPorts& ports,
+                             Loop& loop,
+                             EventLog& log,
+                             Listener listener)
     : m_ports(ports),
       m_loop(loop),
       m_log(log),
       m_listener(std::move(listener)) {}
 
-void ConfigWatch::Begin() {
+void ConfigWatcher::Begin() {
   ReadAll();
 }
 
-std::uint64_t ConfigWatch::Version() const {
+std::uint64_t ConfigWatcher::Version() const {
   return m_config == nullptr ? 0 : m_config->version;
 }
 
-bool ConfigWatch::StoreAnswers() const {
+bool ConfigWatcher::IsStoreReachable() const {
   return m_answered_at != base::TimePoint{} &&
          m_loop.GetClock().Now() - m_answered_at < kAnswersFor;
 }
 
-void ConfigWatch::ReadAll() {
+void ConfigWatcher::ReadAll() {
   ReadAllRows(m_ports.store, m_ports.operator_table, "",
               m_lifetime.Guard([this](base::Result<RowPage> page) {
                 if (!page) {
@@ -52,7 +52,7 @@
               }));
 }
 
-void ConfigWatch::Follow() {
+void ConfigWatcher::Follow() {
   m_ports.store.Feed(
       m_ports.operator_table, m_position, kFeedWait,
       m_lifetime.Guard([this](base::Result<FeedPage> page) {
@@ -78,7 +78,7 @@
       }));
 }
 
-void ConfigWatch::TakeRows(const std::vector<Row>& rows) {
+void ConfigWatcher::TakeRows(const std::vector<Row>& rows) {
   bool waves = false;
   for (const Row& row : rows) {
     if (row.deleted) {
@@ -101,7 +101,7 @@
   }
 }
 
-void ConfigWatch::Offer(const std::string& text, std::string_view source) {
+void ConfigWatcher::Offer(const std::string& text, std::string_view source) {
   auto config = m_ports.decode_config(text);
   if (!config) {
     m_log.Write("config.bad",
--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -48,7 +48,7 @@
                        Loop& loop,
                        EventLog& log,
                        const HostSettings& settings,
-                       std::unique_ptr<CommitChain> chain,
+                       std::unique_ptr<LeaderTransactions> chain,
                        std::function<void()> on_lost)
     : m_ports(ports),
       m_loop(loop),
@@ -78,7 +78,7 @@
   for (auto* waiting : {&m_await_accept, &m_await_cancel}) {
     for (auto& [job, responders] : *waiting) {
       for (const Responder& respond : responders) {
-        respond({.kind = JobAnswerKind::kUndecided});
+        respond({.kind = JobAnswerKind::kOutcomeUnknown});
       }
     }
   }
@@ -108,7 +108,7 @@
 }
 
 void Dispatcher::ReadJobs() {
-  ReadUntilAnswered(kJobTable, kOfficePart, [this](const RowPage& page) {
+  ReadUntilAnswered(kJobTable, kLeaderPart, [this](const RowPage& page) {
     for (const Row& row : page.rows) {
       const std::string id = row.key.substr(0, row.key.size() - kSuffixLength);
       StoredJob& job = m_recovered[id];
@@ -120,7 +120,7 @@
 }
 
 void Dispatcher::ReadMachineRows() {
-  ReadUntilAnswered(kMachineTable, kOfficePart, [this](const RowPage& page) {
+  ReadUntilAnswered(kMachineTable, kLeaderPart, [this](const RowPage& page) {
     for (const Row& row : page.rows) {
       m_machines.Recover(row);
     }
@@ -129,7 +129,7 @@
 }
 
 void Dispatcher::ReadLearnt() {
-  ReadUntilAnswered(kLearntTable, kOfficePart, [this](const RowPage& page) {
+  ReadUntilAnswered(kLearntTable, kLeaderPart, [this](const RowPage& page) {
     for (const Row& row : page.rows) {
       auto durations = jobs::DurationModel::Decode(row.value);
       if (durations) {
@@ -151,7 +151,7 @@
   }
   m_kept_revision = revision;
   m_learnt_kept_at = now;
-  m_rows.emplace_back(Row{kLearntTable, kOfficePart, kDurationsKey,
+  m_rows.emplace_back(Row{kLearntTable, kLeaderPart, kDurationsKey,
                           m_scheduler.Durations().Encode(), 0, false},
                       [] {});
 }
@@ -255,8 +255,8 @@
   m_scheduler.Recover(std::move(recovered), now, m_loop.GetClock().WallNow(),
                       latest_lease_end);
   m_serving = true;
-  m_machines.Begin(Fence(), [this] { return m_chain->StoreNow(); });
-  m_log.Write("office.serving", {{"fence", Fence()},
+  m_machines.Begin(FencingToken(), [this] { return m_chain->StoreNow(); });
+  m_log.Write("office.serving", {{"fence", FencingToken()},
                                  {"jobs", count},
                                  {"workers", m_entries.size()},
                                  {"config_version", m_config->version}});
@@ -274,7 +274,7 @@
   m_machines.ApplyWaves(waves);
 }
 
-bool Dispatcher::StoreIsAway() const {
+bool Dispatcher::IsStoreUnavailable() const {
   const auto since = m_chain->FailingSince();
   return since && m_loop.GetClock().Now() - *since > kOutageAfter;
 }
@@ -310,7 +310,7 @@
     return;
   }
   ServeLinks();
-  m_machines.Tick(!StoreIsAway() && MayGiveOrders());
+  m_machines.Tick(!IsStoreUnavailable() && MayGiveOrders());
   KeepLearnt();
   Pump();
   m_loop.After(kTick, m_lifetime.Guard([this] { Tick(); }));
@@ -334,7 +334,7 @@
   std::vector<Row> drops;
   for (const jobs::JobRow& row : batch.rows) {
     Row put{kJobTable,
-            kOfficePart,
+            kLeaderPart,
             row.job + (row.is_record ? kRecordSuffix : kProgressSuffix),
             row.bytes.value_or(""),
             0,
@@ -408,7 +408,7 @@
        {"customer", job->customer},
        {"age_ms", base::Milliseconds(now - job->arrived_at)},
        {"allowed_ms", base::Milliseconds(job->objective - job->arrived_at)},
-       {"fence", Fence()}});
+       {"fence", FencingToken()}});
 }
 
 void Dispatcher::LogFinished(const std::string& id, jobs::JobPhase phase) {
@@ -429,14 +429,14 @@
 
 void Dispatcher::Lose() {
   m_resigned = true;
-  m_log.Write("office.lost", {{"fence", Fence()}});
+  m_log.Write("office.lost", {{"fence", FencingToken()}});
   m_on_lost();
 }
 
 void Dispatcher::Resign(std::function<void()> done) {
   const auto resign = [this, done = std::move(done)] {
     m_resigned = true;
-    m_log.Write("office.resigned", {{"fence", Fence()}});
+    m_log.Write("office.resigned", {{"fence", FencingToken()}});
     m_chain->Resign([done](bool) { done(); });
   };
   if (m_chain->IsBusy()) {
--- a/src/cassiastile/host/dispatcher_jobs.cpp
+++ b/src/cassiastile/host/dispatcher_jobs.cpp
@@ -26,7 +26,7 @@
 void Dispatcher::Answer(const JobRequest& request,
                         const std::function<void(JobAnswer)>& respond) {
   if (!m_serving || m_resigned) {
-    respond({.kind = JobAnswerKind::kNotInOffice});
+    respond({.kind = JobAnswerKind::kNotLeader});
     return;
   }
   switch (request.verb) {
@@ -50,11 +50,11 @@
   const jobs::QueueConfig* queue = m_config->FindQueue(request.queue);
   if (queue == nullptr) {
     // The other host has a newer configuration.
-    respond({.kind = JobAnswerKind::kNotInOffice});
+    respond({.kind = JobAnswerKind::kNotLeader});
     return;
   }
   const jobs::Job* known = m_scheduler.FindJob(request.job);
-  if (known == nullptr && StoreIsAway()) {
+  if (known == nullptr && IsStoreUnavailable()) {
     m_log.Write("job.refused",
                 {{"job", request.job},
                  {"queue", request.queue},
@@ -131,7 +131,7 @@
     return {.kind = JobAnswerKind::kForbidden};
   }
   if (!job->accepted) {
-    return {.kind = JobAnswerKind::kUndecided};
+    return {.kind = JobAnswerKind::kOutcomeUnknown};
   }
   return {.kind = JobAnswerKind::kOk,
           .phase = static_cast<std::uint8_t>(job->stored_phase)};
--- a/src/cassiastile/host/dispatcher_workers.cpp
+++ b/src/cassiastile/host/dispatcher_workers.cpp
@@ -76,7 +76,7 @@
   const base::TimePoint now = m_loop.GetClock().Now();
   const auto found = m_scheduler.Workers().find(link.address.id.id);
   LeaseExtension extension;
-  extension.fence = Fence();
+  extension.fence = FencingToken();
   extension.acknowledged_end = found->second.acked_end;
   extension.fresh_connection = link.failures > 0;
   // A worker that may not have heard the last extension gets no further one: a
@@ -174,7 +174,8 @@
     m_log.Write("run.paced", {{"job", order.task.job},
                               {"worker", order.worker.id},
                               {"percent", order.percent}});
-    m_ports.workers.Pace(link->second.address, order, Fence(), [](bool) {});
+    m_ports.workers.Pace(link->second.address, order, FencingToken(),
+                         [](bool) {});
   }
   for (const jobs::AdviceRequest& request : orders.advice) {
     m_ports.advice.Advise(
@@ -206,7 +207,7 @@
   const auto until = ClockOf(link) + kWorkerLease;
   m_scheduler.LeaseSent(order.worker.id, LeaseEnd(now));
   m_ports.workers.Start(
-      link.address, order, Fence(), until,
+      link.address, order, FencingToken(), until,
       m_lifetime.Guard([this, now, worker = order.worker, task = order.task,
                         run = order.run](jobs::StartResult result) {
         nlohmann::json line = Describe(task, run);
@@ -243,7 +244,7 @@
   line["worker"] = order.worker.id;
   line["reason"] = base::FindName(jobs::kStopReasonNames, order.reason);
   m_log.Write("run.stop", std::move(line));
-  m_ports.workers.Stop(found->second.address, order, Fence(),
+  m_ports.workers.Stop(found->second.address, order, FencingToken(),
                        m_lifetime.Guard([this, order](bool answered) {
                          if (answered) {
                            m_scheduler.StopAnswered(order.worker, order.task,
--- a/src/cassiastile/host/host_node.cpp
+++ b/src/cassiastile/host/host_node.cpp
@@ -43,7 +43,7 @@
                    Loop& loop,
                    EventLog& log,
                    HostSettings settings,
-                   FrontFormat format,
+                   JobFrontendFormat format,
                    base::Random random)
     : m_ports(std::move(ports)),
       m_peers(peers),
@@ -80,7 +80,7 @@
             AskOffice(request, timeout, respond);
           },
           [this] {
-            return Front::Belief{
+            return JobFrontend::LeaderView{
                 m_office.host, m_office.fence,
                 std::chrono::duration_cast<std::chrono::milliseconds>(
                     m_loop.GetClock().Now() - m_office_heard)};
@@ -142,8 +142,10 @@
     endpoints.push_back(peer.endpoint);
   }
   std::ranges::shuffle(endpoints, m_random);
-  const bool wants_relief = IsOffice() && m_dispatcher->StoreIsAway();
-  const std::size_t most = wants_relief ? kAskedForRelief : kGreetedEachRound;
+  const bool requests_takeover =
+      IsOffice() && m_dispatcher->IsStoreUnavailable();
+  const std::size_t most =
+      requests_takeover ? kAskedForRelief : kGreetedEachRound;
   endpoints.resize(std::min(endpoints.size(), most));
   const bool ask_office = !IsOffice() && !m_office.host.empty();
   if (ask_office &&
@@ -160,12 +162,12 @@
 }
 
 void HostNode::SendGreeting(const std::string& endpoint,
-                            const Greeting& greeting) {
+                            const GossipMessage& greeting) {
   m_peers.Greet(
       endpoint, greeting,
       m_lifetime.Guard(
-          [this,
-           endpoint](const tl::expected<Greeting, PeerPort::Failure>& answer) {
+          [this, endpoint](
+              const tl::expected<GossipMessage, PeerPort::Failure>& answer) {
             if (answer) {
               TakeGreeting(*answer);
             } else if (answer.error().refused &&
@@ -189,9 +191,9 @@
   CheckOffice();
 }
 
-Greeting HostNode::MakeGreeting(std::uint64_t known_version,
-                                bool with_config) const {
-  Greeting greeting;
+GossipMessage HostNode::MakeGreeting(std::uint64_t known_version,
+                                     bool with_config) const {
+  GossipMessage greeting;
   greeting.host = m_settings.host;
   greeting.endpoint = OwnEndpoint();
   greeting.config_version = m_config.Version();
@@ -200,18 +202,18 @@
   }
   greeting.office = m_office;
   greeting.in_office = IsOffice() && !m_resigning;
-  greeting.wants_relief = IsOffice() && m_dispatcher->StoreIsAway();
-  greeting.store_answers = m_config.StoreAnswers();
+  greeting.requests_takeover = IsOffice() && m_dispatcher->IsStoreUnavailable();
+  greeting.store_answers = m_config.IsStoreReachable();
   greeting.processor_share = m_settings.processor_share;
   return greeting;
 }
 
-Greeting HostNode::Greeted(const Greeting& greeting) {
+GossipMessage HostNode::HandleGossip(const GossipMessage& greeting) {
   TakeGreeting(greeting);
   return MakeGreeting(greeting.config_version, greeting.wants_config);
 }
 
-void HostNode::TakeGreeting(const Greeting& greeting) {
+void HostNode::TakeGreeting(const GossipMessage& greeting) {
   if (greeting.host == m_settings.host) {
     return;
   }
@@ -232,7 +234,7 @@
     return;
   }
   m_refusals = 0;
-  if (greeting.wants_relief) {
+  if (greeting.requests_takeover) {
     // No term to wait for: it gives no orders that it can't record.
     m_holder_gone = greeting.host;
     CheckOffice();
@@ -253,12 +255,12 @@
     return;
   }
   m_config_asked_at = now;
-  Greeting greeting = MakeGreeting(m_config.Version(), false);
+  GossipMessage greeting = MakeGreeting(m_config.Version(), false);
   greeting.wants_config = true;
   SendGreeting(endpoint, greeting);
 }
 
-void HostNode::TakeNotice(const OfficeNotice& notice) {
+void HostNode::TakeNotice(const LeaderAnnouncement& notice) {
   const bool newer = notice.fence > m_office.fence;
   const bool resigned = notice.fence == m_office.fence && notice.host.empty() &&
                         !m_office.host.empty();
@@ -294,7 +296,7 @@
   }
   m_checking = true;
   m_ports.store.Read(
-      kOfficeTable, kOfficePart, "", m_look_timeout,
+      kLeaderTable, kLeaderPart, "", m_look_timeout,
       m_lifetime.Guard([this](const base::Result<RowPage>& page) {
         m_checking = false;
         if (!page) {
@@ -304,17 +306,17 @@
           return;
         }
         m_look_timeout = kFirstLookTimeout;
-        OfficeSight sight;
+        ObservedLeaderRecord sight;
         for (const Row& row : page->rows) {
-          if (row.key == kOfficeKey) {
-            sight = ReadOfficeRow(row);
+          if (row.key == kLeaderKey) {
+            sight = DecodeLeaderRow(row);
           }
         }
         SawOffice(sight);
       }));
 }
 
-void HostNode::SawOffice(const OfficeSight& sight) {
+void HostNode::SawOffice(const ObservedLeaderRecord& sight) {
   const base::TimePoint now = m_loop.GetClock().Now();
   const std::string gone = std::exchange(m_holder_gone, "");
   const bool process_gone = !gone.empty() && sight.record.host == gone;
@@ -365,7 +367,7 @@
   }
 }
 
-std::string HostNode::WhyTaken(const OfficeSight& sight) const {
+std::string HostNode::WhyTaken(const ObservedLeaderRecord& sight) const {
   if (sight.version == 0) {
     return "no record";
   }
@@ -380,7 +382,7 @@
              : "process gone or without store";
 }
 
-void HostNode::TakeOffice(const OfficeSight& sight) {
+void HostNode::TakeOffice(const ObservedLeaderRecord& sight) {
   if (m_config.Config() == nullptr || m_stopping) {
     return;
   }
@@ -388,9 +390,9 @@
   m_log.Write("office.take", {{"why", WhyTaken(sight)},
                               {"seen_version", sight.version},
                               {"seen_holder", sight.record.host}});
-  m_candidate = std::make_unique<CommitChain>(
+  m_candidate = std::make_unique<LeaderTransactions>(
       m_ports.store, m_loop, m_log,
-      OfficeRecord{m_settings.host, OwnEndpoint(), m_life, 0});
+      LeaderRecord{m_settings.host, OwnEndpoint(), m_life, 0});
   m_candidate->Acquire(sight, m_lifetime.Guard([this](bool taken) {
     m_taking = false;
     if (taken) {
@@ -402,7 +404,7 @@
 }
 
 void HostNode::Elected() {
-  m_office = {m_candidate->Fence(), m_settings.host, OwnEndpoint()};
+  m_office = {m_candidate->FencingToken(), m_settings.host, OwnEndpoint()};
   m_log.Write("office.elected", {{"fence", m_office.fence}});
   m_dispatcher = std::make_unique<Dispatcher>(
       m_ports, m_loop, m_log, m_settings, std::move(m_candidate),
@@ -440,12 +442,12 @@
       }
     };
     m_loop.After(timeout,
-                 [once] { once({.kind = JobAnswerKind::kUndecided}); });
+                 [once] { once({.kind = JobAnswerKind::kOutcomeUnknown}); });
     m_dispatcher->Answer(request, once);
     return;
   }
   if (m_office.host.empty() || m_office.host == m_settings.host) {
-    respond({.kind = JobAnswerKind::kNotInOffice});
+    respond({.kind = JobAnswerKind::kNotLeader});
     return;
   }
   m_peers.Ask(
@@ -454,8 +456,9 @@
         if (answer) {
           respond(*answer);
         } else {
-          respond({.kind = answer.error().refused ? JobAnswerKind::kNotInOffice
-                                                  : JobAnswerKind::kUndecided});
+          respond({.kind = answer.error().refused
+                               ? JobAnswerKind::kNotLeader
+                               : JobAnswerKind::kOutcomeUnknown});
         }
       });
 }
@@ -468,7 +471,7 @@
 void HostNode::Asked(const JobRequest& request,
                      const std::function<void(JobAnswer)>& respond) {
   if (!IsOffice()) {
-    respond({.kind = JobAnswerKind::kNotInOffice});
+    respond({.kind = JobAnswerKind::kNotLeader});
     return;
   }
   m_dispatcher->Answer(request, respond);
@@ -500,7 +503,7 @@
   }));
 }
 
-bool HostNode::MayEnd() const {
+bool HostNode::IsReadyToExit() const {
   return m_front.InFlight() == 0 && !IsOffice();
 }
 
--- a/src/cassiastile/host/host_node_test.cpp
+++ b/src/cassiastile/host/host_node_test.cpp
@@ -21,7 +21,7 @@
 TEST(HostNodeTest, OneHostTakesTheOfficeAndRunsAJob) {
   VirtualWorld world;
   world.RunFor(kSettled);
-  ASSERT_TRUE(world.Holder().has_value());
+  ASSERT_TRUE(world.LeaderIndex().has_value());
   const std::string job = world.Submit(0, 2, 3, milliseconds(400));
   world.RunFor(milliseconds(100));
   EXPECT_EQ(world.Answers().at(job), 200);
@@ -49,9 +49,9 @@
   const std::string lasting = world.SubmitLongRunning(1, 3);
   world.RunFor(milliseconds(300));
   ASSERT_EQ(world.Answers().at(job), 200);
-  world.KillHost(*world.Holder());
+  world.KillHost(*world.LeaderIndex());
   world.RunFor(milliseconds(2000));
-  ASSERT_TRUE(world.Holder().has_value());
+  ASSERT_TRUE(world.LeaderIndex().has_value());
   world.RunFor(milliseconds(3000));
   EXPECT_EQ(world.StateOf(job), "done");
   EXPECT_EQ(world.RunningTasks(lasting), 3U);
@@ -81,10 +81,10 @@
   world.RunFor(kSettled);
   world.Submit(0, 1, 4, milliseconds(400));
   world.RunFor(milliseconds(5000));
-  world.KillHost(*world.Holder());
+  world.KillHost(*world.LeaderIndex());
   world.RunFor(milliseconds(3000));
-  ASSERT_TRUE(world.Holder().has_value());
-  EXPECT_TRUE(world.SchedulerOfHolder().Durations().HasSamples("queue-0"));
+  ASSERT_TRUE(world.LeaderIndex().has_value());
+  EXPECT_TRUE(world.LeaderScheduler().Durations().HasSamples("queue-0"));
 }
 
 // The table answers with a page at a time.
@@ -92,32 +92,32 @@
   VirtualWorld world({.workers_of_service = 40});
   // Idle machines leave their pools later than this.
   world.RunFor(milliseconds(500));
-  ASSERT_TRUE(world.Holder().has_value());
-  world.KillHost(*world.Holder());
-  while (!world.Holder()) {
+  ASSERT_TRUE(world.LeaderIndex().has_value());
+  world.KillHost(*world.LeaderIndex());
+  while (!world.LeaderIndex()) {
     world.RunFor(milliseconds(10));
   }
-  EXPECT_EQ(world.SchedulerOfHolder().Workers().size(), 80U);
+  EXPECT_EQ(world.LeaderScheduler().Workers().size(), 80U);
 }
 
 TEST(HostNodeTest, StoppedHolderHandsTheOfficeOnAtOnce) {
   VirtualWorld world;
   world.RunFor(kSettled);
-  const std::size_t holder = *world.Holder();
+  const std::size_t holder = *world.LeaderIndex();
   world.StopHost(holder);
   world.RunFor(milliseconds(150));
-  ASSERT_TRUE(world.Holder().has_value());
-  EXPECT_NE(*world.Holder(), holder);
+  ASSERT_TRUE(world.LeaderIndex().has_value());
+  EXPECT_NE(*world.LeaderIndex(), holder);
 }
 
 TEST(HostNodeTest, HolderThatTheStoreTurnsAwayIsRelieved) {
   VirtualWorld world;
   world.RunFor(kSettled);
-  const std::size_t holder = *world.Holder();
+  const std::size_t holder = *world.LeaderIndex();
   world.Faults().hosts_without_store.insert("host-" + std::to_string(holder));
   world.RunFor(milliseconds(1500));
-  ASSERT_TRUE(world.Holder().has_value());
-  EXPECT_NE(*world.Holder(), holder);
+  ASSERT_TRUE(world.LeaderIndex().has_value());
+  EXPECT_NE(*world.LeaderIndex(), holder);
   const std::string job = world.Submit(0, 1, 2, milliseconds(300));
   world.RunFor(milliseconds(1000));
   EXPECT_EQ(world.Answers().at(job), 200);
@@ -169,7 +169,7 @@
     world.RunFor(milliseconds(4200));
     world.Faults().store_silent = false;
     world.RunFor(milliseconds(3000));
-    ASSERT_TRUE(world.Holder().has_value());
+    ASSERT_TRUE(world.LeaderIndex().has_value());
     auto elected = ElectedHosts(world.Log());
     ASSERT_GT(elected.size(), before);
     elected.erase(elected.begin(),
@@ -199,7 +199,7 @@
   VirtualWorld world;
   world.RunFor(kSettled);
   world.Faults().hosts_without_store.insert("host-2");
-  world.ChangeConfig();
+  world.PublishNextConfig();
   world.RunFor(milliseconds(2000));
   EXPECT_EQ(world.ConfigVersionOf(2), world.ConfigVersionOf(3));
 }
@@ -211,7 +211,7 @@
   world.RunFor(kSettled);
   world.Faults().slow_feeds = milliseconds(60);
   for (int i = 0; i < 5; ++i) {
-    world.ChangeConfig();
+    world.PublishNextConfig();
     world.RunFor(milliseconds(700));
   }
   EXPECT_EQ(world.ConfigVersionOf(0), 12U);
@@ -238,7 +238,7 @@
   world.RunFor(kSettled);
   const std::string lasting = world.SubmitLongRunning(0, 2);
   world.RunFor(milliseconds(1000));
-  world.AskForWave(world.MachineNames(), 2);
+  world.RequestWave(world.MachineNames(), 2);
   world.RunFor(milliseconds(25000));
   EXPECT_TRUE(world.WaveIsDone(1));
   EXPECT_EQ(world.RunningTasks(lasting), 2U);
@@ -270,8 +270,8 @@
         world.KillHost(pick(6));
         break;
       case 1:
-        if (world.Holder()) {
-          world.KillHost(*world.Holder());
+        if (world.LeaderIndex()) {
+          world.KillHost(*world.LeaderIndex());
         }
         break;
       case 2: {
--- a/src/cassiastile/host/front.cpp
+++ b/src/cassiastile/host/job_frontend.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/host/front.hpp"
+#include "cassiastile/host/job_frontend.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -93,23 +93,23 @@
 
 }  // namespace
 
-Front::Front(FrontFormat format,
-             Loop& loop,
-             EventLog& log,
-             Ask ask,
-             std::function<Belief()> belief)
+JobFrontend::JobFrontend(JobFrontendFormat format,
+                         Loop& loop,
+                         EventLog& log,
+                         Ask ask,
+                         std::function<LeaderView()> belief)
     : m_format(std::move(format)),
       m_loop(loop),
       m_log(log),
       m_ask(std::move(ask)),
       m_belief(std::move(belief)) {}
 
-void Front::ApplyConfig(std::shared_ptr<const jobs::FleetConfig> config) {
+void JobFrontend::ApplyConfig(std::shared_ptr<const jobs::FleetConfig> config) {
   m_config = std::move(config);
 }
 
-void Front::Handle(const wire::HttpRequest& request,
-                   const wire::HttpResponder& respond) {
+void JobFrontend::Handle(const wire::HttpRequest& request,
+                         const wire::HttpResponder& respond) {
   if (m_config == nullptr) {
     respond(
         AnswerLater(kUnavailable, "no configuration yet", kRetryWithoutOffice));
@@ -162,9 +162,9 @@
   Forward(std::move(job), std::min(kMaxWait, timeout), respond);
 }
 
-void Front::Forward(JobRequest request,
-                    std::chrono::milliseconds timeout,
-                    const wire::HttpResponder& respond) {
+void JobFrontend::Forward(JobRequest request,
+                          std::chrono::milliseconds timeout,
+                          const wire::HttpResponder& respond) {
   ++m_in_flight;
   const JobVerb verb = request.verb;
   const std::string job = request.job;
@@ -200,12 +200,12 @@
             case JobAnswerKind::kRefused:
               respond(Refusal(answer));
               return;
-            case JobAnswerKind::kNotInOffice:
+            case JobAnswerKind::kNotLeader:
               LogWithoutOffice("request.no_office", verb, job, waited);
               respond(AnswerLater(kUnavailable, "no host is in office",
                                   kRetryWithoutOffice));
               return;
-            case JobAnswerKind::kUndecided:
+            case JobAnswerKind::kOutcomeUnknown:
               LogWithoutOffice("request.undecided", verb, job, waited);
               respond(AnswerError(kGatewayTimeout, "not known yet"));
               return;
@@ -213,11 +213,11 @@
         });
 }
 
-void Front::LogWithoutOffice(std::string_view event,
-                             JobVerb verb,
-                             const std::string& job,
-                             std::chrono::milliseconds waited) {
-  const Belief belief = m_belief();
+void JobFrontend::LogWithoutOffice(std::string_view event,
+                                   JobVerb verb,
+                                   const std::string& job,
+                                   std::chrono::milliseconds waited) {
+  const LeaderView belief = m_belief();
   m_log.Write(event, {{"job", job},
                       {"verb", base::FindName(kJobVerbNames, verb)},
                       {"waited_ms", waited.count()},
--- a/src/cassiastile/host/commit_chain.cpp
+++ b/src/cassiastile/host/leader_transactions.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/host/commit_chain.hpp"
+#include "cassiastile/host/leader_transactions.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -16,23 +16,23 @@
 
 }  // namespace
 
-OfficeSight ReadOfficeRow(const Row& row) {
-  OfficeSight sight;
+ObservedLeaderRecord DecodeLeaderRow(const Row& row) {
+  ObservedLeaderRecord sight;
   sight.version = row.version;
-  if (auto record = DecodeOfficeRecord(row.value)) {
+  if (auto record = DecodeLeaderRecord(row.value)) {
     sight.record = std::move(*record);
   }
   return sight;
 }
 
-CommitChain::CommitChain(RowStore& store,
-                         Loop& loop,
-                         EventLog& log,
-                         OfficeRecord self)
+LeaderTransactions::LeaderTransactions(RowStore& store,
+                                       Loop& loop,
+                                       EventLog& log,
+                                       LeaderRecord self)
     : m_store(store), m_loop(loop), m_log(log), m_record(std::move(self)) {}
 
-void CommitChain::Acquire(const OfficeSight& seen,
-                          std::function<void(bool)> done) {
+void LeaderTransactions::Acquire(const ObservedLeaderRecord& seen,
+                                 std::function<void(bool)> done) {
   m_version = seen.version;
   m_record.commit = seen.record.commit;
   Commit({}, {}, [this, done = std::move(done)](bool applied) {
@@ -41,29 +41,29 @@
   });
 }
 
-void CommitChain::Commit(std::vector<Row> puts,
-                         std::vector<Row> drops,
-                         std::function<void(bool)> done) {
+void LeaderTransactions::Commit(std::vector<Row> puts,
+                                std::vector<Row> drops,
+                                std::function<void(bool)> done) {
   m_busy = true;
   m_done = std::move(done);
   ++m_record.commit;
   m_transaction = {};
   m_transaction.expect.push_back(
-      {kOfficeTable, kOfficePart, kOfficeKey, m_version});
+      {kLeaderTable, kLeaderPart, kLeaderKey, m_version});
   m_transaction.puts = std::move(puts);
   m_transaction.puts.push_back(
-      {kOfficeTable, kOfficePart, kOfficeKey, Encode(m_record), 0, false});
+      {kLeaderTable, kLeaderPart, kLeaderKey, Encode(m_record), 0, false});
   m_transaction.drops = std::move(drops);
   m_attempts = 0;
   Send();
 }
 
-void CommitChain::Resign(std::function<void(bool)> done) {
+void LeaderTransactions::Resign(std::function<void(bool)> done) {
   m_record.host.clear();
   Commit({}, {}, std::move(done));
 }
 
-void CommitChain::Send() {
+void LeaderTransactions::Send() {
   ++m_attempts;
   const base::TimePoint sent_at = m_loop.GetClock().Now();
   m_store.Commit(
@@ -73,13 +73,13 @@
       }));
 }
 
-std::chrono::milliseconds CommitChain::StoreNow() const {
+std::chrono::milliseconds LeaderTransactions::StoreNow() const {
   return m_store_clock + std::chrono::duration_cast<std::chrono::milliseconds>(
                              m_loop.GetClock().Now() - m_store_clock_at);
 }
 
-void CommitChain::Answered(const TransactionReply& reply,
-                           base::TimePoint sent_at) {
+void LeaderTransactions::Answered(const TransactionReply& reply,
+                                  base::TimePoint sent_at) {
   using Outcome = TransactionReply::Outcome;
   if (reply.now.count() > 0) {
     m_store_clock = reply.now;
@@ -94,10 +94,10 @@
     return;
   }
   if (reply.outcome == Outcome::kConflict) {
-    OfficeSight sight;
+    ObservedLeaderRecord sight;
     for (const Row& row : reply.current) {
-      if (row.key == kOfficeKey && !row.deleted) {
-        sight = ReadOfficeRow(row);
+      if (row.key == kLeaderKey && !row.deleted) {
+        sight = DecodeLeaderRow(row);
       }
     }
     const bool own = sight.record == m_record;
@@ -118,13 +118,13 @@
   Retry();
 }
 
-void CommitChain::Retry() {
+void LeaderTransactions::Retry() {
   const auto delay =
       std::min(kFirstRetry * (1U << std::min(m_attempts, 5U)), kMaxRetry);
   m_loop.After(delay, m_lifetime.Guard([this] { Send(); }));
 }
 
-void CommitChain::Finish(bool applied) {
+void LeaderTransactions::Finish(bool applied) {
   if (m_failing_since && applied) {
     m_log.Write("store.regained",
                 {{"after_ms", base::Milliseconds(m_loop.GetClock().Now() -
--- a/src/cassiastile/host/machine_keeper.cpp
+++ b/src/cassiastile/host/machine_controller.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/host/machine_keeper.hpp"
+#include "cassiastile/host/machine_controller.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -8,7 +8,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "cassiastile/host/commit_chain.hpp"
+#include "cassiastile/host/leader_transactions.hpp"
 #include "cassiastile/jobs/wave_plan.hpp"
 
 namespace cassiastile::host {
@@ -48,13 +48,13 @@
 
 }  // namespace
 
-MachineKeeper::MachineKeeper(
+MachineController::MachineController(
     MachinePort& port,
     RowStore& store,
     Loop& loop,
     EventLog& log,
     jobs::Scheduler& scheduler,
-    MachineKeeperOptions options,
+    MachineControllerOptions options,
     StoreRow store_row,
     std::string status_table,
     std::string wave_prefix,
@@ -71,7 +71,7 @@
       m_encode_state(std::move(encode_state)),
       m_config(std::make_shared<jobs::FleetConfig>()) {}
 
-void MachineKeeper::Recover(const Row& row) {
+void MachineController::Recover(const Row& row) {
   std::istringstream lines(row.value);
   if (row.key == kOrdersKey) {
     std::string machine;
@@ -93,7 +93,7 @@
   }
 }
 
-void MachineKeeper::Begin(
+void MachineController::Begin(
     std::uint64_t fence,
     std::function<std::chrono::milliseconds()> store_now) {
   m_fence = fence;
@@ -101,15 +101,15 @@
   m_own_from = m_store_now();
 }
 
-bool MachineKeeper::MayOrder(const std::string& machine) const {
+bool MachineController::MayOrder(const std::string& machine) const {
   const auto found = m_ordered.find(machine);
   return found == m_ordered.end() || found->second >= m_own_from ||
          m_store_now() - found->second > m_options.settle + kSettleMargin;
 }
 
-void MachineKeeper::Record(const std::string& machine,
-                           std::vector<Row> rows,
-                           std::function<void()> order) {
+void MachineController::Record(const std::string& machine,
+                               std::vector<Row> rows,
+                               std::function<void()> order) {
   const auto now = m_store_now();
   std::erase_if(m_ordered, [this, now](const auto& row) {
     return now - row.second > m_options.settle + kSettleMargin;
@@ -123,16 +123,16 @@
     m_store_row(std::move(row), [] {});
   }
   m_store_row(
-      {kMachineTable, kOfficePart, kOrdersKey, std::move(lines), 0, false},
+      {kMachineTable, kLeaderPart, kOrdersKey, std::move(lines), 0, false},
       m_lifetime.Guard(std::move(order)));
 }
 
-void MachineKeeper::ApplyConfig(
+void MachineController::ApplyConfig(
     std::shared_ptr<const jobs::FleetConfig> config) {
   m_config = std::move(config);
 }
 
-void MachineKeeper::ApplyWaves(
+void MachineController::ApplyWaves(
     const std::map<std::uint64_t, WaveRequest>& waves) {
   for (const auto& [number, request] : waves) {
     Wave& wave = m_waves[number];
@@ -144,7 +144,7 @@
   }
 }
 
-void MachineKeeper::Tick(bool may_order) {
+void MachineController::Tick(bool may_order) {
   const base::TimePoint now = m_loop.GetClock().Now();
   if (now - m_planned_at < kPlanInterval) {
     return;
@@ -178,7 +178,7 @@
   }
 }
 
-void MachineKeeper::ListMachines() {
+void MachineController::ListMachines() {
   m_listing = true;
   m_list_soon = false;
   const base::TimePoint asked_at = m_loop.GetClock().Now();
@@ -194,8 +194,8 @@
       }));
 }
 
-void MachineKeeper::Listed(std::vector<Machine> machines,
-                           base::TimePoint asked_at) {
+void MachineController::Listed(std::vector<Machine> machines,
+                               base::TimePoint asked_at) {
   for (auto& [name, known] : m_machines) {
     known.listed = false;
   }
@@ -209,7 +209,7 @@
   EndLostLives(asked_at);
 }
 
-void MachineKeeper::Settle(Known& known, base::TimePoint asked_at) {
+void MachineController::Settle(Known& known, base::TimePoint asked_at) {
   if (known.pending == Pending::kNone) {
     return;
   }
@@ -223,7 +223,7 @@
   }
 }
 
-void MachineKeeper::EndLostLives(base::TimePoint asked_at) {
+void MachineController::EndLostLives(base::TimePoint asked_at) {
   std::vector<jobs::WorkerId> lost;
   for (const auto& [id, worker] : m_scheduler.Workers()) {
     // One that answers is alive, whatever the list says.
@@ -251,14 +251,14 @@
   }
 }
 
-const jobs::WorkerState* MachineKeeper::WorkerOf(const Known& known) const {
+const jobs::WorkerState* MachineController::WorkerOf(const Known& known) const {
   // The workers' own list is newer than that of the machines.
   return m_scheduler.FindWorkerOnMachine(known.machine.name);
 }
 
-void MachineKeeper::SetCordoned(Known& known,
-                                bool cordoned,
-                                base::TimePoint now) {
+void MachineController::SetCordoned(Known& known,
+                                    bool cordoned,
+                                    base::TimePoint now) {
   known.cordoned = cordoned;
   known.cordoned_at = now;
   if (const jobs::WorkerState* worker = WorkerOf(known)) {
@@ -266,9 +266,9 @@
   }
 }
 
-void MachineKeeper::RunWave(Wave& wave,
-                            const PoolLoads& pools,
-                            base::TimePoint now) {
+void MachineController::RunWave(Wave& wave,
+                                const PoolLoads& pools,
+                                base::TimePoint now) {
   if (wave.done) {
     if (!wave.done_stored && !wave.storing) {
       StoreWave(wave, true);
@@ -290,7 +290,7 @@
     machine.name = name;
     machine.begun = wave.begun[name];
     machine.down = known.pending == Pending::kMaintain ||
-                   known.machine.state == MachineState::kUpkeep;
+                   known.machine.state == MachineState::kMaintenance;
     machine.busy = known.machine.state != MachineState::kUp ||
                    known.pending == Pending::kMove || now < known.retry_at ||
                    !MayOrder(name);
@@ -341,18 +341,18 @@
   }
 }
 
-Row MachineKeeper::RowOf(const Wave& wave) {
+Row MachineController::RowOf(const Wave& wave) {
   std::string lines;
   for (const std::string& machine : wave.ordered) {
     const auto begun = wave.begun.find(machine);
     const bool has_begun = begun != wave.begun.end() && begun->second;
     lines += machine + " " + (has_begun ? kBegun : kOrderedOnly) + "\n";
   }
-  return {kMachineTable,    kOfficePart, std::to_string(wave.request.wave),
+  return {kMachineTable,    kLeaderPart, std::to_string(wave.request.wave),
           std::move(lines), 0,           false};
 }
 
-void MachineKeeper::Maintain(Wave& wave, Known& known) {
+void MachineController::Maintain(Wave& wave, Known& known) {
   const std::uint64_t number = wave.request.wave;
   const std::string name = known.machine.name;
   known.pending = Pending::kMaintain;
@@ -371,9 +371,9 @@
          [this, number, name] { SendMaintain(number, name, true); });
 }
 
-void MachineKeeper::SendMaintain(std::uint64_t number,
-                                 const std::string& name,
-                                 bool first) {
+void MachineController::SendMaintain(std::uint64_t number,
+                                     const std::string& name,
+                                     bool first) {
   m_machines[name].ordered_at = m_loop.GetClock().Now();
   m_port.Maintain(
       name, number, {m_options.holder, m_fence},
@@ -401,7 +401,7 @@
       }));
 }
 
-void MachineKeeper::StoreWave(Wave& wave, bool done) {
+void MachineController::StoreWave(Wave& wave, bool done) {
   wave.storing = true;
   const std::uint64_t number = wave.request.wave;
   RowTransaction transaction;
@@ -419,7 +419,8 @@
       }));
 }
 
-void MachineKeeper::MoveMachines(const PoolLoads& loads, base::TimePoint now) {
+void MachineController::MoveMachines(const PoolLoads& loads,
+                                     base::TimePoint now) {
   std::map<std::string, jobs::PoolDemand> pools;
   for (const auto& [service, load] : loads) {
     jobs::PoolDemand& demand = pools[service];
@@ -471,7 +472,7 @@
   }
 }
 
-void MachineKeeper::LogLoads(const PoolLoads& loads) {
+void MachineController::LogLoads(const PoolLoads& loads) {
   const auto list = [](const jobs::Resources& value) {
     return nlohmann::json{value.cpu, value.memory, value.gpus};
   };
@@ -490,7 +491,7 @@
   }
 }
 
-void MachineKeeper::Move(Known& known, const jobs::MachineMove& move) {
+void MachineController::Move(Known& known, const jobs::MachineMove& move) {
   known.pending = Pending::kMove;
   known.answered = false;
   known.ordered_at = m_loop.GetClock().Now();
@@ -501,7 +502,7 @@
   Record(move.machine, {}, [this, move] { SendMove(move); });
 }
 
-void MachineKeeper::SendMove(const jobs::MachineMove& move) {
+void MachineController::SendMove(const jobs::MachineMove& move) {
   m_port.Move(move.machine, move.to, {m_options.holder, m_fence},
               m_lifetime.Guard([this, move](MachineOrderResult result) {
                 Known& machine = m_machines[move.machine];
--- a/src/cassiastile/host/peer_client.cpp
+++ b/src/cassiastile/host/peer_client.cpp
@@ -57,11 +57,11 @@
 }  // namespace
 
 void PeerClient::Greet(const std::string& endpoint,
-                       const Greeting& greeting,
-                       Done<Greeting> done) {
+                       const GossipMessage& greeting,
+                       Done<GossipMessage> done) {
   m_client.Start(
       MakeCall(endpoint, kGreetPath, Encode(greeting), kGreetTimeout),
-      Complete(std::move(done), DecodeGreeting));
+      Complete(std::move(done), DecodeGossipMessage));
 }
 
 void PeerClient::Ask(const std::string& endpoint,
@@ -76,8 +76,8 @@
                const wire::HttpRequest& request,
                const wire::HttpResponder& respond) {
   if (request.path == kGreetPath) {
-    const auto greeting = DecodeGreeting(request.body);
-    respond(greeting ? Answer(kOk, Encode(node.Greeted(*greeting)))
+    const auto greeting = DecodeGossipMessage(request.body);
+    respond(greeting ? Answer(kOk, Encode(node.HandleGossip(*greeting)))
                      : Answer(kBadRequest, greeting.error().message));
   } else if (request.path == kAskPath) {
     const auto job = DecodeJobRequest(request.body);
--- a/src/cassiastile/host/peer_message.cpp
+++ b/src/cassiastile/host/peer_message.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-std::string Encode(const Greeting& message) {
+std::string Encode(const GossipMessage& message) {
   return EncodeMessage(message);
 }
 
@@ -46,12 +46,12 @@
   return EncodeMessage(message);
 }
 
-std::string Encode(const OfficeRecord& record) {
+std::string Encode(const LeaderRecord& record) {
   return EncodeMessage(record);
 }
 
-base::Result<Greeting> DecodeGreeting(const std::string& bytes) {
-  return DecodeMessage<Greeting>(bytes);
+base::Result<GossipMessage> DecodeGossipMessage(const std::string& bytes) {
+  return DecodeMessage<GossipMessage>(bytes);
 }
 
 base::Result<JobRequest> DecodeJobRequest(const std::string& bytes) {
@@ -62,8 +62,8 @@
   return DecodeMessage<JobAnswer>(bytes);
 }
 
-base::Result<OfficeRecord> DecodeOfficeRecord(const std::string& bytes) {
-  return DecodeMessage<OfficeRecord>(bytes);
+base::Result<LeaderRecord> DecodeLeaderRecord(const std::string& bytes) {
+  return DecodeMessage<LeaderRecord>(bytes);
 }
 
 }  // namespace cassiastile::host
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -427,7 +427,7 @@
         return;
       }
       machine.waves.insert(wave);
-      Restart(machine, MachineState::kUpkeep, kUpkeepTime, machine.pool);
+      Restart(machine, MachineState::kMaintenance, kUpkeepTime, machine.pool);
       done(MachineOrderResult::kDone);
     });
   }
@@ -463,8 +463,8 @@
   WorldPeers(VirtualWorld& world, HostLoop& loop)
       : m_world(world), m_loop(loop) {}
   void Greet(const std::string& endpoint,
-             const Greeting& greeting,
-             Done<Greeting> done) override;
+             const GossipMessage& greeting,
+             Done<GossipMessage> done) override;
   void Ask(const std::string& endpoint,
            const JobRequest& request,
            milliseconds timeout,
@@ -513,7 +513,7 @@
              loop,
              log,
              MakeSettings(world.m_options, index),
-             FrontFormat{
+             JobFrontendFormat{
                  .key_header = "Key",
                  .timeout_header = "Timeout",
                  .encode_state =
@@ -549,13 +549,13 @@
 };
 
 void WorldPeers::Greet(const std::string& endpoint,
-                       const Greeting& greeting,
-                       Done<Greeting> done) {
+                       const GossipMessage& greeting,
+                       Done<GossipMessage> done) {
   done = m_loop.Guard(std::move(done));
   m_world.Post(kCallLatency, [this, endpoint, greeting, done] {
     for (const auto& host : m_world.m_hosts) {
       if (host && host->name + ":1" == endpoint) {
-        const Greeting answer = host->node.Greeted(greeting);
+        const GossipMessage answer = host->node.HandleGossip(greeting);
         m_world.m_configs_from_peers += answer.config.empty() ? 0 : 1;
         m_world.Post(kCallLatency, [done, answer] { done(answer); });
         return;
@@ -598,7 +598,7 @@
 
 VirtualWorld::VirtualWorld(WorldOptions options)
     : m_options(options), m_random(options.seed) {
-  ChangeConfig();
+  PublishNextConfig();
   std::size_t number = 0;
   const auto add = [this, &number](const std::string& pool) {
     const std::string name = fmt::format("machine-{:03}", number++);
@@ -886,18 +886,18 @@
   return m_log_text;
 }
 
-std::optional<std::size_t> VirtualWorld::Holder() const {
+std::optional<std::size_t> VirtualWorld::LeaderIndex() const {
   for (std::size_t i = 0; i < m_hosts.size(); ++i) {
-    if (m_hosts[i] && m_hosts[i]->node.Office() != nullptr &&
-        m_hosts[i]->node.Office()->IsServing()) {
+    if (m_hosts[i] && m_hosts[i]->node.LeaderDispatcher() != nullptr &&
+        m_hosts[i]->node.LeaderDispatcher()->IsServing()) {
       return i;
     }
   }
   return std::nullopt;
 }
 
-const jobs::Scheduler& VirtualWorld::SchedulerOfHolder() const {
-  return m_hosts[*Holder()]->node.Office()->GetScheduler();
+const jobs::Scheduler& VirtualWorld::LeaderScheduler() const {
+  return m_hosts[*LeaderIndex()]->node.LeaderDispatcher()->GetScheduler();
 }
 
 void VirtualWorld::CrashWorker(const std::string& id, milliseconds down) {
@@ -922,7 +922,7 @@
   return ids;
 }
 
-void VirtualWorld::ChangeConfig() {
+void VirtualWorld::PublishNextConfig() {
   m_config_version += 2;
   RowTransaction transaction;
   transaction.puts.push_back(
@@ -931,8 +931,8 @@
   Apply(transaction);
 }
 
-void VirtualWorld::AskForWave(const std::vector<std::string>& machines,
-                              std::uint32_t max_down) {
+void VirtualWorld::RequestWave(const std::vector<std::string>& machines,
+                               std::uint32_t max_down) {
   std::string text = fmt::format("1 {}", max_down);
   for (const std::string& machine : machines) {
     text += " " + machine;
--- a/src/cassiastile/host/virtual_world_bench.hpp
+++ b/src/cassiastile/host/virtual_world_bench.hpp
@@ -82,15 +82,15 @@
   void KillHost(std::size_t index);
   void StartHost(std::size_t index);
   void StopHost(std::size_t index);
-  std::optional<std::size_t> Holder() const;
+  std::optional<std::size_t> LeaderIndex() const;
   // There must be a holder.
-  const jobs::Scheduler& SchedulerOfHolder() const;
+  const jobs::Scheduler& LeaderScheduler() const;
   // Ends a worker's life; another begins on its machine after a time.
   void CrashWorker(const std::string& id, std::chrono::milliseconds down);
   std::vector<std::string> WorkerIds() const;
-  void ChangeConfig();
-  void AskForWave(const std::vector<std::string>& machines,
-                  std::uint32_t max_down);
+  void PublishNextConfig();
+  void RequestWave(const std::vector<std::string>& machines,
+                   std::uint32_t max_down);
   std::vector<std::string> MachineNames() const;
 
   WorldFaults& Faults() { return m_faults; }
--- a/src/cassiastile/jobs/scheduler_bench.cpp
+++ b/src/cassiastile/jobs/scheduler_bench.cpp
@@ -59,9 +59,10 @@
   entry.machine = "machine-" + id;
   entry.endpoint = id + ":1";
   entry.capacity = {kWorkerCpu, kWorkerMemory, 0};
-  const bool other_life = m_entries.contains(id) &&
-                          m_entries[id].id.incarnation_ms != incarnation_ms;
-  if (other_life) {
+  const bool other_incarnation =
+      m_entries.contains(id) &&
+      m_entries[id].id.incarnation_ms != incarnation_ms;
+  if (other_incarnation) {
     m_running.erase(id);
     m_ended.erase(id);
   }
--- a/src/cassiastile/jobs/scheduler_runs.cpp
+++ b/src/cassiastile/jobs/scheduler_runs.cpp
@@ -132,12 +132,12 @@
   }
   for (const WorkerEntry& entry : entries) {
     WorkerState& worker = m_workers[entry.id.id];
-    const bool other_life =
+    const bool other_incarnation =
         entry.id.incarnation_ms > worker.entry.id.incarnation_ms;
     if (entry.id.incarnation_ms < worker.entry.id.incarnation_ms) {
       continue;
     }
-    if (other_life) {
+    if (other_incarnation) {
       DropRunsOf(worker, entry.id.incarnation_ms, now);
       worker.has_reported = false;
       worker.last_end = 0;
--- a/src/cassiastile/soak/fleet.cpp
+++ b/src/cassiastile/soak/fleet.cpp
@@ -252,7 +252,7 @@
                   adapter::EncodeConfig(config), 0, false});
 }
 
-void Fleet::AskForWave() {
+void Fleet::RequestWave() {
   host::WaveRequest wave;
   wave.wave = ++m_wave;
   wave.due = std::chrono::seconds(20);
@@ -341,7 +341,7 @@
   }
   std::size_t down = 0;
   for (const auto& other : m_machines) {
-    down += other->state == host::MachineState::kUpkeep ? 1 : 0;
+    down += other->state == host::MachineState::kMaintenance ? 1 : 0;
   }
   if (down >= kWaveMaxDown) {
     m_watch.Violate(fmt::format("upkeep of {} begins while {} are down for it",
@@ -349,7 +349,7 @@
   }
   machine->upkeeps = wave;
   machine->keeps_id = false;
-  EndLife(*machine, host::MachineState::kUpkeep, kUpkeepTime);
+  EndLife(*machine, host::MachineState::kMaintenance, kUpkeepTime);
   return host::MachineOrderResult::kDone;
 }
 
@@ -381,7 +381,7 @@
       return;
     case Place::kOperators:
       if (fault.kind == FaultKind::kWave) {
-        AskForWave();
+        RequestWave();
       } else {
         WriteConfig();
       }
--- a/src/cassiastile/soak/fleet.hpp
+++ b/src/cassiastile/soak/fleet.hpp
@@ -81,7 +81,7 @@
   void StartProcess(Host& host);
   void WatchProcesses();
   void WriteConfig();
-  void AskForWave();
+  void RequestWave();
   void BeginLife(Machine& machine);
   void EndLife(Machine& machine,
                host::MachineState state,
