--- a/include/cassiastile/control/task_pump.hpp
+++ b/include/cassiastile/control/task_pump.hpp
@@ -107,7 +107,7 @@
   // Reads a task between two batches.
   void Read(std::string key, PumpCompletion completion);
 
-  void AskToLeave(const std::string& host);
+  void RequestEvacuation(const std::string& host);
   TaskPoolStatus Status() const;
 
  private:
--- a/include/cassiastile/control/task_service.hpp
+++ b/include/cassiastile/control/task_service.hpp
@@ -41,7 +41,7 @@
   void Stop();
 
   fleet::HostWork WorkOn(const std::string& host) const override;
-  void AskToLeave(const std::string& host) override;
+  void RequestEvacuation(const std::string& host) override;
 
   // One for each pool of the document that this process has heard of.
   std::vector<TaskPoolStatus> Status() const;
--- a/include/cassiastile/fleet/budget.hpp
+++ b/include/cassiastile/fleet/budget.hpp
@@ -17,9 +17,9 @@
   std::uint32_t planned = 0;   // Taken by waves, operators, moves, removals.
   std::uint32_t failed = 0;    // Failed hosts that nothing stands in for.
   std::uint32_t replaced = 0;  // Failed hosts that the spare stands in for.
-  std::uint32_t unseen = 0;    // Not in the row, yet not known to be up.
+  std::uint32_t unresponsive = 0;  // Not in the row, yet not known to be up.
 
-  std::uint32_t Out() const { return planned + failed + unseen; }
+  std::uint32_t Out() const { return planned + failed + unresponsive; }
   // Hosts that may be taken now; unplanned loss has come off first.
   std::uint32_t Free() const { return Out() < max_out ? max_out - Out() : 0; }
   // Hosts that are out beyond the budget.
@@ -31,13 +31,13 @@
 // the document no longer has has no budget to keep.
 BudgetCount CountBudget(const config::Pool* pool,
                         const PoolRecord& record,
-                        const std::set<std::string>& unseen);
+                        const std::set<std::string>& unresponsive);
 
 // "2 of 3 out: 1 planned, 1 failed, 0 replaced, 0 not answering".
 std::string Describe(const BudgetCount& count);
 
 // A host that could be given back to a pool that is short.
-struct GiveBackCandidate {
+struct UndrainCandidate {
   std::string host;
   HostRecord record;
   HostWork work;
@@ -46,8 +46,8 @@
 // The hosts to give back undrained when a pool misses more than its budget:
 // those that waves and moves are draining, the busiest first, as many as are
 // out in excess. Operators' own drains are left alone.
-std::vector<std::string> ChooseGiveBacks(
+std::vector<std::string> ChooseHostsToUndrain(
     const BudgetCount& count,
-    std::vector<GiveBackCandidate> candidates);
+    std::vector<UndrainCandidate> candidates);
 
 }  // namespace cassiastile::fleet
--- a/include/cassiastile/fleet/buffer.hpp
+++ b/include/cassiastile/fleet/buffer.hpp
@@ -37,9 +37,9 @@
 
 // The part of the work that waits longer than the deadline when `hosts` serve
 // the demand, given in hosts' worth of work, first come first served.
-double MissRatio(std::span<const double> demand,
-                 double hosts,
-                 const BufferOptions& options);
+double DeadlineMissRatio(std::span<const double> demand,
+                         double hosts,
+                         const BufferOptions& options);
 
 // The fewest hosts that carry the demand at the miss target.
 std::uint32_t HostsForDemand(std::span<const double> demand,
--- a/include/cassiastile/fleet/change.hpp
+++ b/include/cassiastile/fleet/change.hpp
@@ -48,7 +48,7 @@
 void ApplyChange(const Change& change, FleetState& state);
 
 // What takes a host out of service and by what right.
-struct TakeOrder {
+struct DrainRequest {
   OutReason reason = OutReason::kWave;
   std::string bound_for;      // For moves.
   std::string stands_in_for;  // For moves that replace a failed host.
@@ -58,18 +58,18 @@
   bool canary = false;
   // Rows of the other hosts in the rack: two pools' owners that take from one
   // rack at once can't both succeed.
-  std::vector<platform::Precondition> neighbours;
+  std::vector<platform::Precondition> rack_rows;
 };
 
 // Takes a host that is in service, if its pool's budget has room: the one way
 // by which planned work takes capacity. kConflict when the host is not in
 // service in this pool, kOverloaded when the budget has no room.
-base::Result<Change> TakeHost(const ChangeContext& context,
-                              const config::Pool* pool,
-                              const Stored<PoolRecord>& pool_record,
-                              const Stored<HostRecord>& host,
-                              const std::set<std::string>& unseen,
-                              const TakeOrder& order);
+base::Result<Change> StartHostDrain(const ChangeContext& context,
+                                    const config::Pool* pool,
+                                    const Stored<PoolRecord>& pool_record,
+                                    const Stored<HostRecord>& host,
+                                    const std::set<std::string>& unresponsive,
+                                    const DrainRequest& order);
 
 // Adds a host that the document names and no row has yet.
 Change RegisterHost(const ChangeContext& context,
@@ -79,7 +79,7 @@
 // Notes that a host failed by itself, with what was seen. A host that a wave
 // had in hand is noted in the wave's row as well, which halts the wave when
 // `halt` says so.
-struct FailureOrder {
+struct HostFailure {
   std::string evidence;
   std::optional<Stored<WaveRecord>> wave;
   bool halt = false;
@@ -87,7 +87,7 @@
 Change FailHost(const ChangeContext& context,
                 const Stored<PoolRecord>& pool_record,
                 const Stored<HostRecord>& host,
-                const FailureOrder& order);
+                const HostFailure& order);
 
 // Puts a drained host into its reboot, which has happened once the machine
 // counts more than `boots`. The wave that took it must not have changed, so
--- a/include/cassiastile/fleet/demand.hpp
+++ b/include/cassiastile/fleet/demand.hpp
@@ -13,9 +13,9 @@
 struct DemandOptions {
   // Demand is averaged over buckets longer than a round of bursts.
   std::chrono::seconds bucket{120};
-  std::uint32_t buckets = 5;  // Whole buckets that must agree.
-  double grow_above = 0.9;    // Of the pool's size, in every bucket.
-  double fill_to = 0.8;       // What a pool is filled to after a change.
+  std::uint32_t buckets = 5;        // Whole buckets that must agree.
+  double grow_above = 0.9;          // Of the pool's size, in every bucket.
+  double target_utilization = 0.8;  // What a pool is filled to after a change.
   double shrink_below = 0.6;  // Of the size after shrinking, in every bucket.
 };
 
@@ -35,8 +35,8 @@
 
 // How many hosts more (positive) or fewer (negative) the pool needs. Zero until
 // the shift has lasted over all buckets; then just as many as it needs.
-std::int32_t HostsToMove(const DemandHistory& history,
-                         std::uint32_t size,
-                         const DemandOptions& options);
+std::int32_t PoolSizeChange(const DemandHistory& history,
+                            std::uint32_t size,
+                            const DemandOptions& options);
 
 }  // namespace cassiastile::fleet
--- a/include/cassiastile/fleet/observer.hpp
+++ b/include/cassiastile/fleet/host_observer.hpp
@@ -13,19 +13,19 @@
 // Watches machines and counts, on this process's steady clock, for how long
 // hosts have been in their state. After a takeover the count starts anew, so
 // that no deadline comes too early. Not safe for use by several threads.
-class Observer {
+class HostObserver {
  public:
   // All that is passed in outlives the observer. The machine of a host in
   // service is asked about once in `interval`, that of another each time.
-  Observer(platform::Machines& machines,
-           const HostWorkSource& work,
-           const base::Clock& clock,
-           base::Duration interval);
+  HostObserver(platform::Machines& machines,
+               const HostWorkSource& work,
+               const base::Clock& clock,
+               base::Duration interval);
 
   HostObservation Observe(const HostRecord& host);
 
   // How long the host has been out of service; zero when it is in service.
-  base::Duration OutFor(const std::string& host) const;
+  base::Duration TimeOutOfService(const std::string& host) const;
 
   // Asks the machine again at the next look.
   void Forget(const std::string& host);
--- a/include/cassiastile/fleet/host_view.hpp
+++ b/include/cassiastile/fleet/host_view.hpp
@@ -55,7 +55,7 @@
   virtual ~HostWorkSource() = default;
   virtual HostWork WorkOn(const std::string& host) const = 0;
   // Asks that tasks which can be checkpointed leave the host.
-  virtual void AskToLeave(const std::string& host) = 0;
+  virtual void RequestEvacuation(const std::string& host) = 0;
 };
 
 }  // namespace cassiastile::fleet
--- a/include/cassiastile/fleet/progress.hpp
+++ b/include/cassiastile/fleet/progress.hpp
@@ -30,49 +30,49 @@
 };
 
 // What to do with a host next.
-struct Stay {};
-struct RebootIt {  // Commit that it reboots, then ask for it.
+struct NoAction {};
+struct BeginReboot {  // Commit that it reboots, then ask for it.
   std::uint64_t boots = 0;
   std::string cut;  // The work that is cut, where the document says so.
 };
-struct AskAgain {  // Repeat the request for the reboot.
+struct RetryReboot {  // Repeat the request for the reboot.
   std::uint64_t boots = 0;
 };
-struct ProbeIt {};
-struct ReturnIt {
+struct BeginProbe {};
+struct ReturnToService {
   std::string why;
 };
-struct MoveIt {};
-struct RemoveIt {};
-struct FailIt {
+struct MoveToPool {};
+struct RemoveFromFleet {};
+struct MarkFailed {
   std::string evidence;
 };
-struct NameOverdue {  // Work runs past the drain deadline and goes on.
+struct ReportOverdue {  // Work runs past the drain deadline and goes on.
   std::string evidence;
 };
 
-using HostStep = std::variant<Stay,
-                              RebootIt,
-                              AskAgain,
-                              ProbeIt,
-                              ReturnIt,
-                              MoveIt,
-                              RemoveIt,
-                              FailIt,
-                              NameOverdue>;
+using HostAction = std::variant<NoAction,
+                                BeginReboot,
+                                RetryReboot,
+                                BeginProbe,
+                                ReturnToService,
+                                MoveToPool,
+                                RemoveFromFleet,
+                                MarkFailed,
+                                ReportOverdue>;
 
 // The drain deadline that holds for a host, and whether work past it is cut.
-struct DrainRule {
+struct DrainPolicy {
   std::chrono::seconds deadline{3600};
   bool cut_at_deadline = false;
 };
 
 // The next step of one host. A host rebooted by a wave counts as back only once
 // its machine has booted again; one that an operator holds is left alone.
-HostStep NextStep(const HostRecord& host,
-                  const HostObservation& seen,
-                  const DrainRule& drain,
-                  const ProgressOptions& options);
+HostAction NextAction(const HostRecord& host,
+                      const HostObservation& seen,
+                      const DrainPolicy& drain,
+                      const ProgressOptions& options);
 
 // Whether a host that its row says is in service can be counted on.
 bool IsKnownUp(const HostObservation& seen);
--- a/include/cassiastile/fleet/reconciler.hpp
+++ b/include/cassiastile/fleet/reconciler.hpp
@@ -18,7 +18,7 @@
 #include "cassiastile/fleet/demand.hpp"
 #include "cassiastile/fleet/demand_source.hpp"
 #include "cassiastile/fleet/fleet_index.hpp"
-#include "cassiastile/fleet/observer.hpp"
+#include "cassiastile/fleet/host_observer.hpp"
 #include "cassiastile/fleet/progress.hpp"
 #include "cassiastile/fleet/state.hpp"
 #include "cassiastile/fleet/wave_change.hpp"
@@ -42,9 +42,9 @@
   // next, so that waves, acts and stops don't wait for thousands of them.
   std::size_t registrations_per_round = 32;
   // What a wave's host takes until it has been measured.
-  std::chrono::seconds assumed_service{900};
+  std::chrono::seconds assumed_maintenance_time{900};
   // The drain of a host that moves or goes for good.
-  DrainRule default_drain;
+  DrainPolicy default_drain;
 };
 
 // What a reconciler works with; all of it outlives the reconciler.
@@ -85,13 +85,13 @@
   base::Result<void> DrainHost(const std::string& host,
                                const std::string& actor,
                                const AuditAddition& audit);
-  base::Result<void> ReturnHostBy(const std::string& host,
-                                  const std::string& actor,
-                                  const AuditAddition& audit);
-  base::Result<void> ActOn(const std::string& wave,
-                           const std::string& actor,
-                           WaveAct act,
-                           const AuditAddition& audit);
+  base::Result<void> UndrainHost(const std::string& host,
+                                 const std::string& actor,
+                                 const AuditAddition& audit);
+  base::Result<void> ApplyWaveAction(const std::string& wave,
+                                     const std::string& actor,
+                                     WaveAction act,
+                                     const AuditAddition& audit);
 
   const FleetState& State() const { return m_state; }
 
@@ -99,18 +99,18 @@
   WaveForecast Forecast(const config::Wave& wave) const;
 
   // When running waves mean to drain hosts, as far as is known.
-  const std::map<std::string, base::TimePoint>& DrainTimes() const {
+  const std::map<std::string, base::TimePoint>& ExpectedDrainTimes() const {
     return m_drain_times;
   }
 
   // The rule that set how many hosts each wave took last, by wave and pool.
-  const std::map<std::string, std::map<std::string, std::string>>& Limits()
-      const {
+  const std::map<std::string, std::map<std::string, std::string>>&
+  LimitingRules() const {
     return m_limits;
   }
 
   // The hosts whose work runs past their drain deadline, and what runs.
-  const std::map<std::string, std::string>& Overdue() const {
+  const std::map<std::string, std::string>& OverdueDrains() const {
     return m_overdue;
   }
 
@@ -151,19 +151,19 @@
   bool FinishWaveIfDone(Round& round, const config::Wave& wave);
   bool LendFromSpare(Round& round);
   bool LendTo(Round& round, const config::Pool& pool);
-  bool LendHost(Round& round, const TakeOrder& order);
+  bool LendHost(Round& round, const DrainRequest& order);
   bool SendHome(Round& round);
   void SetDraining(const Round& round);
 
   base::Result<Change> PlanTake(const Round& round,
                                 const std::string& host,
-                                const TakeOrder& order) const;
+                                const DrainRequest& order) const;
   std::optional<Stored<WaveRecord>> WaveInHand(const HostRecord& host) const;
   std::optional<Stored<WaveRecord>> WaveToBlame(const HostRecord& host,
                                                 base::Duration in_state) const;
   std::vector<platform::Precondition> Neighbours(const std::string& host) const;
   WaveInput MakeWaveInput(const Round& round, const config::Wave& wave) const;
-  std::map<std::string, PoolRemainder> Remainders(
+  std::map<std::string, PoolWaveProgress> Remainders(
       const config::Wave& wave) const;
   void NoteDrainTimes(const Round& round, const WaveInput& input);
   void NoteService(const HostRecord& host);
@@ -180,7 +180,7 @@
   ReconcilerOptions m_options;
   base::Random m_random;
   StateReader m_reader;
-  Observer m_observer;
+  HostObserver m_observer;
   std::shared_ptr<const config::AcceptedFleet> m_document;
   FleetIndex m_index;
   FleetState m_state;
--- a/include/cassiastile/fleet/schedule.hpp
+++ b/include/cassiastile/fleet/schedule.hpp
@@ -19,7 +19,7 @@
 struct PoolSchedule {
   std::string pool;
   std::uint32_t hosts = 0;
-  std::uint32_t lanes = 0;  // Hosts out at once.
+  std::uint32_t concurrent_hosts = 0;  // Hosts out at once.
   base::WallTime start{};
   base::WallTime finish{};
   bool in_cycle = true;  // Whether all hosts are done within the cycle.
--- a/include/cassiastile/fleet/wave_plan.hpp
+++ b/include/cassiastile/fleet/wave_plan.hpp
@@ -23,7 +23,7 @@
 };
 
 // A rack by its zone and name; a host without one stands alone.
-std::string RackOf(const config::Host& host);
+std::string RackKey(const config::Host& host);
 
 // What one wave's next step in one pool is decided from.
 struct WaveInput {
@@ -68,7 +68,7 @@
                     const std::string& host);
 
 // What one pool has left of a wave.
-struct PoolRemainder {
+struct PoolWaveProgress {
   std::uint32_t total = 0;
   std::uint32_t done = 0;
   std::uint32_t left_out = 0;  // Failed or held by an operator.
@@ -88,7 +88,7 @@
 // When the wave ends if all goes on as it is, at `service` a host; `measured`
 // says whether that time was learnt in this run.
 WaveForecast ForecastWave(const config::Wave& wave,
-                          const std::vector<PoolRemainder>& pools,
+                          const std::vector<PoolWaveProgress>& pools,
                           std::chrono::seconds service,
                           bool measured,
                           base::WallTime now);
--- a/include/cassiastile/work/task_shard.hpp
+++ b/include/cassiastile/work/task_shard.hpp
@@ -132,7 +132,7 @@
   PollAnswer Answer(const WorkerPoll& poll) const;
 
   // Asks that tasks which can be checkpointed leave a host.
-  void AskToLeave(const std::string& host, base::TimePoint now);
+  void RequestEvacuation(const std::string& host, base::TimePoint now);
   fleet::HostWork WorkOn(const std::string& host, base::TimePoint now) const;
 
   const TaskEntry* Find(const std::string& key) const;
--- a/src/bin/measure_fleet.cpp
+++ b/src/bin/measure_fleet.cpp
@@ -171,8 +171,8 @@
     m_halted = wave.state == fleet::WaveState::kHalted ? m_halted + seconds(1)
                                                        : seconds(0);
     if (m_halted > m_case.resume_after) {
-      static_cast<void>(
-          m_reconciler.ActOn("wave", "anna", fleet::WaveAct::kResume, {}));
+      static_cast<void>(m_reconciler.ApplyWaveAction(
+          "wave", "anna", fleet::WaveAction::kResume, {}));
     }
   }
 
@@ -269,8 +269,8 @@
       const auto next = demand.subspan(i * hour, hour);
       const std::uint32_t hosts = fleet::HostsForDemand(next, options);
       held += hosts - mean;
-      missed +=
-          fleet::MissRatio(next, hosts, options) / static_cast<double>(hours);
+      missed += fleet::DeadlineMissRatio(next, hosts, options) /
+                static_cast<double>(hours);
     }
     if (missed <= misses) {
       least = std::min(least, held);
@@ -305,9 +305,10 @@
     const auto next = all.subspan(hour * kHour, kHour);
     const fleet::BufferPlan plan = fleet::PlanBuffer(seen, options);
     held += plan.for_demand - kMean;
-    held_misses += fleet::MissRatio(next, plan.for_demand, options) / kHours;
+    held_misses +=
+        fleet::DeadlineMissRatio(next, plan.for_demand, options) / kHours;
     fixed_misses +=
-        fleet::MissRatio(next, kMean * kFixedSpare, options) / kHours;
+        fleet::DeadlineMissRatio(next, kMean * kFixedSpare, options) / kHours;
   }
   const double least =
       LeastBuffer(all.subspan(kHour), kHour, kMean, held_misses);
@@ -347,7 +348,7 @@
   base::TimePoint now{};
   for (const double sample : demand) {
     history = fleet::AddDemand(std::move(history), sample, now, options);
-    const std::int32_t shift = fleet::HostsToMove(history, size, options);
+    const std::int32_t shift = fleet::PoolSizeChange(history, size, options);
     size = static_cast<std::uint32_t>(static_cast<std::int32_t>(size) + shift);
     count.moves += static_cast<std::uint32_t>(std::abs(shift));
     late.Add(sample, size);
--- a/src/cassiastile/control/control_host.cpp
+++ b/src/cassiastile/control/control_host.cpp
@@ -31,8 +31,8 @@
   fleet::HostWork WorkOn(const std::string& host) const override {
     return m_source->WorkOn(host);
   }
-  void AskToLeave(const std::string& host) override {
-    m_source->AskToLeave(host);
+  void RequestEvacuation(const std::string& host) override {
+    m_source->RequestEvacuation(host);
   }
 
  private:
--- a/src/cassiastile/control/pool_acts.cpp
+++ b/src/cassiastile/control/pool_acts.cpp
@@ -67,7 +67,7 @@
   next.entry = {"host " + host + " " + act, actor, m_ports.clock.WallNow(), ""};
   next.run = [this, host, actor, drain](const fleet::AuditAddition& audit) {
     return drain ? m_reconciler.DrainHost(host, actor, audit)
-                 : m_reconciler.ReturnHostBy(host, actor, audit);
+                 : m_reconciler.UndrainHost(host, actor, audit);
   };
   next.answer = [this, host]() -> nlohmann::json {
     const fleet::HostRecord& record =
@@ -89,7 +89,7 @@
     return;
   }
   const std::string wave = request.path_parameters.at("wave");
-  const auto act = fleet::FindWaveAct(request.path_parameters.at("act"));
+  const auto act = fleet::FindWaveAction(request.path_parameters.at("act"));
   if (!act) {
     respond(wire::MakeErrorResponse(
         {base::ErrorCode::kNotFound,
@@ -101,7 +101,7 @@
   next.entry = {"wave " + wave + " " + std::string(fleet::NameOf(*act)), actor,
                 m_ports.clock.WallNow(), ""};
   next.run = [this, wave, actor, act](const fleet::AuditAddition& audit) {
-    return m_reconciler.ActOn(wave, actor, *act, audit);
+    return m_reconciler.ApplyWaveAction(wave, actor, *act, audit);
   };
   next.answer = [this, wave] {
     PoolSnapshot snapshot;
--- a/src/cassiastile/control/pool_service.cpp
+++ b/src/cassiastile/control/pool_service.cpp
@@ -134,9 +134,9 @@
   published->document = m_document;
   published->wall = m_ports.clock.WallNow();
   published->state = m_reconciler.State();
-  published->drain_times = m_reconciler.DrainTimes();
-  published->overdue = m_reconciler.Overdue();
-  published->limits = m_reconciler.Limits();
+  published->drain_times = m_reconciler.ExpectedDrainTimes();
+  published->overdue = m_reconciler.OverdueDrains();
+  published->limits = m_reconciler.LimitingRules();
   for (const config::Wave& wave : m_document->fleet.waves) {
     published->forecasts[wave.name] = m_reconciler.Forecast(wave);
   }
--- a/src/cassiastile/control/task_pump.cpp
+++ b/src/cassiastile/control/task_pump.cpp
@@ -56,7 +56,7 @@
   Push({std::nullopt, std::move(key), std::move(completion)});
 }
 
-void TaskPump::AskToLeave(const std::string& host) {
+void TaskPump::RequestEvacuation(const std::string& host) {
   const std::lock_guard lock(m_mutex);
   m_leave.insert(host);
 }
@@ -166,7 +166,7 @@
     leave.swap(m_leave);
   }
   for (const std::string& host : leave) {
-    m_owner.Shard().AskToLeave(host, now);
+    m_owner.Shard().RequestEvacuation(host, now);
   }
 }
 
--- a/src/cassiastile/control/task_service.cpp
+++ b/src/cassiastile/control/task_service.cpp
@@ -132,9 +132,9 @@
                                                      : not_known;
 }
 
-void TaskService::AskToLeave(const std::string& host) {
+void TaskService::RequestEvacuation(const std::string& host) {
   if (const auto pump = FindPump(PoolOfHost(host))) {
-    pump->AskToLeave(host);
+    pump->RequestEvacuation(host);
   }
 }
 
--- a/src/cassiastile/fleet/budget.cpp
+++ b/src/cassiastile/fleet/budget.cpp
@@ -12,13 +12,13 @@
 
 bool IsReplaced(const PoolRecord& record,
                 const OutEntry& entry,
-                const std::set<std::string>& unseen) {
+                const std::set<std::string>& unresponsive) {
   return !entry.replaced_by.empty() &&
          !record.out.contains(entry.replaced_by) &&
-         !unseen.contains(entry.replaced_by);
+         !unresponsive.contains(entry.replaced_by);
 }
 
-bool MayGiveBack(const GiveBackCandidate& candidate) {
+bool MayGiveBack(const UndrainCandidate& candidate) {
   const HostRecord& record = candidate.record;
   return record.state == HostState::kDraining &&
          (record.reason == OutReason::kWave ||
@@ -29,21 +29,21 @@
 
 BudgetCount CountBudget(const config::Pool* pool,
                         const PoolRecord& record,
-                        const std::set<std::string>& unseen) {
+                        const std::set<std::string>& unresponsive) {
   BudgetCount count;
   count.max_out = pool == nullptr ? std::numeric_limits<std::uint32_t>::max()
                                   : pool->budget.max_out;
   for (const auto& [host, entry] : record.out) {
     if (entry.reason != OutReason::kFailed) {
       ++count.planned;
-    } else if (IsReplaced(record, entry, unseen)) {
+    } else if (IsReplaced(record, entry, unresponsive)) {
       ++count.replaced;
     } else {
       ++count.failed;
     }
   }
-  count.unseen = static_cast<std::uint32_t>(std::count_if(
-      unseen.begin(), unseen.end(),
+  count.unresponsive = static_cast<std::uint32_t>(std::count_if(
+      unresponsive.begin(), unresponsive.end(),
       [&](const auto& host) { return !record.out.contains(host); }));
   return count;
 }
@@ -52,12 +52,12 @@
   return fmt::format(
       "{} of {} out: {} planned, {} failed, {} replaced, {} not answering",
       count.Out(), count.max_out, count.planned, count.failed, count.replaced,
-      count.unseen);
+      count.unresponsive);
 }
 
-std::vector<std::string> ChooseGiveBacks(
+std::vector<std::string> ChooseHostsToUndrain(
     const BudgetCount& count,
-    std::vector<GiveBackCandidate> candidates) {
+    std::vector<UndrainCandidate> candidates) {
   std::erase_if(candidates, [](const auto& it) { return !MayGiveBack(it); });
   std::sort(candidates.begin(), candidates.end(),
             [](const auto& left, const auto& right) {
@@ -67,7 +67,7 @@
                                 right.host);
             });
   std::vector<std::string> hosts;
-  for (const GiveBackCandidate& candidate : candidates) {
+  for (const UndrainCandidate& candidate : candidates) {
     if (hosts.size() >= count.Excess()) {
       break;
     }
--- a/src/cassiastile/fleet/buffer.cpp
+++ b/src/cassiastile/fleet/buffer.cpp
@@ -38,9 +38,9 @@
 
 }  // namespace
 
-double MissRatio(std::span<const double> demand,
-                 double hosts,
-                 const BufferOptions& options) {
+double DeadlineMissRatio(std::span<const double> demand,
+                         double hosts,
+                         const BufferOptions& options) {
   const auto seconds = static_cast<double>(options.sample.count());
   const auto deadline = static_cast<double>(options.deadline.count());
   double backlog = 0;  // In host seconds.
@@ -70,7 +70,7 @@
       std::ceil(*std::max_element(demand.begin(), demand.end())));
   while (low < high) {
     const std::uint32_t middle = (low + high) / 2;
-    if (MissRatio(demand, middle, options) <= options.miss_target) {
+    if (DeadlineMissRatio(demand, middle, options) <= options.miss_target) {
       high = middle;
     } else {
       low = middle + 1;
--- a/src/cassiastile/fleet/change.cpp
+++ b/src/cassiastile/fleet/change.cpp
@@ -64,7 +64,9 @@
                                      std::move(observation)});
 }
 
-void AddWave(Change& change, const TakeOrder& order, const std::string& host) {
+void AddWave(Change& change,
+             const DrainRequest& order,
+             const std::string& host) {
   if (!order.wave) {
     return;
   }
@@ -98,24 +100,24 @@
 
 }  // namespace
 
-base::Result<Change> TakeHost(const ChangeContext& context,
-                              const config::Pool* pool,
-                              const Stored<PoolRecord>& pool_record,
-                              const Stored<HostRecord>& host,
-                              const std::set<std::string>& unseen,
-                              const TakeOrder& order) {
+base::Result<Change> StartHostDrain(const ChangeContext& context,
+                                    const config::Pool* pool,
+                                    const Stored<PoolRecord>& pool_record,
+                                    const Stored<HostRecord>& host,
+                                    const std::set<std::string>& unresponsive,
+                                    const DrainRequest& order) {
   const std::string& name = host.record.host;
   if (host.record.pool != pool_record.record.pool ||
       host.record.state != HostState::kInService) {
     return base::Fail(base::ErrorCode::kConflict,
                       "The host " + name + " is not in service.");
   }
-  const BudgetCount count = CountBudget(pool, pool_record.record, unseen);
+  const BudgetCount count = CountBudget(pool, pool_record.record, unresponsive);
   // Counted with the host out: a stand-in that goes leaves the failed host
   // that it replaces uncovered.
   PoolRecord after = pool_record.record;
   after.out[name] = {order.reason, {}};
-  if (CountBudget(pool, after, unseen).Excess() > 0) {
+  if (CountBudget(pool, after, unresponsive).Excess() > 0) {
     return base::Fail(base::ErrorCode::kOverloaded,
                       "The budget of the pool " + host.record.pool +
                           " has no room: " + Describe(count) + ".");
@@ -123,7 +125,7 @@
   Change change = StartChange(context, name, "draining");
   change.preconditions.push_back(context.head);
   change.preconditions.insert(change.preconditions.end(),
-                              order.neighbours.begin(), order.neighbours.end());
+                              order.rack_rows.begin(), order.rack_rows.end());
   Explain(change, context, "budget", "pools", Describe(count));
   Explain(change, context, std::string(NameOf(order.reason)), "waves",
           order.detail);
@@ -162,7 +164,7 @@
 Change FailHost(const ChangeContext& context,
                 const Stored<PoolRecord>& pool_record,
                 const Stored<HostRecord>& host,
-                const FailureOrder& order) {
+                const HostFailure& order) {
   const std::string& name = host.record.host;
   Change change = StartChange(context, name, "failed");
   Explain(change, context, "failure", "", order.evidence);
--- a/src/cassiastile/fleet/demand.cpp
+++ b/src/cassiastile/fleet/demand.cpp
@@ -9,7 +9,7 @@
 
 std::uint32_t SizeFor(double demand, const DemandOptions& options) {
   return static_cast<std::uint32_t>(
-      std::ceil(std::max(demand, 0.0) / options.fill_to));
+      std::ceil(std::max(demand, 0.0) / options.target_utilization));
 }
 
 }  // namespace
@@ -35,9 +35,9 @@
   return history;
 }
 
-std::int32_t HostsToMove(const DemandHistory& history,
-                         std::uint32_t size,
-                         const DemandOptions& options) {
+std::int32_t PoolSizeChange(const DemandHistory& history,
+                            std::uint32_t size,
+                            const DemandOptions& options) {
   if (history.means.size() < options.buckets) {
     return 0;
   }
--- a/src/cassiastile/fleet/fake_fleet.hpp
+++ b/src/cassiastile/fleet/fake_fleet.hpp
@@ -303,7 +303,9 @@
     const auto found = work.find(host);
     return found == work.end() ? HostWork{} : found->second;
   }
-  void AskToLeave(const std::string& host) override { asked.insert(host); }
+  void RequestEvacuation(const std::string& host) override {
+    asked.insert(host);
+  }
 
   std::map<std::string, HostWork> work;
   std::set<std::string> asked;
@@ -378,7 +380,8 @@
   void Start(Reconciler& reconciler) {
     Round(reconciler);
     static_cast<void>(reconciler.Refresh(document));
-    static_cast<void>(reconciler.ActOn("wave", "anna", WaveAct::kStart, {}));
+    static_cast<void>(
+        reconciler.ApplyWaveAction("wave", "anna", WaveAction::kStart, {}));
   }
 
   WaveRecord Wave() { return FindWaveRecord(table.State(), "wave").record; }
--- a/src/cassiastile/fleet/fake_race.hpp
+++ b/src/cassiastile/fleet/fake_race.hpp
@@ -144,16 +144,19 @@
         static_cast<void>(m_second.DrainHost(HostName(pick), "anna", {}));
         return;
       case Event::kOperatorReturns:
-        static_cast<void>(m_second.ReturnHostBy(HostName(pick), "anna", {}));
+        static_cast<void>(m_second.UndrainHost(HostName(pick), "anna", {}));
         return;
       case Event::kWaveStarts:
-        static_cast<void>(m_second.ActOn("wave", "anna", WaveAct::kStart, {}));
+        static_cast<void>(
+            m_second.ApplyWaveAction("wave", "anna", WaveAction::kStart, {}));
         return;
       case Event::kWavePauses:
-        static_cast<void>(m_second.ActOn("wave", "anna", WaveAct::kPause, {}));
+        static_cast<void>(
+            m_second.ApplyWaveAction("wave", "anna", WaveAction::kPause, {}));
         return;
       case Event::kWaveAborts:
-        static_cast<void>(m_second.ActOn("wave", "anna", WaveAct::kAbort, {}));
+        static_cast<void>(
+            m_second.ApplyWaveAction("wave", "anna", WaveAction::kAbort, {}));
         return;
       default:
         return;
--- a/src/cassiastile/fleet/fleet_index.cpp
+++ b/src/cassiastile/fleet/fleet_index.cpp
@@ -11,7 +11,7 @@
     index.pools.emplace(pool.name, &pool);
     for (const config::Host& host : pool.hosts) {
       index.hosts.emplace(host.name, DeclaredHost{&pool, &host, position});
-      index.racks[RackOf(host)].push_back(host.name);
+      index.racks[RackKey(host)].push_back(host.name);
       ++position;
     }
   }
--- a/src/cassiastile/fleet/observer.cpp
+++ b/src/cassiastile/fleet/host_observer.cpp
@@ -1,17 +1,17 @@
-#include "cassiastile/fleet/observer.hpp"
+#include "cassiastile/fleet/host_observer.hpp"
 
 namespace cassiastile::fleet {
 
-Observer::Observer(platform::Machines& machines,
-                   const HostWorkSource& work,
-                   const base::Clock& clock,
-                   base::Duration interval)
+HostObserver::HostObserver(platform::Machines& machines,
+                           const HostWorkSource& work,
+                           const base::Clock& clock,
+                           base::Duration interval)
     : m_machines(machines),
       m_work(work),
       m_clock(clock),
       m_interval(interval) {}
 
-HostObservation Observer::Observe(const HostRecord& host) {
+HostObservation HostObserver::Observe(const HostRecord& host) {
   const base::TimePoint now = m_clock.Now();
   const auto [found, added] = m_watched.try_emplace(host.host);
   Watched& watched = found->second;
@@ -36,7 +36,7 @@
   return seen;
 }
 
-base::Duration Observer::OutFor(const std::string& host) const {
+base::Duration HostObserver::TimeOutOfService(const std::string& host) const {
   const auto found = m_watched.find(host);
   if (found == m_watched.end() ||
       found->second.state == HostState::kInService) {
@@ -45,16 +45,16 @@
   return m_clock.Now() - found->second.out_since;
 }
 
-void Observer::Forget(const std::string& host) {
+void HostObserver::Forget(const std::string& host) {
   const auto found = m_watched.find(host);
   if (found != m_watched.end()) {
     found->second.known = false;
   }
 }
 
-void Observer::Ask(const std::string& host,
-                   Watched& watched,
-                   base::TimePoint now) {
+void HostObserver::Ask(const std::string& host,
+                       Watched& watched,
+                       base::TimePoint now) {
   const auto status = m_machines.Status(host);
   watched.last = {};
   watched.asked = now;
--- a/src/cassiastile/fleet/planning_test.cpp
+++ b/src/cassiastile/fleet/planning_test.cpp
@@ -47,8 +47,9 @@
   const std::uint32_t hosts = HostsForDemand(demand, {});
   EXPECT_GT(hosts, 10U);
   EXPECT_LT(hosts, 25U);
-  EXPECT_LE(MissRatio(demand, hosts, {}), BufferOptions().miss_target);
-  EXPECT_GT(MissRatio(demand, hosts - 1, {}), BufferOptions().miss_target);
+  EXPECT_LE(DeadlineMissRatio(demand, hosts, {}), BufferOptions().miss_target);
+  EXPECT_GT(DeadlineMissRatio(demand, hosts - 1, {}),
+            BufferOptions().miss_target);
 }
 
 TEST(BufferTest, TighterDeadlineNeedsMore) {
--- a/src/cassiastile/fleet/progress.cpp
+++ b/src/cassiastile/fleet/progress.cpp
@@ -39,96 +39,97 @@
                      seen.status ? seen.status->running_requests : 0);
 }
 
-HostStep StepInService(const HostObservation& seen) {
+HostAction StepInService(const HostObservation& seen) {
   if (IsDown(seen)) {
-    return FailIt{DescribeMachine(seen)};
+    return MarkFailed{DescribeMachine(seen)};
   }
   if (seen.status && seen.status->state == MachineState::kRebooting) {
-    return FailIt{"the machine reboots without having been asked to"};
+    return MarkFailed{"the machine reboots without having been asked to"};
   }
-  return Stay{};
+  return NoAction{};
 }
 
-HostStep StepDrained(const HostRecord& host,
-                     const HostObservation& seen,
-                     std::string cut) {
+HostAction StepDrained(const HostRecord& host,
+                       const HostObservation& seen,
+                       std::string cut) {
   switch (host.reason.value_or(OutReason::kOperator)) {
     case OutReason::kWave:
-      return RebootIt{seen.status->boots, std::move(cut)};
+      return BeginReboot{seen.status->boots, std::move(cut)};
     case OutReason::kMoving:
-      return MoveIt{};
+      return MoveToPool{};
     case OutReason::kRemoving:
-      return RemoveIt{};
+      return RemoveFromFleet{};
     case OutReason::kOperator:
     case OutReason::kFailed:
-      return Stay{};
+      return NoAction{};
   }
-  return Stay{};
+  return NoAction{};
 }
 
-HostStep StepDraining(const HostRecord& host,
-                      const HostObservation& seen,
-                      const DrainRule& drain) {
+HostAction StepDraining(const HostRecord& host,
+                        const HostObservation& seen,
+                        const DrainPolicy& drain) {
   if (host.reason == OutReason::kOperator) {
-    return Stay{};
+    return NoAction{};
   }
   if (IsDown(seen)) {
-    return FailIt{DescribeMachine(seen) + " while it drained"};
+    return MarkFailed{DescribeMachine(seen) + " while it drained"};
   }
   if (IsDrained(seen)) {
     return StepDrained(host, seen, {});
   }
   if (!seen.status || seen.in_state <= drain.deadline) {
-    return Stay{};
+    return NoAction{};
   }
   if (drain.cut_at_deadline && seen.status->draining) {
     return StepDrained(host, seen, DescribeWork(seen));
   }
-  return NameOverdue{DescribeWork(seen) + " past the drain deadline"};
+  return ReportOverdue{DescribeWork(seen) + " past the drain deadline"};
 }
 
-HostStep StepRebooting(const HostRecord& host,
-                       const HostObservation& seen,
-                       const ProgressOptions& options) {
+HostAction StepRebooting(const HostRecord& host,
+                         const HostObservation& seen,
+                         const ProgressOptions& options) {
   const std::uint64_t boots = host.boots.value_or(0);
   if (IsUp(seen) && seen.status->boots > boots) {
-    return ProbeIt{};
+    return BeginProbe{};
   }
   if (seen.in_state > options.reboot_timeout) {
-    return FailIt{
+    return MarkFailed{
         fmt::format("not back {} s after its reboot was asked for: {}",
                     options.reboot_timeout.count(), DescribeMachine(seen))};
   }
-  return IsUp(seen) ? HostStep(AskAgain{boots}) : HostStep(Stay{});
+  return IsUp(seen) ? HostAction(RetryReboot{boots}) : HostAction(NoAction{});
 }
 
-HostStep StepProbing(const HostObservation& seen,
-                     const ProgressOptions& options) {
+HostAction StepProbing(const HostObservation& seen,
+                       const ProgressOptions& options) {
   if (!seen.status && !seen.machine_missing) {
-    return Stay{};
+    return NoAction{};
   }
   if (!IsUp(seen)) {
-    return FailIt{DescribeMachine(seen) + " while it was probed"};
+    return MarkFailed{DescribeMachine(seen) + " while it was probed"};
   }
   if (seen.in_state < options.probe_time) {
-    return Stay{};
+    return NoAction{};
   }
-  return ReturnIt{
+  return ReturnToService{
       fmt::format("up for {} ms of probing", options.probe_time.count())};
 }
 
-HostStep StepFailed(const HostRecord& host, const HostObservation& seen) {
+HostAction StepFailed(const HostRecord& host, const HostObservation& seen) {
   const bool booted =
       !host.boots || (seen.status && seen.status->boots > *host.boots);
-  return IsUp(seen) && booted ? HostStep(ProbeIt{}) : HostStep(Stay{});
+  return IsUp(seen) && booted ? HostAction(BeginProbe{})
+                              : HostAction(NoAction{});
 }
 
 }  // namespace
 
-HostStep NextStep(const HostRecord& host,
-                  const HostObservation& seen,
-                  const DrainRule& drain,
-                  const ProgressOptions& options) {
+HostAction NextAction(const HostRecord& host,
+                      const HostObservation& seen,
+                      const DrainPolicy& drain,
+                      const ProgressOptions& options) {
   switch (host.state) {
     case HostState::kInService:
       return StepInService(seen);
@@ -141,7 +142,7 @@
     case HostState::kFailed:
       return StepFailed(host, seen);
   }
-  return Stay{};
+  return NoAction{};
 }
 
 bool IsKnownUp(const HostObservation& seen) {
--- a/src/cassiastile/fleet/race_test.cpp
+++ b/src/cassiastile/fleet/race_test.cpp
@@ -166,14 +166,14 @@
   m_first.Tick("p0", std::nullopt);
   ASSERT_EQ(m_world.Host("p0-h0").state, HostState::kDraining);
   ReadBoth();
-  ASSERT_TRUE(m_second.ActOn("wave", "anna", WaveAct::kPause, {}));
+  ASSERT_TRUE(m_second.ApplyWaveAction("wave", "anna", WaveAction::kPause, {}));
   m_world.work.work.clear();
   m_first.Tick("p0", std::nullopt);
   EXPECT_TRUE(m_world.machines.reboots.empty());
 }
 
 TEST_F(RaceTest, PauseStopsATakeDecidedBefore) {
-  ASSERT_TRUE(m_second.ActOn("wave", "anna", WaveAct::kPause, {}));
+  ASSERT_TRUE(m_second.ApplyWaveAction("wave", "anna", WaveAction::kPause, {}));
   m_first.Tick("p0", std::nullopt);
   EXPECT_EQ(CountOut("p0"), 0U);
 }
--- a/src/cassiastile/fleet/reconciler.cpp
+++ b/src/cassiastile/fleet/reconciler.cpp
@@ -8,16 +8,16 @@
 namespace cassiastile::fleet {
 
 std::set<std::string> Reconciler::Round::Unseen(const FleetState& state) const {
-  std::set<std::string> unseen;
+  std::set<std::string> unresponsive;
   for (const auto& [host, observation] : seen) {
     const auto found = state.hosts.find(host);
     if (found != state.hosts.end() && found->second.record.pool == pool &&
         found->second.record.state == HostState::kInService &&
         !IsKnownUp(observation)) {
-      unseen.insert(host);
+      unresponsive.insert(host);
     }
   }
-  return unseen;
+  return unresponsive;
 }
 
 const std::vector<std::string>& Reconciler::Round::Members(
@@ -124,13 +124,13 @@
   if (count.Excess() == 0) {
     return true;
   }
-  std::vector<GiveBackCandidate> candidates;
+  std::vector<UndrainCandidate> candidates;
   for (const std::string& host : round.Members(m_state)) {
     candidates.push_back(
         {host, m_state.hosts.at(host).record, round.seen[host].work});
   }
   for (const std::string& host :
-       ChooseGiveBacks(count, std::move(candidates))) {
+       ChooseHostsToUndrain(count, std::move(candidates))) {
     const Stored<HostRecord>& stored = m_state.hosts.at(host);
     Change change = ReturnHost(
         round.context, FindPoolRecord(m_state, round.pool), stored,
@@ -153,7 +153,7 @@
     const HostRecord& record = found->second.record;
     const bool draining = record.state != HostState::kInService;
     if (record.state == HostState::kDraining) {
-      m_ports.work.AskToLeave(host);
+      m_ports.work.RequestEvacuation(host);
     }
     if (seen.status->draining != draining &&
         m_ports.machines.SetDraining(host, draining)) {
--- a/src/cassiastile/fleet/reconciler_hosts.cpp
+++ b/src/cassiastile/fleet/reconciler_hosts.cpp
@@ -14,14 +14,14 @@
             const Stored<HostRecord>& host)
       : m_reconciler(reconciler), m_round(round), m_host(host) {}
 
-  bool operator()(const Stay& /*step*/) const { return true; }
+  bool operator()(const NoAction& /*step*/) const { return true; }
 
-  bool operator()(const NameOverdue& step) const {
+  bool operator()(const ReportOverdue& step) const {
     m_reconciler.m_overdue[m_host.record.host] = step.evidence;
     return true;
   }
 
-  bool operator()(const RebootIt& step) const {
+  bool operator()(const BeginReboot& step) const {
     Change change =
         StartReboot(m_round.context, Pool(), m_host, Wave(), step.boots);
     if (!step.cut.empty()) {
@@ -32,30 +32,30 @@
     if (!m_reconciler.CommitIn(m_round, std::move(change))) {
       return false;
     }
-    return (*this)(AskAgain{step.boots});
+    return (*this)(RetryReboot{step.boots});
   }
 
-  bool operator()(const AskAgain& step) const {
+  bool operator()(const RetryReboot& step) const {
     // A conflict means that it has booted since, which the next look shows.
     static_cast<void>(
         m_reconciler.m_ports.machines.Reboot(m_host.record.host, step.boots));
     return true;
   }
 
-  bool operator()(const ProbeIt& /*step*/) const {
+  bool operator()(const BeginProbe& /*step*/) const {
     m_reconciler.NoteReboot(m_host.record,
                             m_round.seen[m_host.record.host].in_state);
     return m_reconciler.CommitIn(m_round,
                                  StartProbe(m_round.context, Pool(), m_host));
   }
 
-  bool operator()(const ReturnIt& step) const {
+  bool operator()(const ReturnToService& step) const {
     m_reconciler.NoteService(m_host.record);
     return m_reconciler.CommitIn(
         m_round, ReturnHost(m_round.context, Pool(), m_host, Wave(), step.why));
   }
 
-  bool operator()(const MoveIt& /*step*/) const {
+  bool operator()(const MoveToPool& /*step*/) const {
     const HostRecord& host = m_host.record;
     const Stored<PoolRecord> to =
         FindPoolRecord(m_reconciler.m_state, host.bound_for);
@@ -63,7 +63,7 @@
     const bool needless = !host.stands_in_for.empty() &&
                           !to.record.out.contains(host.stands_in_for);
     if (gone || needless) {
-      return (*this)(ReturnIt{"its move is no longer needed"});
+      return (*this)(ReturnToService{"its move is no longer needed"});
     }
     if (!m_round.may_take) {
       return true;
@@ -72,17 +72,17 @@
                                  MoveHost(m_round.context, Pool(), to, m_host));
   }
 
-  bool operator()(const RemoveIt& /*step*/) const {
+  bool operator()(const RemoveFromFleet& /*step*/) const {
     if (FindHost(m_reconciler.m_index, m_host.record.host) != nullptr) {
-      return (*this)(ReturnIt{"the document has it again"});
+      return (*this)(ReturnToService{"the document has it again"});
     }
     return !m_round.may_take ||
            m_reconciler.CommitIn(m_round,
                                  RemoveHost(m_round.context, Pool(), m_host));
   }
 
-  bool operator()(const FailIt& step) const {
-    FailureOrder order;
+  bool operator()(const MarkFailed& step) const {
+    HostFailure order;
     order.evidence = step.evidence;
     order.wave = m_reconciler.WaveToBlame(
         m_host.record, m_round.seen[m_host.record.host].in_state);
@@ -130,13 +130,13 @@
   if (stored.record.state == HostState::kDraining && ended) {
     return GiveBackFromWave(round, stored);
   }
-  DrainRule drain = m_options.default_drain;
+  DrainPolicy drain = m_options.default_drain;
   if (const config::Wave* declared =
           config::FindWave(m_document->fleet, stored.record.wave)) {
     drain = {declared->drain_deadline, declared->cut_at_deadline};
   }
-  const HostStep step =
-      NextStep(stored.record, round.seen[host], drain, m_options.progress);
+  const HostAction step =
+      NextAction(stored.record, round.seen[host], drain, m_options.progress);
   return std::visit(StepTaker(*this, round, stored), step);
 }
 
@@ -204,7 +204,7 @@
   if (host.record.state != HostState::kInService) {
     return true;
   }
-  TakeOrder order;
+  DrainRequest order;
   order.reason =
       declared != nullptr ? OutReason::kMoving : OutReason::kRemoving;
   order.bound_for = declared != nullptr ? declared->pool->name : "";
@@ -217,10 +217,10 @@
 
 base::Result<Change> Reconciler::PlanTake(const Round& round,
                                           const std::string& host,
-                                          const TakeOrder& order) const {
-  return TakeHost(round.context, round.declared,
-                  FindPoolRecord(m_state, round.pool), m_state.hosts.at(host),
-                  round.Unseen(m_state), order);
+                                          const DrainRequest& order) const {
+  return StartHostDrain(round.context, round.declared,
+                        FindPoolRecord(m_state, round.pool),
+                        m_state.hosts.at(host), round.Unseen(m_state), order);
 }
 
 }  // namespace cassiastile::fleet
--- a/src/cassiastile/fleet/reconciler_moves.cpp
+++ b/src/cassiastile/fleet/reconciler_moves.cpp
@@ -89,7 +89,7 @@
   DemandHistory& history = m_demand[pool];
   history = AddDemand(std::move(history), *demand, m_ports.clock.Now(),
                       m_options.demand);
-  return HostsToMove(history, CountMembers(m_state, pool), m_options.demand);
+  return PoolSizeChange(history, CountMembers(m_state, pool), m_options.demand);
 }
 
 bool Reconciler::LendFromSpare(Round& round) {
@@ -106,7 +106,7 @@
 
 bool Reconciler::LendTo(Round& round, const config::Pool& pool) {
   for (const std::string& failed : NeededStandIns(pool)) {
-    TakeOrder order;
+    DrainRequest order;
     order.reason = OutReason::kMoving;
     order.bound_for = pool.name;
     order.stands_in_for = failed;
@@ -119,7 +119,7 @@
   const std::int32_t under_way =
       CountLentForDemand(m_state, m_index, pool.name);
   for (std::int32_t i = under_way; i < shift; ++i) {
-    TakeOrder order;
+    DrainRequest order;
     order.reason = OutReason::kMoving;
     order.bound_for = pool.name;
     order.detail = fmt::format("the demand on {} has grown to stay", pool.name);
@@ -130,7 +130,7 @@
   return true;
 }
 
-bool Reconciler::LendHost(Round& round, const TakeOrder& order) {
+bool Reconciler::LendHost(Round& round, const DrainRequest& order) {
   const std::vector<std::string> members = round.Members(m_state);
   for (const std::string& host : members) {
     if (m_state.hosts.at(host).record.state != HostState::kInService ||
@@ -167,7 +167,7 @@
       continue;
     }
     surplus -= ended ? 0 : 1;
-    TakeOrder order;
+    DrainRequest order;
     order.reason = OutReason::kMoving;
     order.bound_for = declared->pool->name;
     order.detail = "no longer needed here; it goes back to the spare";
--- a/src/cassiastile/fleet/reconciler_acts.cpp
+++ b/src/cassiastile/fleet/reconciler_operator_actions.cpp
@@ -26,7 +26,7 @@
   }
   Round round = StartRound(found->second.record.pool, std::nullopt);
   round.context.actor = actor;
-  TakeOrder order;
+  DrainRequest order;
   order.reason = OutReason::kOperator;
   order.detail = "drained by " + actor;
   base::Result<Change> change = PlanTake(round, host, order);
@@ -36,9 +36,9 @@
   return CommitWith(std::move(*change), audit);
 }
 
-base::Result<void> Reconciler::ReturnHostBy(const std::string& host,
-                                            const std::string& actor,
-                                            const AuditAddition& audit) {
+base::Result<void> Reconciler::UndrainHost(const std::string& host,
+                                           const std::string& actor,
+                                           const AuditAddition& audit) {
   const auto found = m_state.hosts.find(host);
   if (found == m_state.hosts.end()) {
     return base::Fail(base::ErrorCode::kNotFound, "No such host: " + host);
@@ -57,15 +57,15 @@
       audit);
 }
 
-base::Result<void> Reconciler::ActOn(const std::string& wave,
-                                     const std::string& actor,
-                                     WaveAct act,
-                                     const AuditAddition& audit) {
+base::Result<void> Reconciler::ApplyWaveAction(const std::string& wave,
+                                               const std::string& actor,
+                                               WaveAction act,
+                                               const AuditAddition& audit) {
   if (config::FindWave(m_document->fleet, wave) == nullptr) {
     return base::Fail(base::ErrorCode::kNotFound, "No such wave: " + wave);
   }
-  base::Result<Change> change = ActOnWave(Context(actor, std::nullopt),
-                                          FindWaveRecord(m_state, wave), act);
+  base::Result<Change> change = TransitionWave(
+      Context(actor, std::nullopt), FindWaveRecord(m_state, wave), act);
   if (!change) {
     return tl::unexpected(change.error());
   }
--- a/src/cassiastile/fleet/reconciler_waves.cpp
+++ b/src/cassiastile/fleet/reconciler_waves.cpp
@@ -64,7 +64,7 @@
   if (declared == nullptr) {
     return rows;
   }
-  for (const std::string& other : m_index.racks.at(RackOf(*declared->host))) {
+  for (const std::string& other : m_index.racks.at(RackKey(*declared->host))) {
     const auto found = m_state.hosts.find(other);
     if (other != host && found != m_state.hosts.end()) {
       rows.push_back({HostKey(other), found->second.version});
@@ -87,7 +87,7 @@
       continue;
     }
     if (const DeclaredHost* declared = FindHost(m_index, host)) {
-      ++input.rack_out[RackOf(*declared->host)];
+      ++input.rack_out[RackKey(*declared->host)];
     }
   }
   for (const std::string& host : round.Members(m_state)) {
@@ -130,10 +130,10 @@
   const WaveStep step = PlanWaveStep(input);
   m_limits[wave.name][round.pool] = step.why;
   for (const std::string& host : step.take) {
-    TakeOrder order;
+    DrainRequest order;
     order.wave = m_state.waves.at(wave.name);
     order.canary = step.canary;
-    order.neighbours = Neighbours(host);
+    order.rack_rows = Neighbours(host);
     order.detail = fmt::format("next of the wave {}; {}", wave.name, step.why);
     base::Result<Change> change = PlanTake(round, host, order);
     if (!change) {
@@ -167,9 +167,9 @@
                              forecast.total, forecast.left_out)));
 }
 
-std::map<std::string, PoolRemainder> Reconciler::Remainders(
+std::map<std::string, PoolWaveProgress> Reconciler::Remainders(
     const config::Wave& wave) const {
-  std::map<std::string, PoolRemainder> remainders;
+  std::map<std::string, PoolWaveProgress> remainders;
   for (const std::string& pool : wave.pools) {
     const BudgetCount count = CountBudget(
         FindPool(m_index, pool), FindPoolRecord(m_state, pool).record, {});
@@ -193,7 +193,7 @@
 }
 
 WaveForecast Reconciler::Forecast(const config::Wave& wave) const {
-  std::vector<PoolRemainder> pools;
+  std::vector<PoolWaveProgress> pools;
   for (const auto& [pool, remainder] : Remainders(wave)) {
     pools.push_back(remainder);
   }
@@ -205,13 +205,13 @@
   for (const std::string& host : round.Members(m_state)) {
     m_drain_times.erase(host);
   }
-  const std::size_t lanes = std::max<std::size_t>(
+  const std::size_t concurrent_hosts = std::max<std::size_t>(
       std::min(input.wave->parallel, input.budget.max_out), 1);
   std::size_t position = 0;
   for (const WaveHost* host : OrderHosts(input)) {
     m_drain_times[host->host.name] =
         m_ports.clock.Now() +
-        ServiceTime(input.wave->name) * (position / lanes);
+        ServiceTime(input.wave->name) * (position / concurrent_hosts);
     ++position;
   }
 }
@@ -221,7 +221,7 @@
     return;
   }
   const auto took = std::chrono::duration_cast<std::chrono::seconds>(
-      m_observer.OutFor(host.host));
+      m_observer.TimeOutOfService(host.host));
   const auto [found, added] = m_service.try_emplace(host.wave, took);
   if (!added) {
     found->second += (took - found->second) / kServiceSmoothing;
@@ -254,7 +254,8 @@
 
 std::chrono::seconds Reconciler::ServiceTime(const std::string& wave) const {
   const auto found = m_service.find(wave);
-  return found == m_service.end() ? m_options.assumed_service : found->second;
+  return found == m_service.end() ? m_options.assumed_maintenance_time
+                                  : found->second;
 }
 
 }  // namespace cassiastile::fleet
--- a/src/cassiastile/fleet/schedule.cpp
+++ b/src/cassiastile/fleet/schedule.cpp
@@ -24,8 +24,8 @@
   return {};
 }
 
-std::uint64_t BatchesOf(std::size_t hosts, std::uint32_t lanes) {
-  return (hosts + lanes - 1) / lanes;
+std::uint64_t BatchesOf(std::size_t hosts, std::uint32_t concurrent_hosts) {
+  return (hosts + concurrent_hosts - 1) / concurrent_hosts;
 }
 
 // A pool with the fewest lanes that make it in the cycle, or as many as it may
@@ -46,14 +46,16 @@
     return fit;
   }
   const base::WallTime end = start + options.cycle;
-  for (fit.lanes = 1; fit.lanes <= most; ++fit.lanes) {
-    fit.finish = FinishOfBatches(
-        wave.window, start, BatchesOf(fit.hosts, fit.lanes), options.service);
+  for (fit.concurrent_hosts = 1; fit.concurrent_hosts <= most;
+       ++fit.concurrent_hosts) {
+    fit.finish = FinishOfBatches(wave.window, start,
+                                 BatchesOf(fit.hosts, fit.concurrent_hosts),
+                                 options.service);
     if (fit.finish <= end) {
       return fit;
     }
   }
-  fit.lanes = most;
+  fit.concurrent_hosts = most;
   fit.in_cycle = false;
   fit.note =
       fmt::format("with {} at once, {}, it takes until {}", most,
@@ -72,7 +74,7 @@
     const auto [first, last] = Range(pool, shift);
     std::uint32_t peak = 0;
     for (std::size_t hour = first; hour < last; ++hour) {
-      peak = std::max(peak, m_out[hour] + pool.lanes);
+      peak = std::max(peak, m_out[hour] + pool.concurrent_hosts);
     }
     return peak;
   }
@@ -80,7 +82,7 @@
   void Add(const PoolSchedule& pool) {
     const auto [first, last] = Range(pool, hours(0));
     for (std::size_t hour = first; hour < last; ++hour) {
-      m_out[hour] += pool.lanes;
+      m_out[hour] += pool.concurrent_hosts;
     }
   }
 
--- a/src/cassiastile/fleet/wave_change.cpp
+++ b/src/cassiastile/fleet/wave_change.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr std::array<base::EnumName<WaveAct>, 4> kActNames{{
-    {WaveAct::kStart, "start"},
-    {WaveAct::kPause, "pause"},
-    {WaveAct::kResume, "resume"},
-    {WaveAct::kAbort, "abort"},
+constexpr std::array<base::EnumName<WaveAction>, 4> kActNames{{
+    {WaveAction::kStart, "start"},
+    {WaveAction::kPause, "pause"},
+    {WaveAction::kResume, "resume"},
+    {WaveAction::kAbort, "abort"},
 }};
 
 // The states from which an act is possible, and where it leads.
@@ -23,16 +23,16 @@
   WaveState to;
 };
 
-Transition TransitionOf(WaveAct act) {
+Transition TransitionOf(WaveAction act) {
   using enum WaveState;
   switch (act) {
-    case WaveAct::kStart:
+    case WaveAction::kStart:
       return {{kPlanned, kFinished, kAborted}, kRunning};
-    case WaveAct::kPause:
+    case WaveAction::kPause:
       return {{kRunning}, kPaused};
-    case WaveAct::kResume:
+    case WaveAction::kResume:
       return {{kPaused, kHalted}, kRunning};
-    case WaveAct::kAbort:
+    case WaveAction::kAbort:
       return {{kRunning, kPaused, kHalted}, kAborted};
   }
   return {{}, kPlanned};
@@ -67,17 +67,17 @@
 
 }  // namespace
 
-std::string_view NameOf(WaveAct act) {
+std::string_view NameOf(WaveAction act) {
   return base::FindName(kActNames, act);
 }
 
-std::optional<WaveAct> FindWaveAct(std::string_view name) {
+std::optional<WaveAction> FindWaveAction(std::string_view name) {
   return base::FindValue(kActNames, name);
 }
 
-base::Result<Change> ActOnWave(const ChangeContext& context,
-                               const Stored<WaveRecord>& wave,
-                               WaveAct act) {
+base::Result<Change> TransitionWave(const ChangeContext& context,
+                                    const Stored<WaveRecord>& wave,
+                                    WaveAction act) {
   const Transition transition = TransitionOf(act);
   if (std::find(transition.from.begin(), transition.from.end(),
                 wave.record.state) == transition.from.end()) {
@@ -87,10 +87,10 @@
                           "; it can't " + std::string(NameOf(act)) + " now.");
   }
   Stored<WaveRecord> next = wave;
-  if (act == WaveAct::kStart) {
+  if (act == WaveAction::kStart) {
     BeginRun(next.record);
   }
-  if (act == WaveAct::kResume) {
+  if (act == WaveAction::kResume) {
     next.record.accepted_failures =
         static_cast<std::uint32_t>(next.record.failures.size());
   }
--- a/src/cassiastile/fleet/wave_plan.cpp
+++ b/src/cassiastile/fleet/wave_plan.cpp
@@ -28,7 +28,7 @@
 }
 
 std::uint32_t RackOut(const WaveInput& input, const WaveHost& host) {
-  const auto found = input.rack_out.find(RackOf(host.host));
+  const auto found = input.rack_out.find(RackKey(host.host));
   return found == input.rack_out.end() ? 0 : found->second;
 }
 
@@ -52,22 +52,23 @@
     return {0, "the canary " + input.record->canary + " is out"};
   }
   const std::uint32_t out = CountOutForWave(input);
-  const std::uint32_t lanes =
+  const std::uint32_t concurrent_hosts =
       input.wave->parallel > out ? input.wave->parallel - out : 0;
   const std::uint32_t free = input.budget.Free();
-  if (lanes == 0) {
+  if (concurrent_hosts == 0) {
     return {0,
             fmt::format("{} of {} at once are out", out, input.wave->parallel)};
   }
   if (IsCanaryPhase(input)) {
     return {std::min(free, 1U), "canaries go one at a time"};
   }
-  return {std::min(lanes, free), "the budget: " + Describe(input.budget)};
+  return {std::min(concurrent_hosts, free),
+          "the budget: " + Describe(input.budget)};
 }
 
 }  // namespace
 
-std::string RackOf(const config::Host& host) {
+std::string RackKey(const config::Host& host) {
   return host.zone + "/" + (host.rack.empty() ? host.name : host.rack);
 }
 
@@ -108,7 +109,7 @@
   const std::string held_back =
       allowed == 0 ? why : fmt::format("{} go before it; {}", allowed, why);
   for (const WaveHost* host : OrderHosts(input)) {
-    std::uint32_t& rack = rack_out[RackOf(host->host)];
+    std::uint32_t& rack = rack_out[RackKey(host->host)];
     if (step.take.size() >= allowed) {
       step.skipped.push_back({host->host.name, held_back});
     } else if (rack >= input.wave->per_rack) {
@@ -135,27 +136,28 @@
 }
 
 WaveForecast ForecastWave(const config::Wave& wave,
-                          const std::vector<PoolRemainder>& pools,
+                          const std::vector<PoolWaveProgress>& pools,
                           std::chrono::seconds service,
                           bool measured,
                           base::WallTime now) {
   WaveForecast forecast;
   forecast.finish = now;
   std::string short_of;
-  for (const PoolRemainder& pool : pools) {
+  for (const PoolWaveProgress& pool : pools) {
     forecast.total += pool.total;
     forecast.done += pool.done;
     forecast.left_out += pool.left_out;
     const std::uint32_t left = pool.total - pool.done - pool.left_out;
     const std::uint32_t room =
         pool.max_out > pool.failed ? pool.max_out - pool.failed : 0;
-    const std::uint32_t lanes = std::min(wave.parallel, room);
-    if (left > 0 && lanes == 0) {
+    const std::uint32_t concurrent_hosts = std::min(wave.parallel, room);
+    if (left > 0 && concurrent_hosts == 0) {
       forecast.finish.reset();
       short_of = "; failed hosts use up a pool's budget";
     }
-    if (left > 0 && forecast.finish && lanes > 0) {
-      const std::uint64_t batches = (left + lanes - 1) / lanes;
+    if (left > 0 && forecast.finish && concurrent_hosts > 0) {
+      const std::uint64_t batches =
+          (left + concurrent_hosts - 1) / concurrent_hosts;
       forecast.finish =
           std::max(*forecast.finish,
                    FinishOfBatches(wave.window, now, batches, service));
--- a/src/cassiastile/fleet/wave_test.cpp
+++ b/src/cassiastile/fleet/wave_test.cpp
@@ -103,7 +103,8 @@
   world.RunWave(reconciler, kLongEnough);
   ASSERT_EQ(world.Wave().state, WaveState::kHalted);
   ASSERT_TRUE(reconciler.Refresh(world.document));
-  ASSERT_TRUE(reconciler.ActOn("wave", "anna", WaveAct::kResume, {}));
+  ASSERT_TRUE(
+      reconciler.ApplyWaveAction("wave", "anna", WaveAction::kResume, {}));
   world.RunWave(reconciler, kLongEnough);
   EXPECT_EQ(world.Wave().state, WaveState::kFinished);
   EXPECT_EQ(world.Wave().detail, "7 of 9 hosts done, 2 left out");
@@ -119,7 +120,8 @@
   world.Round(reconciler);
   ASSERT_EQ(world.Pool("p0").out.size(), 2U);
   ASSERT_TRUE(reconciler.Refresh(world.document));
-  ASSERT_TRUE(reconciler.ActOn("wave", "anna", WaveAct::kAbort, {}));
+  ASSERT_TRUE(
+      reconciler.ApplyWaveAction("wave", "anna", WaveAction::kAbort, {}));
   world.Round(reconciler);
   EXPECT_TRUE(world.Pool("p0").out.empty());
   EXPECT_TRUE(world.machines.reboots.empty());
@@ -131,7 +133,8 @@
   world.Start(reconciler);
   world.Round(reconciler);
   ASSERT_TRUE(reconciler.Refresh(world.document));
-  ASSERT_TRUE(reconciler.ActOn("wave", "anna", WaveAct::kPause, {}));
+  ASSERT_TRUE(
+      reconciler.ApplyWaveAction("wave", "anna", WaveAction::kPause, {}));
   world.RunWave(reconciler, seconds(300));
   EXPECT_EQ(world.machines.reboots.size(), 2U);
   EXPECT_TRUE(world.Pool("p0").out.empty());
@@ -146,8 +149,8 @@
   world.Start(reconciler);
   world.RunWave(reconciler, seconds(100));
   EXPECT_TRUE(world.machines.reboots.empty());
-  ASSERT_EQ(reconciler.Overdue().size(), 1U);
-  EXPECT_EQ(reconciler.Overdue().begin()->second,
+  ASSERT_EQ(reconciler.OverdueDrains().size(), 1U);
+  EXPECT_EQ(reconciler.OverdueDrains().begin()->second,
             "2 tasks (1 without checkpoint) and 0 requests run past the drain "
             "deadline");
   EXPECT_TRUE(world.work.asked.contains("p0-h0"));
@@ -243,7 +246,7 @@
 }
 
 TEST(WaveTest, ForecastNamesNoDateWhileTheBudgetIsUsedUp) {
-  const PoolRemainder pool{.total = 5, .max_out = 1, .failed = 1};
+  const PoolWaveProgress pool{.total = 5, .max_out = 1, .failed = 1};
   const WaveForecast forecast =
       ForecastWave({}, {pool}, seconds(60), true, base::WallTime{});
   EXPECT_FALSE(forecast.finish);
--- a/src/cassiastile/work/task_shard_dispatch.cpp
+++ b/src/cassiastile/work/task_shard_dispatch.cpp
@@ -401,7 +401,8 @@
   return teams;
 }
 
-void TaskShard::AskToLeave(const std::string& host, base::TimePoint now) {
+void TaskShard::RequestEvacuation(const std::string& host,
+                                  base::TimePoint now) {
   m_leaving_until[host] = now + kLeaveAsked;
   m_changed = true;
 }
