--- a/include/cassiastile/entry/service_shard.hpp
+++ b/include/cassiastile/entry/service_shard.hpp
@@ -59,7 +59,7 @@
   // What teams want and have running here, by team.
   std::map<std::string, std::uint32_t> TeamDemand(base::TimePoint now);
   // Sets one team's terms; `decide` is given what the team has running.
-  using TermsDecision = std::function<work::TeamTerms(std::uint32_t running)>;
+  using TermsDecision = std::function<work::TeamQuota(std::uint32_t running)>;
   void DecideTerms(const std::string& team, const TermsDecision& decide);
 
   struct Figures {
--- a/include/cassiastile/work/admission.hpp
+++ b/include/cassiastile/work/admission.hpp
@@ -24,14 +24,14 @@
   std::chrono::milliseconds patience{1000};
   // The part of a request's remaining time that its wait may be put at when it
   // arrives, and while it waits.
-  double admit_part = 0.5;
-  double keep_part = 0.9;
+  double admit_fraction = 0.5;
+  double keep_fraction = 0.9;
   std::chrono::milliseconds min_retry_after{1000};
   std::chrono::milliseconds max_retry_after{30000};
 };
 
 // What a team may take of this host.
-struct TeamTerms {
+struct TeamQuota {
   std::uint32_t weight = 1;
   // Requests that may run at once; nothing where the team has no limit.
   std::optional<std::uint32_t> granted;
@@ -55,9 +55,9 @@
  public:
   explicit AdmissionQueue(AdmissionOptions options);
 
-  void SetTerms(const std::string& team, TeamTerms terms);
+  void SetQuota(const std::string& team, TeamQuota terms);
   // A team that no terms were set for has weight one and no limit.
-  const TeamTerms& TermsOf(const std::string& team) const;
+  const TeamQuota& QuotaOf(const std::string& team) const;
 
   // Takes in a request. The refusals are of this one or, when the queue is
   // full, of one from the team that takes up most of it.
@@ -77,23 +77,23 @@
 
   // Counts one more try of a request already taken out, if its team may run
   // one more.
-  bool StartAgain(const std::string& team);
+  bool StartRetry(const std::string& team);
 
   // A try counted as running has ended after `cost` times the usual service
   // time, which its team is charged.
   void Release(const std::string& team, double cost);
 
   // Takes out and refuses what can't be answered before its deadline any more.
-  std::vector<Refusal> GiveUp(const ServiceRate& rate,
-                              base::TimePoint now,
-                              base::Random& random);
+  std::vector<Refusal> RefuseLate(const ServiceRate& rate,
+                                  base::TimePoint now,
+                                  base::Random& random);
 
   // Takes out and refuses what fits the condition.
   using Condition = std::function<bool(const RequestTicket&)>;
-  std::vector<Refusal> TakeOut(const Condition& condition,
-                               RefusalReason reason,
-                               const ServiceRate& rate,
-                               base::Random& random);
+  std::vector<Refusal> RefuseMatching(const Condition& condition,
+                                      RefusalReason reason,
+                                      const ServiceRate& rate,
+                                      base::Random& random);
 
   // When a caller that is refused should come back: after the queue has
   // drained, spread so that callers don't come back together.
@@ -112,7 +112,7 @@
 
  private:
   struct TeamQueue {
-    TeamTerms terms;
+    TeamQuota terms;
     std::deque<RequestTicket> urgent;
     std::deque<RequestTicket> normal;
     std::uint32_t running = 0;
@@ -156,7 +156,7 @@
   RetryBudget(double part, double most);
 
   void Earn();
-  bool HasOne() const { return m_tokens >= 1; }
+  bool HasToken() const { return m_tokens >= 1; }
   // Spends one retry; false when there is none.
   bool Spend();
 
--- a/include/cassiastile/work/claim.hpp
+++ b/include/cassiastile/work/claim.hpp
@@ -52,7 +52,7 @@
 base::Result<Claim> ParseClaim(const std::string& text);
 
 // How a retry ends that found this claim.
-Outcome JudgeRetry(const Claim& claim, const std::string& fingerprint);
+Outcome OutcomeOfRetry(const Claim& claim, const std::string& fingerprint);
 
 // The claim after its request has ended, or nothing when the request did not
 // run and the key is free again.
--- a/include/cassiastile/work/credit_ledger.hpp
+++ b/include/cassiastile/work/credit_ledger.hpp
@@ -40,6 +40,6 @@
                  std::uint32_t wanted);
 
 // Removes a holder that is known to have nothing running any more.
-Ledger Forfeit(const Ledger& ledger, const HolderName& holder);
+Ledger RemoveHolder(const Ledger& ledger, const HolderName& holder);
 
 }  // namespace cassiastile::work
--- a/include/cassiastile/work/placement.hpp
+++ b/include/cassiastile/work/placement.hpp
@@ -25,8 +25,9 @@
   bool draining = false;
   bool open = false;             // Takes new tasks.
   bool idempotent_only = false;  // Being probed after failures.
-  bool held = false;     // Only for urgent tasks and the team named next.
-  std::string held_for;  // Empty where it is held for urgent tasks alone.
+  bool held = false;  // Only for urgent tasks and the team named next.
+  std::string
+      reserved_for_team;  // Empty where it is held for urgent tasks alone.
   std::optional<base::TimePoint> drain_expected;
 };
 
@@ -42,7 +43,7 @@
   double seconds_upper = 0;
   bool urgent = false;
   bool idempotent = false;
-  std::vector<std::string> avoid;  // Workers not to be used.
+  std::vector<std::string> excluded_workers;  // Workers not to be used.
   const TeamSpread* spread = nullptr;
 };
 
--- a/include/cassiastile/work/request.hpp
+++ b/include/cassiastile/work/request.hpp
@@ -26,19 +26,19 @@
 
 // Why a request was refused before its work began.
 enum class RefusalReason : std::uint8_t {
-  kQueueFull,      // The queue's bound is reached.
-  kWaitTooLong,    // It would not be answered before its deadline.
-  kTeamLimit,      // The team runs as much as it may.
-  kNoRunner,       // No runner can take it.
-  kUnreachable,    // The runner could not be connected to.
-  kClaimFailed,    // Its idempotency key could not be claimed.
-  kNotFresh,       // This host can't tell which keys are in force.
-  kUnknownKey,     // No such key, or it was withdrawn.
-  kNoSuchService,  // The document has no such service.
-  kTooLarge,       // A limit on the request's size is broken.
-  kMalformed,      // A header can't be understood.
-  kKeyReused,      // The idempotency key came with another request before.
-  kStopping,       // This host is shutting down.
+  kQueueFull,           // The queue's bound is reached.
+  kWaitTooLong,         // It would not be answered before its deadline.
+  kTeamLimit,           // The team runs as much as it may.
+  kNoRunner,            // No runner can take it.
+  kUnreachable,         // The runner could not be connected to.
+  kClaimFailed,         // Its idempotency key could not be claimed.
+  kStaleConfiguration,  // This host can't tell which keys are in force.
+  kUnknownKey,          // No such key, or it was withdrawn.
+  kNoSuchService,       // The document has no such service.
+  kTooLarge,            // A limit on the request's size is broken.
+  kMalformed,           // A header can't be understood.
+  kKeyReused,           // The idempotency key came with another request before.
+  kStopping,            // This host is shutting down.
 };
 
 std::string_view NameOf(RefusalReason reason);
@@ -51,18 +51,18 @@
 };
 
 // Why it is not known whether a request's work was done.
-enum class DoubtReason : std::uint8_t {
-  kTimeout,     // The deadline passed after it was sent.
-  kBroken,      // The answer was cut, malformed or never came.
-  kCrossed,     // The answer belongs to another request.
-  kStillAtWork  // Another host may still be running it under the same key.
+enum class UnknownReason : std::uint8_t {
+  kTimeout,      // The deadline passed after it was sent.
+  kBroken,       // The answer was cut, malformed or never came.
+  kCrossed,      // The answer belongs to another request.
+  kStillRunning  // Another host may still be running it under the same key.
 };
 
-std::string_view NameOf(DoubtReason reason);
+std::string_view NameOf(UnknownReason reason);
 
 // The work may have run.
 struct MaybeRan {
-  DoubtReason reason = DoubtReason::kBroken;
+  UnknownReason reason = UnknownReason::kBroken;
   std::string runner;  // Where it was last sent; may be empty.
 };
 
--- a/include/cassiastile/work/request_dispatcher.hpp
+++ b/include/cassiastile/work/request_dispatcher.hpp
@@ -50,7 +50,7 @@
   RoutingOptions routing;
   AdmissionOptions admission;
   std::uint32_t max_tries = 3;
-  double retry_part = 0.1;  // Retries earned by an answer.
+  double retries_per_answer = 0.1;  // Retries earned by an answer.
   double retry_burst = 10;
   // After the time that a runner was told to stop by, a slot whose request was
   // lost is held for this long.
@@ -59,7 +59,7 @@
   std::chrono::seconds longest_pause{5};
   // How long no kept connection to a runner is used after a request to it went
   // without an answer for too long.
-  std::chrono::seconds distrust{15};
+  std::chrono::seconds fresh_connection_period{15};
 };
 
 // A runner as it is listed.
@@ -100,7 +100,7 @@
   // nothing is sent until slots were read anew.
   void SetSlots(const std::map<std::string, std::uint32_t>& granted,
                 base::TimePoint read_at);
-  void SetTerms(const std::map<std::string, TeamTerms>& terms);
+  void SetQuota(const std::map<std::string, TeamQuota>& terms);
   // Refuses what waits under a key that is none of these.
   RequestActions Withdraw(const std::set<std::string>& valid_keys,
                           RefusalReason reason);
@@ -135,7 +135,7 @@
     std::uint32_t active = 0;  // Tries under way.
     bool waiting = false;      // For a slot to be tried again.
     bool maybe_ran = false;
-    DoubtReason doubt = DoubtReason::kBroken;
+    UnknownReason doubt = UnknownReason::kBroken;
   };
 
   // A slot whose request may still be running at the runner.
--- a/include/cassiastile/work/request_try.hpp
+++ b/include/cassiastile/work/request_try.hpp
@@ -26,7 +26,7 @@
 
 // The request may have reached the runner and no whole answer came.
 struct TryLost {
-  DoubtReason reason = DoubtReason::kBroken;
+  UnknownReason reason = UnknownReason::kBroken;
 };
 
 // How one try at one runner ended.
@@ -34,6 +34,6 @@
 
 // Judges what came back: an answer counts only when its end was marked and it
 // names the request that was sent, where it names one.
-TryResult JudgeTry(wire::HttpOutcome outcome, const std::string& request_id);
+TryResult ClassifyTry(wire::HttpOutcome outcome, const std::string& request_id);
 
 }  // namespace cassiastile::work
--- a/include/cassiastile/work/routing.hpp
+++ b/include/cassiastile/work/routing.hpp
@@ -20,7 +20,7 @@
   std::uint32_t eject_after_failures = 3;
   std::chrono::milliseconds ejection{2000};  // The first; doubles in a row.
   std::chrono::milliseconds max_ejection{30000};
-  double max_ejected_part = 0.5;
+  double max_ejected_fraction = 0.5;
   // A runner is silent when a request to it is this old, and this many times
   // its usual latency, without any answer since.
   std::chrono::milliseconds min_silence{500};
--- a/include/cassiastile/work/runner.hpp
+++ b/include/cassiastile/work/runner.hpp
@@ -10,7 +10,7 @@
 
 // Whether a runner is given work.
 enum class RunnerHealth : std::uint8_t {
-  kTrusted,
+  kHealthy,
   kEjected,  // Gets nothing until its time is over.
   kProbing,  // Gets a health check; work once that succeeds.
 };
@@ -30,9 +30,9 @@
   std::uint32_t failures = 0;  // In a row.
   base::TimePoint last_answer{};
   // Until then kept connections to it are not trusted.
-  base::TimePoint fresh_until{};
+  base::TimePoint fresh_connections_until{};
 
-  RunnerHealth health = RunnerHealth::kTrusted;
+  RunnerHealth health = RunnerHealth::kHealthy;
   base::TimePoint ejected_until{};
   std::uint32_t ejections = 0;  // In a row, without an answer between.
 };
--- a/include/cassiastile/work/share_account.hpp
+++ b/include/cassiastile/work/share_account.hpp
@@ -41,12 +41,12 @@
 
   // Who comes next: the team with the lowest standing. Falls with weight, grows
   // with what a team has had and with what it has now.
-  double Standing(const std::string& team) const;
+  double ProjectedUsage(const std::string& team) const;
 
   // The part of the pool that the team is entitled to while all those that have
   // demand wait, and the part that it has now.
   double Entitlement(const std::string& team) const;
-  double Part(const std::string& team) const;
+  double CurrentShare(const std::string& team) const;
 
  private:
   struct Account {
--- a/include/cassiastile/work/task_book.hpp
+++ b/include/cassiastile/work/task_index.hpp
@@ -33,7 +33,7 @@
   bool measured = false;  // Whether its usage was reported.
   double throttle = 1;
   RunRequest request = RunRequest::kNone;
-  bool hopeless = false;  // No host of the pool could hold it.
+  bool unschedulable = false;  // No host of the pool could hold it.
 };
 
 // Tasks in the order in which they were submitted.
@@ -43,7 +43,7 @@
 struct TeamTasks {
   TaskOrder urgent;          // Waiting.
   TaskOrder normal;          // Waiting.
-  TaskOrder hopeless;        // Waiting for a host that could hold them.
+  TaskOrder unschedulable;   // Waiting for a host that could hold them.
   std::uint32_t in_use = 0;  // Runs that count against the team's limit.
   Resources charged;
   std::map<std::string, std::uint32_t> on_worker;
@@ -65,7 +65,7 @@
 
 // A shard's tasks with the views that decisions need. Changes are made in a
 // batch, which is then confirmed once its rows are written, or taken back.
-class TaskBook {
+class TaskIndex {
  public:
   // Takes a record read from the table.
   void Load(Task task, std::uint64_t version);
@@ -83,7 +83,7 @@
 
   std::vector<TaskRowChange> Rows() const;
   void Confirm();
-  void TakeBack();
+  void RollBack();
 
   const TeamTasks& TeamOf(const std::string& team) const;
   const WorkerTasks& WorkerOf(const std::string& worker) const;
--- a/include/cassiastile/work/task_owner.hpp
+++ b/include/cassiastile/work/task_owner.hpp
@@ -47,7 +47,7 @@
 };
 
 // Proof of ownership: the shard's epoch and the precondition for its writes.
-struct OwnerGrip {
+struct OwnerLease {
   std::uint64_t epoch = 0;
   platform::Precondition fence;
 };
@@ -72,7 +72,7 @@
   // Handles the events and what the time brings. Results are in their order.
   std::vector<TaskResult> Handle(const std::vector<TaskEvent>& events,
                                  Moment moment,
-                                 const OwnerGrip& grip);
+                                 const OwnerLease& grip);
 
   // Whether the shard shows what the table holds: everything was read, and no
   // write is under way.
@@ -85,7 +85,7 @@
   TaskShard& Shard();
 
  private:
-  bool Prepare(Moment moment, const OwnerGrip& grip);
+  bool Prepare(Moment moment, const OwnerLease& grip);
   std::vector<TaskResult> HandleWhileReading(
       const std::vector<TaskEvent>& events,
       Moment moment);
@@ -110,7 +110,7 @@
   TaskStore m_store;
   std::map<std::string, std::uint32_t> m_limits;
   TeamGrants m_grants;
-  OwnerGrip m_grip;
+  OwnerLease m_grip;
   std::vector<base::Decision> m_pending_decisions;
   bool m_must_read = true;
   std::optional<std::string> m_read_after;  // The last key of a read begun.
--- a/include/cassiastile/work/task_shard.hpp
+++ b/include/cassiastile/work/task_shard.hpp
@@ -15,7 +15,7 @@
 #include "cassiastile/work/placement.hpp"
 #include "cassiastile/work/share_account.hpp"
 #include "cassiastile/work/size_estimate.hpp"
-#include "cassiastile/work/task_book.hpp"
+#include "cassiastile/work/task_index.hpp"
 #include "cassiastile/work/task_poll.hpp"
 #include "cassiastile/work/worker_health.hpp"
 
@@ -46,7 +46,7 @@
   std::size_t max_deletions = 64;
   // How long a team below half of its entitlement waits before tasks that can
   // be checkpointed make room for it.
-  base::Duration share_patience = std::chrono::seconds(5);
+  base::Duration preemption_delay = std::chrono::seconds(5);
   WorkerHealthOptions health;
 };
 
@@ -118,15 +118,15 @@
   void SetGrants(std::map<std::string, std::uint32_t> grants);
 
   // Decides on the events and on what the time brings. Ends with Confirm or
-  // TakeBack.
+  // RollBack.
   TaskBatch Propose(const std::vector<TaskEvent>& events, Moment moment);
   // Returns decisions that follow from what was confirmed.
   std::vector<base::Decision> Confirm();
-  void TakeBack();
+  void RollBack();
 
   // Notes that a worker polled while nothing can be written, so that the
   // shard's own trouble does not count as the worker's silence.
-  void NotePoll(const WorkerPoll& poll, base::TimePoint now);
+  void RecordPoll(const WorkerPoll& poll, base::TimePoint now);
 
   // What to tell a worker, from what is confirmed.
   PollAnswer Answer(const WorkerPoll& poll) const;
@@ -138,9 +138,9 @@
   const TaskEntry* Find(const std::string& key) const;
   // Why the task waits, is in doubt or ended.
   std::string Explain(const std::string& key) const;
-  const TaskBook& Book() const;
+  const TaskIndex& Tasks() const;
   const ShareAccount& Shares() const;
-  const WorkerHealthBook& Health() const;
+  const WorkerHealthTracker& Health() const;
   const std::string& Pool() const;
 
   // For the ledger of upper limits.
@@ -268,10 +268,10 @@
   std::map<std::string, TeamWait> m_waits;
   std::map<std::string, base::TimePoint> m_held_until;  // For urgent tasks.
   std::map<std::string, base::TimePoint> m_leaving_until;
-  TaskBook m_book;
+  TaskIndex m_book;
   ShareAccount m_shares;
   SizeEstimator m_sizes;
-  WorkerHealthBook m_health;
+  WorkerHealthTracker m_health;
   Moment m_moment{};
   Moment m_last_dispatch{};
   bool m_changed = true;  // Whether a pass may place more than the last one.
--- a/include/cassiastile/work/task_store.hpp
+++ b/include/cassiastile/work/task_store.hpp
@@ -9,7 +9,7 @@
 #include "cassiastile/base/error.hpp"
 #include "cassiastile/base/random.hpp"
 #include "cassiastile/platform/table.hpp"
-#include "cassiastile/work/task_book.hpp"
+#include "cassiastile/work/task_index.hpp"
 
 namespace cassiastile::work {
 
--- a/include/cassiastile/work/worker_health.hpp
+++ b/include/cassiastile/work/worker_health.hpp
@@ -10,8 +10,8 @@
 
 namespace cassiastile::work {
 
-enum class WorkerTrust : std::uint8_t {
-  kTrusted,
+enum class WorkerHealthState : std::uint8_t {
+  kHealthy,
   kQuarantined,  // Gets no tasks.
   kProbing,      // Gets one idempotent task at a time.
 };
@@ -29,9 +29,9 @@
 
 // Tells workers that fail everything they start from tasks that fail
 // everywhere, by what succeeded on other workers.
-class WorkerHealthBook {
+class WorkerHealthTracker {
  public:
-  explicit WorkerHealthBook(WorkerHealthOptions options = {});
+  explicit WorkerHealthTracker(WorkerHealthOptions options = {});
 
   // Notes how a run ended. Returns true when the worker is quarantined by it.
   bool RecordEnd(const std::string& worker,
@@ -39,7 +39,8 @@
                  bool succeeded,
                  base::TimePoint now);
 
-  WorkerTrust TrustIn(const std::string& worker, base::TimePoint now) const;
+  WorkerHealthState HealthOf(const std::string& worker,
+                             base::TimePoint now) const;
 
   // What a quarantine rests on, for people; empty where there is none.
   std::string Evidence(const std::string& worker) const;
--- a/src/bin/measure_tasks_faults.hpp
+++ b/src/bin/measure_tasks_faults.hpp
@@ -183,7 +183,7 @@
         break;
     }
     std::size_t now = 0;
-    for (const auto& [name, tasks] : run.owner.Shard().Book().Workers()) {
+    for (const auto& [name, tasks] : run.owner.Shard().Tasks().Workers()) {
       now += tasks.unconfirmed.size();
     }
     unconfirmed = std::max(unconfirmed, now);
@@ -224,7 +224,7 @@
       clock.Advance(kFineStep);
       for (std::size_t index = 0; index < kPools; ++index) {
         const work::Moment moment{clock.Now(), clock.WallNow()};
-        const work::OwnerGrip grip{1, {"lease/p" + std::to_string(index), 0}};
+        const work::OwnerLease grip{1, {"lease/p" + std::to_string(index), 0}};
         if (passed == base::Duration{} && (index == 0 || !first.empty())) {
           owners[index]->Handle(first, moment, grip);
         }
--- a/src/cassiastile/control/task_pump.cpp
+++ b/src/cassiastile/control/task_pump.cpp
@@ -189,13 +189,13 @@
   TaskPoolStatus status;
   status.pool = m_pool;
   status.owned = true;
-  status.tasks = shard.Book().Size();
-  for (const auto& [team, tasks] : shard.Book().Teams()) {
+  status.tasks = shard.Tasks().Size();
+  for (const auto& [team, tasks] : shard.Tasks().Teams()) {
     status.waiting +=
-        tasks.urgent.size() + tasks.normal.size() + tasks.hopeless.size();
+        tasks.urgent.size() + tasks.normal.size() + tasks.unschedulable.size();
     status.runs += tasks.in_use;
   }
-  for (const std::string& key : shard.Book().InDoubt()) {
+  for (const std::string& key : shard.Tasks().InDoubt()) {
     if (status.in_doubt.size() < kMaxListed) {
       status.in_doubt.push_back({key, shard.Explain(key)});
     }
@@ -203,7 +203,8 @@
   for (const fleet::HostView& view : m_parts.pools.Hosts(m_pool)) {
     const std::string& name = view.host.name;
     status.hosts[name] = shard.WorkOn(name, now);
-    if (shard.Health().TrustIn(name, now) != work::WorkerTrust::kTrusted) {
+    if (shard.Health().HealthOf(name, now) !=
+        work::WorkerHealthState::kHealthy) {
       status.quarantined.push_back({name, shard.Health().Evidence(name)});
     }
   }
--- a/src/cassiastile/entry/credit_plan.cpp
+++ b/src/cassiastile/entry/credit_plan.cpp
@@ -51,7 +51,7 @@
 void ForfeitAll(work::LedgerRow& row, const std::set<work::HolderName>& gone) {
   for (auto& [resource, ledger] : row) {
     for (const work::HolderName& holder : gone) {
-      ledger = work::Forfeit(ledger, holder);
+      ledger = work::RemoveHolder(ledger, holder);
     }
   }
 }
@@ -128,7 +128,7 @@
     need.capacity = slots_per_runner;
     need.in_use = runner.in_use;
     need.wanted = runner.in_use;
-    if (!runner.leaving && runner.health == work::RunnerHealth::kTrusted) {
+    if (!runner.leaving && runner.health == work::RunnerHealth::kHealthy) {
       (runner.zone == zone ? near : far).push_back(runner.name);
     }
   }
--- a/src/cassiastile/entry/entry_service.cpp
+++ b/src/cassiastile/entry/entry_service.cpp
@@ -148,7 +148,7 @@
   };
   const auto gateway = FindGateway(intake.service);
   if (!gateway) {
-    accepted.done(work::NotRun{work::RefusalReason::kNotFresh,
+    accepted.done(work::NotRun{work::RefusalReason::kStaleConfiguration,
                                std::chrono::seconds(1),
                                "This host does not know the service yet."});
     return;
@@ -179,7 +179,7 @@
   auto take = [this, row, claim, gateway, request = std::move(request)](
                   const ClaimResult& result) mutable {
     if (const auto* found = std::get_if<ClaimFound>(&result)) {
-      request.done(work::JudgeRetry(found->claim, claim.fingerprint));
+      request.done(work::OutcomeOfRetry(found->claim, claim.fingerprint));
       return;
     }
     if (std::holds_alternative<ClaimFailed>(result)) {
--- a/src/cassiastile/entry/entry_threads.cpp
+++ b/src/cassiastile/entry/entry_threads.cpp
@@ -153,8 +153,8 @@
   const bool fresh = m_ports.fleet.IsFresh(m_ports.clock.Now());
   const std::set<std::string> keys =
       fresh ? KeysOf(accepted->fleet) : std::set<std::string>();
-  const auto reason =
-      fresh ? work::RefusalReason::kUnknownKey : work::RefusalReason::kNotFresh;
+  const auto reason = fresh ? work::RefusalReason::kUnknownKey
+                            : work::RefusalReason::kStaleConfiguration;
   for (const auto& [name, shard] : AllShards()) {
     shard->Withdraw(keys, reason);
   }
--- a/src/cassiastile/entry/intake.cpp
+++ b/src/cassiastile/entry/intake.cpp
@@ -121,7 +121,7 @@
     return std::nullopt;
   }
   if (!context.fresh) {
-    return work::NotRun{work::RefusalReason::kNotFresh, kFreshAgain,
+    return work::NotRun{work::RefusalReason::kStaleConfiguration, kFreshAgain,
                         "This host can't tell which keys are in force."};
   }
   const config::Key* key =
@@ -150,7 +150,7 @@
     return Refuse(RefusalReason::kMalformed, "The method is not taken.");
   }
   if (context.accepted == nullptr) {
-    return Refuse(RefusalReason::kNotFresh,
+    return Refuse(RefusalReason::kStaleConfiguration,
                   "This host has no configuration yet.", kSoon);
   }
   Intake intake;
--- a/src/cassiastile/entry/refusal_decision.cpp
+++ b/src/cassiastile/entry/refusal_decision.cpp
@@ -15,7 +15,7 @@
     case work::RefusalReason::kTeamLimit:
       return "limits";
     case work::RefusalReason::kUnknownKey:
-    case work::RefusalReason::kNotFresh:
+    case work::RefusalReason::kStaleConfiguration:
       return "keys";
     case work::RefusalReason::kQueueFull:
     case work::RefusalReason::kWaitTooLong:
--- a/src/cassiastile/entry/service_gateway.cpp
+++ b/src/cassiastile/entry/service_gateway.cpp
@@ -71,7 +71,8 @@
   m_client.Start(
       MakeCall(send, *request, request_id),
       [this, try_id = send.try_id, request_id](wire::HttpOutcome outcome) {
-        m_shard.EndTry(try_id, work::JudgeTry(std::move(outcome), request_id),
+        m_shard.EndTry(try_id,
+                       work::ClassifyTry(std::move(outcome), request_id),
                        m_clock.Now());
       });
 }
--- a/src/cassiastile/entry/service_shard.cpp
+++ b/src/cassiastile/entry/service_shard.cpp
@@ -125,7 +125,7 @@
                                const TermsDecision& decide) {
   const std::lock_guard lock(m_mutex);
   const std::uint32_t running = m_dispatcher.TeamRunning(team);
-  m_dispatcher.SetTerms({{team, decide(running)}});
+  m_dispatcher.SetQuota({{team, decide(running)}});
 }
 
 ServiceShard::Figures ServiceShard::ReadFigures() const {
@@ -136,7 +136,7 @@
   for (const work::Runner& runner : m_dispatcher.AllRunners()) {
     figures.slots += runner.granted;
     figures.in_use += runner.in_use;
-    figures.ejected += runner.health == work::RunnerHealth::kTrusted ? 0 : 1;
+    figures.ejected += runner.health == work::RunnerHealth::kHealthy ? 0 : 1;
   }
   return figures;
 }
--- a/src/cassiastile/entry/team_credits.cpp
+++ b/src/cassiastile/entry/team_credits.cpp
@@ -75,7 +75,7 @@
     if (limited.contains(team.name)) {
       continue;
     }
-    const work::TeamTerms terms{WeightOf(accepted->fleet, team.name), {}};
+    const work::TeamQuota terms{WeightOf(accepted->fleet, team.name), {}};
     for (const auto& [service, shard] : m_shards()) {
       shard->DecideTerms(team.name, [&terms](std::uint32_t) { return terms; });
     }
@@ -101,7 +101,7 @@
         m_running[team] += running;
         split = work::Rebalance(split, name, running, wanted);
         const auto holding = split.holdings.find(name);
-        return work::TeamTerms{weight, holding == split.holdings.end()
+        return work::TeamQuota{weight, holding == split.holdings.end()
                                            ? 0
                                            : holding->second.granted};
       });
--- a/src/cassiastile/standin/backend_simulation.cpp
+++ b/src/cassiastile/standin/backend_simulation.cpp
@@ -262,8 +262,9 @@
     host.shard->EndProbe(sent.probed, completion.outcome.has_value(), m_now);
     return;
   }
-  host.shard->EndTry(
-      sent.try_id, work::JudgeTry(completion.outcome, sent.request_id), m_now);
+  host.shard->EndTry(sent.try_id,
+                     work::ClassifyTry(completion.outcome, sent.request_id),
+                     m_now);
 }
 
 void RequestSimulation::TickHosts() {
--- a/src/cassiastile/standin/worker_task_test.cpp
+++ b/src/cassiastile/standin/worker_task_test.cpp
@@ -165,8 +165,8 @@
     }
   };
   run_load(60);
-  EXPECT_EQ(world.Owner().Shard().Health().TrustIn("w0", world.clock.Now()),
-            work::WorkerTrust::kQuarantined);
+  EXPECT_EQ(world.Owner().Shard().Health().HealthOf("w0", world.clock.Now()),
+            work::WorkerHealthState::kQuarantined);
   std::size_t failed = 0;
   for (const std::string& key : world.acknowledged) {
     failed += world.Stored(key)->outcome == TaskOutcome::kFailed ? 1 : 0;
@@ -174,8 +174,8 @@
   EXPECT_EQ(failed, 0U);
   world.workers->At(0).SetFailing(false);
   run_load(300);
-  EXPECT_EQ(world.Owner().Shard().Health().TrustIn("w0", world.clock.Now()),
-            work::WorkerTrust::kTrusted);
+  EXPECT_EQ(world.Owner().Shard().Health().HealthOf("w0", world.clock.Now()),
+            work::WorkerHealthState::kHealthy);
 }
 
 TEST(UpperLimitTest, HoldsWithAPausedWorker) {
@@ -308,7 +308,7 @@
   EXPECT_EQ(world.Submit(MakeSpec("new", 600)).effect, Effect::kCommitted);
   EXPECT_NE(world.Submit(MakeSpec("0", 600)).effect, Effect::kUnknown);
   world.Run(seconds(2));
-  EXPECT_EQ(world.Owner().Shard().Book().Size(), kTasks + 1U);
+  EXPECT_EQ(world.Owner().Shard().Tasks().Size(), kTasks + 1U);
   EXPECT_EQ(world.Submit(MakeSpec("0", 600)).reply.verdict, Verdict::kSame);
 }
 
--- a/src/cassiastile/standin/worker_world_test.hpp
+++ b/src/cassiastile/standin/worker_world_test.hpp
@@ -179,7 +179,7 @@
 
   base::Random m_random;
   std::array<std::unique_ptr<work::TaskOwner>, 2> m_owners;
-  std::array<work::OwnerGrip, 2> m_grips;
+  std::array<work::OwnerLease, 2> m_grips;
 };
 
 inline work::TaskSpec MakeSpec(const std::string& id, double seconds = 5) {
--- a/src/cassiastile/work/admission.cpp
+++ b/src/cassiastile/work/admission.cpp
@@ -26,7 +26,7 @@
   return slots / std::max(SecondsOf(rate.service_time), kShortestSeconds);
 }
 
-const TeamTerms kDefaultTerms;
+const TeamQuota kDefaultTerms;
 
 }  // namespace
 
@@ -36,11 +36,11 @@
 
 AdmissionQueue::AdmissionQueue(AdmissionOptions options) : m_options(options) {}
 
-void AdmissionQueue::SetTerms(const std::string& team, TeamTerms terms) {
+void AdmissionQueue::SetQuota(const std::string& team, TeamQuota terms) {
   m_teams[team].terms = terms;
 }
 
-const TeamTerms& AdmissionQueue::TermsOf(const std::string& team) const {
+const TeamQuota& AdmissionQueue::QuotaOf(const std::string& team) const {
   const auto found = m_teams.find(team);
   return found == m_teams.end() ? kDefaultTerms : found->second.terms;
 }
@@ -52,7 +52,7 @@
   TeamQueue& team = m_teams[ticket.team];
   const std::size_t ahead = ticket.urgent ? team.urgent.size() : team.Queued();
   const auto objection =
-      FindObjection(team, ahead, ticket, rate, now, m_options.admit_part);
+      FindObjection(team, ahead, ticket, rate, now, m_options.admit_fraction);
   if (objection) {
     return {Refuse(ticket, *objection, rate, random)};
   }
@@ -85,7 +85,8 @@
   const auto found = m_teams.find(ticket.team);
   const TeamQueue& team = found == m_teams.end() ? new_team : found->second;
   const std::size_t ahead = ticket.urgent ? team.urgent.size() : team.Queued();
-  return FindObjection(team, ahead, ticket, rate, now, m_options.admit_part);
+  return FindObjection(team, ahead, ticket, rate, now,
+                       m_options.admit_fraction);
 }
 
 std::optional<RequestTicket> AdmissionQueue::TakeNext() {
@@ -104,7 +105,7 @@
   return ticket;
 }
 
-bool AdmissionQueue::StartAgain(const std::string& team) {
+bool AdmissionQueue::StartRetry(const std::string& team) {
   TeamQueue& queue = m_teams[team];
   if (!queue.MayStart()) {
     return false;
@@ -124,17 +125,17 @@
   queue.virtual_time += correction / std::max(1U, queue.terms.weight);
 }
 
-std::vector<Refusal> AdmissionQueue::GiveUp(const ServiceRate& rate,
-                                            base::TimePoint now,
-                                            base::Random& random) {
+std::vector<Refusal> AdmissionQueue::RefuseLate(const ServiceRate& rate,
+                                                base::TimePoint now,
+                                                base::Random& random) {
   std::vector<Refusal> refusals;
   for (auto& [name, team] : m_teams) {
     std::size_t ahead = 0;
     for (std::deque<RequestTicket>* queue : {&team.urgent, &team.normal}) {
       std::deque<RequestTicket> kept;
       for (RequestTicket& ticket : *queue) {
-        const auto objection =
-            FindObjection(team, ahead, ticket, rate, now, m_options.keep_part);
+        const auto objection = FindObjection(team, ahead, ticket, rate, now,
+                                             m_options.keep_fraction);
         if (objection) {
           refusals.push_back(Refuse(ticket, *objection, rate, random));
           continue;
@@ -149,10 +150,10 @@
   return refusals;
 }
 
-std::vector<Refusal> AdmissionQueue::TakeOut(const Condition& condition,
-                                             RefusalReason reason,
-                                             const ServiceRate& rate,
-                                             base::Random& random) {
+std::vector<Refusal> AdmissionQueue::RefuseMatching(const Condition& condition,
+                                                    RefusalReason reason,
+                                                    const ServiceRate& rate,
+                                                    base::Random& random) {
   std::vector<Refusal> refusals;
   for (auto& [name, team] : m_teams) {
     for (std::deque<RequestTicket>* queue : {&team.urgent, &team.normal}) {
@@ -319,7 +320,7 @@
 }
 
 bool RetryBudget::Spend() {
-  if (!HasOne()) {
+  if (!HasToken()) {
     return false;
   }
   m_tokens -= 1;
--- a/src/cassiastile/work/admission_test.cpp
+++ b/src/cassiastile/work/admission_test.cpp
@@ -35,8 +35,8 @@
 };
 
 TEST_F(AdmissionTest, TeamsTakeTurnsByWeight) {
-  m_queue.SetTerms("large", {.weight = 3, .granted = {}});
-  m_queue.SetTerms("small", {.weight = 1, .granted = {}});
+  m_queue.SetQuota("large", {.weight = 3, .granted = {}});
+  m_queue.SetQuota("small", {.weight = 1, .granted = {}});
   for (int i = 0; i < 40; ++i) {
     EXPECT_TRUE(Offer(MakeTicket("large")).empty());
     EXPECT_TRUE(Offer(MakeTicket("small")).empty());
@@ -104,7 +104,7 @@
   }
   // The runners slow down tenfold.
   const ServiceRate slow{1, std::chrono::seconds(1)};
-  const auto given_up = m_queue.GiveUp(slow, kStart, m_random);
+  const auto given_up = m_queue.RefuseLate(slow, kStart, m_random);
   EXPECT_GE(given_up.size(), 30U);
   EXPECT_EQ(given_up.size() + m_queue.Size(), 50U);
 }
@@ -124,14 +124,14 @@
 }
 
 TEST_F(AdmissionTest, TeamKeepsToItsGrant) {
-  m_queue.SetTerms("t", {.weight = 1, .granted = 2});
+  m_queue.SetQuota("t", {.weight = 1, .granted = 2});
   for (int i = 0; i < 3; ++i) {
     Offer(MakeTicket("t"));
   }
   EXPECT_TRUE(m_queue.TakeNext());
   EXPECT_TRUE(m_queue.TakeNext());
   EXPECT_FALSE(m_queue.TakeNext());
-  EXPECT_FALSE(m_queue.StartAgain("t"));
+  EXPECT_FALSE(m_queue.StartRetry("t"));
   m_queue.Release("t", 1);
   EXPECT_TRUE(m_queue.TakeNext());
 }
--- a/src/cassiastile/work/claim.cpp
+++ b/src/cassiastile/work/claim.cpp
@@ -133,7 +133,7 @@
   }
 }
 
-Outcome JudgeRetry(const Claim& claim, const std::string& fingerprint) {
+Outcome OutcomeOfRetry(const Claim& claim, const std::string& fingerprint) {
   if (claim.fingerprint != fingerprint) {
     return NotRun{RefusalReason::kKeyReused,
                   {},
@@ -145,11 +145,11 @@
     case ClaimState::kRan:
       return Answered{MakeRanResponse(), claim.holder};
     case ClaimState::kClaimed:
-      return MaybeRan{DoubtReason::kStillAtWork, ""};
+      return MaybeRan{UnknownReason::kStillRunning, ""};
     case ClaimState::kUnknown:
-      return MaybeRan{DoubtReason::kBroken, ""};
+      return MaybeRan{UnknownReason::kBroken, ""};
   }
-  return MaybeRan{DoubtReason::kBroken, ""};
+  return MaybeRan{UnknownReason::kBroken, ""};
 }
 
 std::optional<Claim> EndClaim(const Claim& claim, const Outcome& outcome) {
--- a/src/cassiastile/work/credit_ledger.cpp
+++ b/src/cassiastile/work/credit_ledger.cpp
@@ -83,7 +83,7 @@
   return next;
 }
 
-Ledger Forfeit(const Ledger& ledger, const HolderName& holder) {
+Ledger RemoveHolder(const Ledger& ledger, const HolderName& holder) {
   Ledger next = ledger;
   next.holdings.erase(holder);
   return next;
--- a/src/cassiastile/work/credit_ledger_test.cpp
+++ b/src/cassiastile/work/credit_ledger_test.cpp
@@ -67,7 +67,7 @@
 
 TEST(CreditLedgerTest, ForfeitFreesWhatAHolderHad) {
   Ledger ledger = Rebalance(MakeLedger(kSlots), "e1#1", 0, 8);
-  ledger = Rebalance(Forfeit(ledger, "e1#1"), "e1#2", 0, 8);
+  ledger = Rebalance(RemoveHolder(ledger, "e1#1"), "e1#2", 0, 8);
   EXPECT_EQ(ledger.holdings.at("e1#2").granted, kSlots);
 }
 
--- a/src/cassiastile/work/placement.cpp
+++ b/src/cassiastile/work/placement.cpp
@@ -45,7 +45,8 @@
     return false;
   }
   const bool kept_from_it =
-      host.held && (host.held_for.empty() || host.held_for != request.team);
+      host.held && (host.reserved_for_team.empty() ||
+                    host.reserved_for_team != request.team);
   if (kept_from_it && !request.urgent) {
     return false;
   }
@@ -56,8 +57,9 @@
   if (!EndsBeforeDrain(host, request, now)) {
     return false;
   }
-  return std::find(request.avoid.begin(), request.avoid.end(), host.name) ==
-         request.avoid.end();
+  return std::find(request.excluded_workers.begin(),
+                   request.excluded_workers.end(),
+                   host.name) == request.excluded_workers.end();
 }
 
 std::optional<std::size_t> PickHost(const std::vector<PlacementHost>& hosts,
--- a/src/cassiastile/work/request.cpp
+++ b/src/cassiastile/work/request.cpp
@@ -15,7 +15,7 @@
     {RefusalReason::kNoRunner, "no-runner"},
     {RefusalReason::kUnreachable, "runner-unreachable"},
     {RefusalReason::kClaimFailed, "claim-failed"},
-    {RefusalReason::kNotFresh, "configuration-not-fresh"},
+    {RefusalReason::kStaleConfiguration, "configuration-not-fresh"},
     {RefusalReason::kUnknownKey, "key-unknown"},
     {RefusalReason::kNoSuchService, "no-such-service"},
     {RefusalReason::kTooLarge, "request-too-large"},
@@ -24,11 +24,11 @@
     {RefusalReason::kStopping, "stopping"},
 }};
 
-constexpr std::array<base::EnumName<DoubtReason>, 4> kDoubtNames{{
-    {DoubtReason::kTimeout, "timeout"},
-    {DoubtReason::kBroken, "answer-broken"},
-    {DoubtReason::kCrossed, "answer-crossed"},
-    {DoubtReason::kStillAtWork, "still-at-work"},
+constexpr std::array<base::EnumName<UnknownReason>, 4> kDoubtNames{{
+    {UnknownReason::kTimeout, "timeout"},
+    {UnknownReason::kBroken, "answer-broken"},
+    {UnknownReason::kCrossed, "answer-crossed"},
+    {UnknownReason::kStillRunning, "still-at-work"},
 }};
 
 constexpr int kBadRequest = 400;
@@ -61,21 +61,21 @@
     case RefusalReason::kNoRunner:
     case RefusalReason::kUnreachable:
     case RefusalReason::kClaimFailed:
-    case RefusalReason::kNotFresh:
+    case RefusalReason::kStaleConfiguration:
     case RefusalReason::kStopping:
       return kServiceUnavailable;
   }
   return kServiceUnavailable;
 }
 
-int StatusOf(DoubtReason reason) {
+int StatusOf(UnknownReason reason) {
   switch (reason) {
-    case DoubtReason::kTimeout:
+    case UnknownReason::kTimeout:
       return kGatewayTimeout;
-    case DoubtReason::kStillAtWork:
+    case UnknownReason::kStillRunning:
       return kConflict;
-    case DoubtReason::kBroken:
-    case DoubtReason::kCrossed:
+    case UnknownReason::kBroken:
+    case UnknownReason::kCrossed:
       return kBadGateway;
   }
   return kBadGateway;
@@ -132,7 +132,7 @@
   return base::FindName(kRefusalNames, reason);
 }
 
-std::string_view NameOf(DoubtReason reason) {
+std::string_view NameOf(UnknownReason reason) {
   return base::FindName(kDoubtNames, reason);
 }
 
--- a/src/cassiastile/work/request_dispatcher.cpp
+++ b/src/cassiastile/work/request_dispatcher.cpp
@@ -24,7 +24,7 @@
     : m_options(std::move(options)),
       m_random(seed),
       m_queue(m_options.admission),
-      m_budget(m_options.retry_part, m_options.retry_burst),
+      m_budget(m_options.retries_per_answer, m_options.retry_burst),
       m_service_time(m_options.routing.assumed_latency) {}
 
 RequestActions RequestDispatcher::Arrive(const RequestTicket& ticket,
@@ -97,7 +97,7 @@
   }
   Dispatch(now, actions);
   FinishOverdue(now, actions);
-  Refuse(m_queue.GiveUp(Rate(), now, m_random), actions);
+  Refuse(m_queue.RefuseLate(Rate(), now, m_random), actions);
   return actions;
 }
 
@@ -112,7 +112,7 @@
       runner = &m_runners.emplace_back();
       runner->name = entry.name;
     } else if (runner->incarnation != entry.incarnation) {
-      runner->health = RunnerHealth::kTrusted;
+      runner->health = RunnerHealth::kHealthy;
       runner->failures = 0;
       runner->ejections = 0;
       runner->latency = base::Duration::zero();
@@ -144,10 +144,10 @@
   }
 }
 
-void RequestDispatcher::SetTerms(
-    const std::map<std::string, TeamTerms>& terms) {
+void RequestDispatcher::SetQuota(
+    const std::map<std::string, TeamQuota>& terms) {
   for (const auto& [team, its_terms] : terms) {
-    m_queue.SetTerms(team, its_terms);
+    m_queue.SetQuota(team, its_terms);
   }
 }
 
@@ -158,7 +158,7 @@
     return !ticket.key_id.empty() && !valid_keys.contains(ticket.key_id);
   };
   RequestActions actions;
-  Refuse(m_queue.TakeOut(withdrawn, reason, Rate(), m_random), actions);
+  Refuse(m_queue.RefuseMatching(withdrawn, reason, Rate(), m_random), actions);
   return actions;
 }
 
@@ -231,7 +231,7 @@
     if (!runner && !HasUntried(flight)) {
       runner = PickRunner(m_runners, {}, m_options.routing, m_random);
     }
-    if (!runner || !m_queue.StartAgain(flight.ticket.team)) {
+    if (!runner || !m_queue.StartRetry(flight.ticket.team)) {
       m_retries.push_back(id);
       continue;
     }
@@ -287,7 +287,7 @@
     }
     if (late.active > 0) {
       late.maybe_ran = true;
-      late.doubt = DoubtReason::kTimeout;
+      late.doubt = UnknownReason::kTimeout;
     }
     FinishFailed(flight, actions);
   }
--- a/src/cassiastile/work/request_dispatcher_tries.cpp
+++ b/src/cassiastile/work/request_dispatcher_tries.cpp
@@ -33,8 +33,8 @@
   send.runner = chosen.name;
   send.address = chosen.address;
   send.timeout = flight.ticket.deadline - now;
-  send.fresh_connection =
-      !flight.ticket.idempotent || again || now < chosen.fresh_until;
+  send.fresh_connection = !flight.ticket.idempotent || again ||
+                          now < chosen.fresh_connections_until;
   actions.emplace_back(std::move(send));
 }
 
@@ -125,7 +125,7 @@
       continue;
     }
     pending.hedged = true;
-    runner->fresh_until = now + m_options.distrust;
+    runner->fresh_connections_until = now + m_options.fresh_connection_period;
     if (runner->last_answer < pending.sent) {
       const auto index = static_cast<std::size_t>(runner - m_runners.data());
       Eject(m_runners, index, m_options.routing, now);
--- a/src/cassiastile/work/routing.cpp
+++ b/src/cassiastile/work/routing.cpp
@@ -43,7 +43,7 @@
 std::size_t EjectedCount(const Runners& runners) {
   return static_cast<std::size_t>(
       std::count_if(runners.begin(), runners.end(), [](const Runner& runner) {
-        return !runner.leaving && runner.health != RunnerHealth::kTrusted;
+        return !runner.leaving && runner.health != RunnerHealth::kHealthy;
       }));
 }
 
@@ -67,7 +67,7 @@
 }  // namespace
 
 bool IsUsable(const Runner& runner) {
-  return !runner.leaving && runner.health == RunnerHealth::kTrusted;
+  return !runner.leaving && runner.health == RunnerHealth::kHealthy;
 }
 
 std::optional<std::size_t> PickRunner(const Runners& runners,
@@ -110,7 +110,7 @@
   }
   runner.failures = 0;
   runner.last_answer = now;
-  if (runner.health == RunnerHealth::kTrusted) {
+  if (runner.health == RunnerHealth::kHealthy) {
     runner.ejections = 0;
   }
 }
@@ -131,11 +131,12 @@
            const RoutingOptions& options,
            base::TimePoint now) {
   Runner& runner = runners[index];
-  if (runner.health != RunnerHealth::kTrusted) {
+  if (runner.health != RunnerHealth::kHealthy) {
     return false;
   }
-  const auto allowed = static_cast<std::size_t>(
-      options.max_ejected_part * static_cast<double>(PresentCount(runners)));
+  const auto allowed =
+      static_cast<std::size_t>(options.max_ejected_fraction *
+                               static_cast<double>(PresentCount(runners)));
   if (EjectedCount(runners) >= allowed) {
     return false;
   }
@@ -200,7 +201,7 @@
     StartEjection(runner, options, now);
     return;
   }
-  runner.health = RunnerHealth::kTrusted;
+  runner.health = RunnerHealth::kHealthy;
   runner.failures = 0;
   runner.last_answer = now;
 }
--- a/src/cassiastile/work/share_account.cpp
+++ b/src/cassiastile/work/share_account.cpp
@@ -58,7 +58,7 @@
   account.since_fold = account.since_fold + resource_seconds;
 }
 
-double ShareAccount::Standing(const std::string& team) const {
+double ShareAccount::ProjectedUsage(const std::string& team) const {
   const auto found = m_accounts.find(team);
   if (found == m_accounts.end()) {
     return m_floor;
@@ -79,7 +79,7 @@
              : found->second.weight / weights;
 }
 
-double ShareAccount::Part(const std::string& team) const {
+double ShareAccount::CurrentShare(const std::string& team) const {
   const auto found = m_accounts.find(team);
   return found == m_accounts.end()
              ? 0
--- a/src/cassiastile/work/task_book.cpp
+++ b/src/cassiastile/work/task_index.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/work/task_book.hpp"
+#include "cassiastile/work/task_index.hpp"
 
 #include <algorithm>
 
@@ -44,7 +44,7 @@
   return given && !task.lease.worker.empty();
 }
 
-void TaskBook::Load(Task task, std::uint64_t version) {
+void TaskIndex::Load(Task task, std::uint64_t version) {
   TaskEntry entry;
   entry.placed = task.spec.declared;
   entry.charged = task.spec.declared;
@@ -54,20 +54,20 @@
   Replace(key, std::move(entry));
 }
 
-void TaskBook::Clear() {
-  *this = TaskBook();
+void TaskIndex::Clear() {
+  *this = TaskIndex();
 }
 
-const TaskEntry* TaskBook::Find(const std::string& key) const {
+const TaskEntry* TaskIndex::Find(const std::string& key) const {
   const auto found = m_entries.find(key);
   return found == m_entries.end() ? nullptr : &found->second;
 }
 
-std::size_t TaskBook::Size() const {
+std::size_t TaskIndex::Size() const {
   return m_entries.size();
 }
 
-void TaskBook::Put(TaskEntry entry, bool write) {
+void TaskIndex::Put(TaskEntry entry, bool write) {
   const std::string key = KeyOf(entry.task.spec);
   const TaskEntry* old = Find(key);
   m_before.try_emplace(
@@ -78,7 +78,7 @@
   Replace(key, std::move(entry));
 }
 
-void TaskBook::Erase(const std::string& key) {
+void TaskIndex::Erase(const std::string& key) {
   const TaskEntry* old = Find(key);
   if (old == nullptr) {
     return;
@@ -88,11 +88,11 @@
   Replace(key, std::nullopt);
 }
 
-void TaskBook::SetProgress(const std::string& key, double progress) {
+void TaskIndex::SetProgress(const std::string& key, double progress) {
   m_entries.at(key).task.progress = progress;
 }
 
-std::vector<TaskRowChange> TaskBook::Rows() const {
+std::vector<TaskRowChange> TaskIndex::Rows() const {
   std::vector<TaskRowChange> rows;
   for (const std::string& key : m_written) {
     const std::optional<TaskEntry>& before = m_before.at(key);
@@ -111,7 +111,7 @@
   return rows;
 }
 
-void TaskBook::Confirm() {
+void TaskIndex::Confirm() {
   for (const std::string& key : m_written) {
     const auto found = m_entries.find(key);
     if (found != m_entries.end()) {
@@ -122,7 +122,7 @@
   m_written.clear();
 }
 
-void TaskBook::TakeBack() {
+void TaskIndex::RollBack() {
   for (auto& [key, entry] : m_before) {
     Replace(key, std::move(entry));
   }
@@ -130,39 +130,40 @@
   m_written.clear();
 }
 
-const TeamTasks& TaskBook::TeamOf(const std::string& team) const {
+const TeamTasks& TaskIndex::TeamOf(const std::string& team) const {
   static const TeamTasks none;
   const auto found = m_teams.find(team);
   return found == m_teams.end() ? none : found->second;
 }
 
-const WorkerTasks& TaskBook::WorkerOf(const std::string& worker) const {
+const WorkerTasks& TaskIndex::WorkerOf(const std::string& worker) const {
   static const WorkerTasks none;
   const auto found = m_workers.find(worker);
   return found == m_workers.end() ? none : found->second;
 }
 
-const std::map<std::string, TeamTasks>& TaskBook::Teams() const {
+const std::map<std::string, TeamTasks>& TaskIndex::Teams() const {
   return m_teams;
 }
 
-const std::map<std::string, WorkerTasks>& TaskBook::Workers() const {
+const std::map<std::string, WorkerTasks>& TaskIndex::Workers() const {
   return m_workers;
 }
 
-const std::set<std::pair<std::int64_t, std::string>>& TaskBook::Ended() const {
+const std::set<std::pair<std::int64_t, std::string>>& TaskIndex::Ended() const {
   return m_ended;
 }
 
-const std::set<std::string>& TaskBook::InDoubt() const {
+const std::set<std::string>& TaskIndex::InDoubt() const {
   return m_in_doubt;
 }
 
-std::uint64_t TaskBook::LastSequence() const {
+std::uint64_t TaskIndex::LastSequence() const {
   return m_last_sequence;
 }
 
-void TaskBook::Replace(const std::string& key, std::optional<TaskEntry> entry) {
+void TaskIndex::Replace(const std::string& key,
+                        std::optional<TaskEntry> entry) {
   const auto found = m_entries.find(key);
   if (found != m_entries.end()) {
     Index(found->second, false);
@@ -177,7 +178,7 @@
   Index(stored, true);
 }
 
-void TaskBook::Index(const TaskEntry& entry, bool add) {
+void TaskIndex::Index(const TaskEntry& entry, bool add) {
   const Task& task = entry.task;
   if (task.state == TaskState::kQueued) {
     IndexWaiting(entry, add);
@@ -198,17 +199,17 @@
   }
 }
 
-void TaskBook::IndexWaiting(const TaskEntry& entry, bool add) {
+void TaskIndex::IndexWaiting(const TaskEntry& entry, bool add) {
   const Task& task = entry.task;
   TeamTasks& team = m_teams[task.spec.team];
   TaskOrder& order = task.spec.urgent ? team.urgent : team.normal;
-  AddOrRemove(entry.hopeless ? team.hopeless : order,
+  AddOrRemove(entry.unschedulable ? team.unschedulable : order,
               std::pair(task.sequence, KeyOf(task.spec)), add);
 }
 
-void TaskBook::IndexRun(const TaskEntry& entry,
-                        const TaskLease& lease,
-                        bool add) {
+void TaskIndex::IndexRun(const TaskEntry& entry,
+                         const TaskLease& lease,
+                         bool add) {
   const double sign = add ? 1 : -1;
   TeamTasks& team = m_teams[entry.task.spec.team];
   team.in_use += add ? 1 : -1;
--- a/src/cassiastile/work/task_owner.cpp
+++ b/src/cassiastile/work/task_owner.cpp
@@ -51,7 +51,7 @@
 
 std::vector<TaskResult> TaskOwner::Handle(const std::vector<TaskEvent>& events,
                                           Moment moment,
-                                          const OwnerGrip& grip) {
+                                          const OwnerLease& grip) {
   if (!Prepare(moment, grip)) {
     return AnswerNothing(events, moment.now);
   }
@@ -97,7 +97,7 @@
   return m_shard;
 }
 
-bool TaskOwner::Prepare(Moment moment, const OwnerGrip& grip) {
+bool TaskOwner::Prepare(Moment moment, const OwnerLease& grip) {
   if (grip.epoch != m_grip.epoch ||
       grip.fence.version != m_grip.fence.version) {
     m_grip = grip;
@@ -128,7 +128,7 @@
     return false;
   }
   RecordRefusals(std::move(m_pending_decisions));
-  m_shard.TakeBack();
+  m_shard.RollBack();
   BeginRead();
   return true;
 }
@@ -253,7 +253,7 @@
     return Effect::kUnknown;
   }
   RecordRefusals(std::move(batch.decisions));
-  m_shard.TakeBack();
+  m_shard.RollBack();
   // A conflict while reading may only mean that an id submitted again is in a
   // page not read yet.
   if (written.error().code == base::ErrorCode::kConflict && !m_must_read) {
@@ -276,7 +276,7 @@
   for (std::size_t index = 0; index < events.size(); ++index) {
     results[index].effect = Effect::kNotRun;
     if (const auto* poll = std::get_if<WorkerPoll>(&events[index])) {
-      m_shard.NotePoll(*poll, now);
+      m_shard.RecordPoll(*poll, now);
       results[index].answer = MakeRenewal();
     }
   }
--- a/src/cassiastile/work/task_policy_test.cpp
+++ b/src/cassiastile/work/task_policy_test.cpp
@@ -51,10 +51,10 @@
   clock.Advance(seconds(600));
   shares.Advance(clock.Now());
   shares.SetUse("b", {}, Demand::kWaiting);
-  EXPECT_LT(shares.Standing("b"), shares.Standing("a"));
+  EXPECT_LT(shares.ProjectedUsage("b"), shares.ProjectedUsage("a"));
   shares.SetUse("a", {50, 0, 0}, Demand::kWaiting);
   shares.SetUse("b", {50, 0, 0}, Demand::kWaiting);
-  EXPECT_NEAR(shares.Standing("a"), shares.Standing("b"), 1e-6);
+  EXPECT_NEAR(shares.ProjectedUsage("a"), shares.ProjectedUsage("b"), 1e-6);
   EXPECT_EQ(shares.Entitlement("a"), 0.5);
 }
 
@@ -64,7 +64,7 @@
   shares.SetWeight("a", 4);
   shares.SetUse("a", {40, 0, 0}, Demand::kWaiting);
   shares.SetUse("b", {1, 40, 0}, Demand::kWaiting);
-  EXPECT_NEAR(shares.Standing("a"), shares.Standing("b"), 1e-9);
+  EXPECT_NEAR(shares.ProjectedUsage("a"), shares.ProjectedUsage("b"), 1e-9);
 }
 
 PlacementHost MakeHost(const std::string& name, std::size_t zone) {
@@ -105,7 +105,7 @@
 }
 
 TEST(WorkerHealthTest, TaskThatFailsEverywhereQuarantinesNobody) {
-  WorkerHealthBook health;
+  WorkerHealthTracker health;
   base::ManualClock clock;
   for (const std::string worker : {"w0", "w1", "w2"}) {
     for (int run = 0; run < 5; ++run) {
@@ -115,17 +115,18 @@
 }
 
 TEST(WorkerHealthTest, QuarantineNeedsCrossEvidenceAndEndsByProbing) {
-  WorkerHealthBook health;
+  WorkerHealthTracker health;
   base::ManualClock clock;
   health.RecordEnd("w1", "k", true, clock.Now());
   EXPECT_FALSE(health.RecordEnd("w0", "k", false, clock.Now()));
   EXPECT_FALSE(health.RecordEnd("w0", "k", false, clock.Now()));
   EXPECT_TRUE(health.RecordEnd("w0", "k", false, clock.Now()));
-  EXPECT_EQ(health.TrustIn("w0", clock.Now()), WorkerTrust::kQuarantined);
+  EXPECT_EQ(health.HealthOf("w0", clock.Now()),
+            WorkerHealthState::kQuarantined);
   clock.Advance(seconds(31));
-  EXPECT_EQ(health.TrustIn("w0", clock.Now()), WorkerTrust::kProbing);
+  EXPECT_EQ(health.HealthOf("w0", clock.Now()), WorkerHealthState::kProbing);
   health.RecordEnd("w0", "k", true, clock.Now());
-  EXPECT_EQ(health.TrustIn("w0", clock.Now()), WorkerTrust::kTrusted);
+  EXPECT_EQ(health.HealthOf("w0", clock.Now()), WorkerHealthState::kHealthy);
 }
 
 }  // namespace
--- a/src/cassiastile/work/task_shard.cpp
+++ b/src/cassiastile/work/task_shard.cpp
@@ -170,8 +170,8 @@
   return std::move(m_decisions);
 }
 
-void TaskShard::TakeBack() {
-  m_book.TakeBack();
+void TaskShard::RollBack() {
+  m_book.RollBack();
   m_lessons.clear();
   m_changed = true;
   SyncShares();
@@ -187,7 +187,7 @@
     return "";
   }
   const Task& task = entry->task;
-  if (task.state != TaskState::kQueued || entry->hopeless) {
+  if (task.state != TaskState::kQueued || entry->unschedulable) {
     return task.reason;
   }
   const auto wait = m_waits.find(task.spec.team);
@@ -197,7 +197,7 @@
   return wait->second.reason;
 }
 
-const TaskBook& TaskShard::Book() const {
+const TaskIndex& TaskShard::Tasks() const {
   return m_book;
 }
 
@@ -205,7 +205,7 @@
   return m_shares;
 }
 
-const WorkerHealthBook& TaskShard::Health() const {
+const WorkerHealthTracker& TaskShard::Health() const {
   return m_health;
 }
 
@@ -238,9 +238,9 @@
     return Refuse(spec, Verdict::kFull,
                   fmt::format("the pool keeps {} tasks", m_book.Size()));
   }
-  const std::string hopeless = WhyHopeless(spec);
-  if (!hopeless.empty()) {
-    return Refuse(spec, Verdict::kRefused, hopeless);
+  const std::string unschedulable = WhyHopeless(spec);
+  if (!unschedulable.empty()) {
+    return Refuse(spec, Verdict::kRefused, unschedulable);
   }
   TaskEntry entry;
   entry.task.spec = spec;
@@ -335,7 +335,7 @@
   std::vector<std::string> waiting;
   for (const auto& [team, tasks] : m_book.Teams()) {
     for (const TaskOrder* order :
-         {&tasks.urgent, &tasks.normal, &tasks.hopeless}) {
+         {&tasks.urgent, &tasks.normal, &tasks.unschedulable}) {
       for (const auto& [sequence, key] : *order) {
         waiting.push_back(key);
       }
@@ -344,10 +344,10 @@
   for (const std::string& key : waiting) {
     TaskEntry entry = *m_book.Find(key);
     const std::string why = WhyHopeless(entry.task.spec);
-    if (entry.hopeless == !why.empty()) {
+    if (entry.unschedulable == !why.empty()) {
       continue;
     }
-    entry.hopeless = !why.empty();
+    entry.unschedulable = !why.empty();
     entry.task.reason = why.empty() ? "waits for its turn" : why;
     Decide(base::DecisionKind::kChange, entry.task,
            why.empty() ? "can run again" : "can't run",
--- a/src/cassiastile/work/task_shard_dispatch.cpp
+++ b/src/cassiastile/work/task_shard_dispatch.cpp
@@ -79,16 +79,16 @@
   host.reserve = {};
   const auto held = m_held_until.find(host.name);
   host.held = held != m_held_until.end() && m_moment.now < held->second;
-  host.held_for.clear();
+  host.reserved_for_team.clear();
   const auto worker = m_workers.find(host.name);
   host.open = host.in_service && !m_leaving_until.contains(host.name) &&
               worker != m_workers.end() && worker->second.polled &&
               !worker->second.leaving &&
               m_moment.now - worker->second.last_poll <= m_options.silence;
-  const WorkerTrust trust = m_health.TrustIn(host.name, m_moment.now);
-  host.idempotent_only = trust == WorkerTrust::kProbing;
-  if (trust == WorkerTrust::kQuarantined ||
-      (trust == WorkerTrust::kProbing && !tasks.runs.empty())) {
+  const WorkerHealthState trust = m_health.HealthOf(host.name, m_moment.now);
+  host.idempotent_only = trust == WorkerHealthState::kProbing;
+  if (trust == WorkerHealthState::kQuarantined ||
+      (trust == WorkerHealthState::kProbing && !tasks.runs.empty())) {
     host.open = false;
   }
 }
@@ -100,7 +100,7 @@
     const auto next = std::min_element(
         teams.begin(), teams.end(),
         [this](const std::string& left, const std::string& right) {
-          return m_shares.Standing(left) < m_shares.Standing(right);
+          return m_shares.ProjectedUsage(left) < m_shares.ProjectedUsage(right);
         });
     const std::string team = *next;
     const PlaceResult result = PlaceNext(team, urgent);
@@ -141,7 +141,8 @@
   }
   wait.reason = fmt::format(
       "the pool is full: team {} has {:.1f} % of it, entitled to {:.1f} %",
-      team, 100 * m_shares.Part(team), 100 * m_shares.Entitlement(team));
+      team, 100 * m_shares.CurrentShare(team),
+      100 * m_shares.Entitlement(team));
   if (wait.waiting_since == base::TimePoint{}) {
     wait.waiting_since = m_moment.now;
   }
@@ -181,7 +182,7 @@
              {task.spec.urgent ? "urgent first, then fair share" : "fair share",
               "shares", m_version,
               fmt::format("team has {:.1f} % of the pool, entitled to {:.1f} %",
-                          100 * m_shares.Part(task.spec.team),
+                          100 * m_shares.CurrentShare(task.spec.team),
                           100 * m_shares.Entitlement(task.spec.team))});
   decision.reasons.push_back(
       {"spread over zones and racks", "pools", m_version,
@@ -205,11 +206,12 @@
   request.idempotent = task.spec.idempotent;
   request.spread = &spread;
   for (const TaskLease& lease : task.unconfirmed) {
-    request.avoid.push_back(lease.worker);
+    request.excluded_workers.push_back(lease.worker);
   }
   if (task.failed_on.size() < m_hosts.size()) {
-    request.avoid.insert(request.avoid.end(), task.failed_on.begin(),
-                         task.failed_on.end());
+    request.excluded_workers.insert(request.excluded_workers.end(),
+                                    task.failed_on.begin(),
+                                    task.failed_on.end());
   }
   return request;
 }
@@ -263,9 +265,9 @@
   for (const std::string& team : WaitingTeams(false)) {
     const base::TimePoint since = m_waits[team].waiting_since;
     const bool patient = since == base::TimePoint{} ||
-                         m_moment.now - since < m_options.share_patience;
+                         m_moment.now - since < m_options.preemption_delay;
     const bool near =
-        m_shares.Part(team) >= kFarBelow * m_shares.Entitlement(team);
+        m_shares.CurrentShare(team) >= kFarBelow * m_shares.Entitlement(team);
     if (patient || near || AtLimit(team)) {
       continue;
     }
@@ -295,7 +297,7 @@
   }
   best->claimed = best->claimed + size;
   best->held = true;
-  best->held_for = for_team;
+  best->reserved_for_team = for_team;
   if (for_team.empty()) {
     m_held_until[best->name] = m_moment.now + kRoomHeld;
   }
@@ -342,7 +344,8 @@
   }
   const std::string& team = task.spec.team;
   return for_team.empty() ||
-         (team != for_team && m_shares.Part(team) > m_shares.Entitlement(team));
+         (team != for_team &&
+          m_shares.CurrentShare(team) > m_shares.Entitlement(team));
 }
 
 void TaskShard::AskForCheckpoint(const std::string& key) {
@@ -372,7 +375,7 @@
   }
   if (best != nullptr) {
     best->held = true;
-    best->held_for = team;
+    best->reserved_for_team = team;
   }
 }
 
--- a/src/cassiastile/work/task_shard_poll.cpp
+++ b/src/cassiastile/work/task_shard_poll.cpp
@@ -70,7 +70,7 @@
   return {};
 }
 
-void TaskShard::NotePoll(const WorkerPoll& poll, base::TimePoint now) {
+void TaskShard::RecordPoll(const WorkerPoll& poll, base::TimePoint now) {
   const auto found = m_workers.find(poll.worker);
   if (found != m_workers.end() &&
       found->second.incarnation == poll.incarnation) {
@@ -224,7 +224,8 @@
   const auto& failed_on = entry.task.failed_on;
   const auto by_sick = std::count_if(
       failed_on.begin(), failed_on.end(), [this](const std::string& name) {
-        return m_health.TrustIn(name, m_moment.now) != WorkerTrust::kTrusted;
+        return m_health.HealthOf(name, m_moment.now) !=
+               WorkerHealthState::kHealthy;
       });
   // Failures on workers found sick don't count, but no task is tried for ever.
   const std::size_t tries =
--- a/src/cassiastile/work/worker_health.cpp
+++ b/src/cassiastile/work/worker_health.cpp
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-WorkerHealthBook::WorkerHealthBook(WorkerHealthOptions options)
+WorkerHealthTracker::WorkerHealthTracker(WorkerHealthOptions options)
     : m_options(options) {}
 
-bool WorkerHealthBook::RecordEnd(const std::string& worker,
-                                 const std::string& kind,
-                                 bool succeeded,
-                                 base::TimePoint now) {
+bool WorkerHealthTracker::RecordEnd(const std::string& worker,
+                                    const std::string& kind,
+                                    bool succeeded,
+                                    base::TimePoint now) {
   if (succeeded) {
     RecordSuccess(worker, kind, now);
     return false;
@@ -45,24 +45,24 @@
   return true;
 }
 
-WorkerTrust WorkerHealthBook::TrustIn(const std::string& worker,
-                                      base::TimePoint now) const {
+WorkerHealthState WorkerHealthTracker::HealthOf(const std::string& worker,
+                                                base::TimePoint now) const {
   const auto found = m_workers.find(worker);
   if (found == m_workers.end() || !found->second.distrusted) {
-    return WorkerTrust::kTrusted;
+    return WorkerHealthState::kHealthy;
   }
-  return now < found->second.until ? WorkerTrust::kQuarantined
-                                   : WorkerTrust::kProbing;
+  return now < found->second.until ? WorkerHealthState::kQuarantined
+                                   : WorkerHealthState::kProbing;
 }
 
-std::string WorkerHealthBook::Evidence(const std::string& worker) const {
+std::string WorkerHealthTracker::Evidence(const std::string& worker) const {
   const auto found = m_workers.find(worker);
   return found == m_workers.end() ? "" : found->second.evidence;
 }
 
-bool WorkerHealthBook::SucceedsElsewhere(const std::string& kind,
-                                         const std::string& worker,
-                                         base::TimePoint now) const {
+bool WorkerHealthTracker::SucceedsElsewhere(const std::string& kind,
+                                            const std::string& worker,
+                                            base::TimePoint now) const {
   const auto found = m_successes.find(kind);
   if (found == m_successes.end()) {
     return false;
@@ -74,9 +74,9 @@
                      });
 }
 
-void WorkerHealthBook::RecordSuccess(const std::string& worker,
-                                     const std::string& kind,
-                                     base::TimePoint now) {
+void WorkerHealthTracker::RecordSuccess(const std::string& worker,
+                                        const std::string& kind,
+                                        base::TimePoint now) {
   m_workers.erase(worker);
   if (m_successes.size() >= kMaxKinds && !m_successes.contains(kind)) {
     m_successes.erase(m_successes.begin());
@@ -91,7 +91,8 @@
   successes.push_back({worker, now});
 }
 
-void WorkerHealthBook::Quarantine(Health& health, base::TimePoint now) const {
+void WorkerHealthTracker::Quarantine(Health& health,
+                                     base::TimePoint now) const {
   health.length = health.distrusted ? std::min(health.length * 2,
                                                m_options.longest_quarantine)
                                     : m_options.first_quarantine;
