--- a/examples/entry/request_credits.cpp
+++ b/examples/entry/request_credits.cpp
@@ -10,7 +10,7 @@
   const entry::CreditNeeds needs{{"r1", {kSlots, 0, kSlots}}};
   work::LedgerRow row;
   for (const char* holder : {"e1#1", "e2#1", "e1#1", "e2#1"}) {
-    row = entry::PlanRow(row, holder, needs, {});
+    row = entry::PlanLedgerRow(row, holder, needs, {});
     std::printf("%s\n", work::FormatLedgerRow(row).c_str());
   }
   return 0;
--- a/include/cassiastile/entry/claim_store.hpp
+++ b/include/cassiastile/entry/claim_store.hpp
@@ -19,23 +19,23 @@
 namespace cassiastile::entry {
 
 // The claim is in the table; the request may be sent.
-struct ClaimTaken {};
+struct ClaimCommitted {};
 
 // There was one before, which decides how the request ends.
-struct ClaimFound {
+struct ClaimExists {
   work::Claim claim;
 };
 
 // The claim is not known to be in the table; the request must not be sent.
 struct ClaimFailed {};
 
-using ClaimResult = std::variant<ClaimTaken, ClaimFound, ClaimFailed>;
+using ClaimResult = std::variant<ClaimCommitted, ClaimExists, ClaimFailed>;
 using ClaimCallback = std::function<void(ClaimResult)>;
 
 struct ClaimStoreOptions {
   // The least time between two writes of claims, and of ended ones.
-  std::chrono::milliseconds claim_interval{60};
-  std::chrono::milliseconds end_interval{250};
+  std::chrono::milliseconds claim_write_interval{60};
+  std::chrono::milliseconds outcome_write_interval{250};
   std::size_t max_batch = 64;
   std::size_t max_waiting = 1024;
 };
@@ -59,12 +59,12 @@
 
   // Claims a row's key. The callback runs once, on the store's thread or, when
   // too many wait, at once.
-  void Take(std::string key, work::Claim claim, ClaimCallback callback);
+  void AcquireClaim(std::string key, work::Claim claim, ClaimCallback callback);
 
   // Records how a request ended whose claim was taken.
-  void End(std::string key,
-           const work::Claim& claim,
-           const work::Outcome& outcome);
+  void RecordOutcome(std::string key,
+                     const work::Claim& claim,
+                     const work::Outcome& outcome);
 
  private:
   struct Waiting {
--- a/include/cassiastile/entry/credit_account.hpp
+++ b/include/cassiastile/entry/credit_account.hpp
@@ -13,9 +13,9 @@
 namespace cassiastile::entry {
 
 // What spends the credits of one row. Safe for use by several threads.
-class CreditUser {
+class CreditConsumer {
  public:
-  virtual ~CreditUser() = default;
+  virtual ~CreditConsumer() = default;
 
   // What is needed, given what the row says.
   virtual CreditNeeds Needs(const work::LedgerRow& row,
@@ -28,20 +28,20 @@
 };
 
 // Gives back all that another user does not have in use.
-class ReturningUser final : public CreditUser {
+class ReleasingConsumer final : public CreditConsumer {
  public:
   // The user outlives it.
-  explicit ReturningUser(CreditUser& user) : m_user(user) {}
+  explicit ReleasingConsumer(CreditConsumer& user) : m_user(user) {}
 
   CreditNeeds Needs(const work::LedgerRow& row, base::TimePoint now) override;
   Grants Allow(const Grants& grants, base::TimePoint now) override;
 
  private:
-  CreditUser& m_user;
+  CreditConsumer& m_user;
 };
 
 // How an exchange with the table ended.
-enum class CreditStep : std::uint8_t {
+enum class CreditSyncResult : std::uint8_t {
   kUnchanged,
   kWritten,
   kConflict,     // Others wrote; worth another try at once.
@@ -58,23 +58,23 @@
                 work::HolderName holder,
                 std::uint64_t seed);
 
-  using GoneFinder = std::function<std::set<work::HolderName>(
+  using GoneHolderFinder = std::function<std::set<work::HolderName>(
       const std::set<work::HolderName>&)>;
 
   // Reads the row, and writes it when what is due differs.
-  CreditStep Step(CreditUser& user,
-                  const GoneFinder& find_gone,
-                  base::TimePoint now);
+  CreditSyncResult Sync(CreditConsumer& user,
+                        const GoneHolderFinder& find_gone,
+                        base::TimePoint now);
 
   // When the table last answered.
   base::TimePoint LastAnswer() const { return m_last_answer; }
 
  private:
-  CreditStep Write(CreditUser& user,
-                   const work::LedgerRow& row,
-                   std::uint64_t version,
-                   work::LedgerRow planned,
-                   base::TimePoint now);
+  CreditSyncResult Write(CreditConsumer& user,
+                         const work::LedgerRow& row,
+                         std::uint64_t version,
+                         work::LedgerRow planned,
+                         base::TimePoint now);
   bool Resolve();
 
   platform::Table& m_table;
--- a/include/cassiastile/entry/credit_plan.hpp
+++ b/include/cassiastile/entry/credit_plan.hpp
@@ -30,10 +30,10 @@
 
 // The row as the holder would have it: holders that are gone lose theirs, then
 // the holder takes and gives back what it is due.
-work::LedgerRow PlanRow(const work::LedgerRow& row,
-                        const work::HolderName& holder,
-                        const CreditNeeds& needs,
-                        const std::set<work::HolderName>& gone);
+work::LedgerRow PlanLedgerRow(const work::LedgerRow& row,
+                              const work::HolderName& holder,
+                              const CreditNeeds& needs,
+                              const std::set<work::HolderName>& gone);
 
 // Whether the planned row differs in more than small changes of what the
 // holder says that it wants.
--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -16,7 +16,7 @@
 #include "cassiastile/config/fleet_source.hpp"
 #include "cassiastile/entry/claim_store.hpp"
 #include "cassiastile/entry/holder_watch.hpp"
-#include "cassiastile/entry/intake.hpp"
+#include "cassiastile/entry/request_validation.hpp"
 #include "cassiastile/entry/service_gateway.hpp"
 #include "cassiastile/entry/team_credits.hpp"
 #include "cassiastile/platform/host_list.hpp"
@@ -32,21 +32,21 @@
   std::string zone;
   std::uint64_t incarnation = 1;
   std::uint64_t seed = 1;
-  IntakeLimits limits;
+  RequestLimits limits;
   HolderWatchOptions watch;
   ClaimStoreOptions claims;
   work::DispatcherOptions dispatcher;
   std::size_t max_answer_bytes = 4U << 20U;
   std::size_t connections_per_runner = 8;  // Of this host, kept ones included.
   std::chrono::milliseconds tick{20};
-  std::chrono::milliseconds listing{500};
-  std::chrono::milliseconds member_reading{5000};
-  std::chrono::milliseconds credit_step{250};
-  std::chrono::milliseconds credit_jitter{100};
+  std::chrono::milliseconds listing_interval{500};
+  std::chrono::milliseconds member_read_interval{5000};
+  std::chrono::milliseconds credit_sync_interval{250};
+  std::chrono::milliseconds credit_sync_jitter{100};
 };
 
 // What the service works with. All of it outlives the service.
-struct EntryPorts {
+struct EntryDependencies {
   platform::Table& table;
   platform::HostList& hosts;
   const config::FleetSource& fleet;
@@ -62,7 +62,7 @@
   // Fails when an option can't be used.
   static base::Result<std::unique_ptr<EntryService>> Create(
       EntryOptions options,
-      const EntryPorts& ports);
+      const EntryDependencies& ports);
   // Calls still under way are ended; drain the HTTP server before.
   ~EntryService();
   EntryService(const EntryService&) = delete;
@@ -90,13 +90,13 @@
     std::unique_ptr<CreditAccount> account;
   };
 
-  EntryService(EntryOptions options, const EntryPorts& ports);
+  EntryService(EntryOptions options, const EntryDependencies& ports);
   void Start();
   void Handle(wire::HttpRequest request, wire::HttpResponder respond);
-  void HandleGood(Intake intake,
+  void HandleGood(ValidatedRequest intake,
                   const std::shared_ptr<const wire::HttpRequest>& request,
                   wire::HttpResponder respond);
-  void Claim(const Intake& intake,
+  void Claim(const ValidatedRequest& intake,
              const std::string& key,
              const std::shared_ptr<ServiceGateway>& gateway,
              GatewayRequest request);
@@ -122,14 +122,14 @@
   void CheckKeys();
   void List();
   void ReadIncarnations();
-  void StepCredits();
+  void SyncCredits();
   std::vector<std::pair<CreditAccount*, std::shared_ptr<ServiceShard>>>
   AllAccounts();
   bool AnyLacksSlots() const;
-  CreditStep StepAccount(CreditAccount& account, CreditUser& user);
+  CreditSyncResult SyncAccount(CreditAccount& account, CreditConsumer& user);
 
   EntryOptions m_options;
-  EntryPorts m_ports;
+  EntryDependencies m_ports;
   work::HolderName m_holder;
   std::atomic<work::RequestId> m_next_id{1};
   std::atomic<bool> m_draining{false};
--- a/include/cassiastile/entry/holder_watch.hpp
+++ b/include/cassiastile/entry/holder_watch.hpp
@@ -18,7 +18,7 @@
   // The longest time that a request of a process that is gone may still run.
   base::Duration longest_request = std::chrono::seconds(60);
   // How long a host must be missing from the list before it counts as gone.
-  base::Duration absence = std::chrono::minutes(10);
+  base::Duration max_absence = std::chrono::minutes(10);
 };
 
 // The name under which a process holds credits.
@@ -46,8 +46,9 @@
   bool IsGone(const work::HolderName& holder, base::TimePoint now);
 
   // Of the holders in a row, those that are gone.
-  std::set<work::HolderName> FindGone(const std::set<work::HolderName>& holders,
-                                      base::TimePoint now);
+  std::set<work::HolderName> FindGoneHolders(
+      const std::set<work::HolderName>& holders,
+      base::TimePoint now);
 
   // Whether others may soon take this host's credits for abandoned: neither
   // was it listed nor did it reach the store for most of the time that allows
--- a/include/cassiastile/entry/refusal_decision.hpp
+++ b/include/cassiastile/entry/refusal_decision.hpp
@@ -17,7 +17,7 @@
   std::uint64_t version = 0;  // Of the document in force.
   base::WallTime at{};
   base::TimePoint now{};
-  ServiceShard::Figures figures;
+  ServiceShard::Stats figures;
 };
 
 // The decision for an auditor: which rule of which section refused, and what
--- a/include/cassiastile/entry/intake.hpp
+++ b/include/cassiastile/entry/request_validation.hpp
@@ -15,7 +15,7 @@
 namespace cassiastile::entry {
 
 // What a caller's request may be at most.
-struct IntakeLimits {
+struct RequestLimits {
   std::size_t max_body_bytes = 1U << 20U;
   std::size_t max_header_bytes = 16U << 10U;  // All fields together.
   std::size_t max_headers = 64;
@@ -23,14 +23,14 @@
 };
 
 // What a request asks for, once its key and its form were found good.
-struct Intake {
+struct ValidatedRequest {
   std::string service;
   work::RequestTicket ticket;  // Without its id.
   std::optional<std::string> idempotency_key;
 };
 
 // The configuration that a request is checked against.
-struct IntakeContext {
+struct ValidationContext {
   const config::AcceptedFleet* accepted = nullptr;  // Null before the first.
   bool fresh = false;  // Whether team keys may be acted on.
   base::TimePoint now{};
@@ -38,12 +38,13 @@
 
 // Checks a request of /v1/services/<service>/<path>: its size and headers, that
 // the service exists, and its key.
-tl::expected<Intake, work::NotRun> ReadIntake(const wire::HttpRequest& request,
-                                              const IntakeContext& context,
-                                              const IntakeLimits& limits);
+tl::expected<ValidatedRequest, work::NotRun> ValidateRequest(
+    const wire::HttpRequest& request,
+    const ValidationContext& context,
+    const RequestLimits& limits);
 
 // The headers that are passed on to a runner, or back to a caller: without
 // those of the connection, the caller's key, and those this system sets.
-wire::HttpHeaders KeepEndToEnd(const wire::HttpHeaders& headers);
+wire::HttpHeaders KeepEndToEndHeaders(const wire::HttpHeaders& headers);
 
 }  // namespace cassiastile::entry
--- a/include/cassiastile/entry/service_shard.hpp
+++ b/include/cassiastile/entry/service_shard.hpp
@@ -32,7 +32,7 @@
 
 // The requests of one service on this host, under a lock of their own. Spends
 // the credits for the slots of the service's runners.
-class ServiceShard final : public CreditUser {
+class ServiceShard final : public CreditConsumer {
  public:
   ServiceShard(ServiceShardOptions options,
                ServiceShardHooks hooks,
@@ -47,8 +47,8 @@
   void SetRunners(const std::vector<work::ListedRunner>& listed,
                   base::TimePoint now);
   void SetSlotsPerRunner(std::uint32_t slots);
-  void Withdraw(const std::set<std::string>& valid_keys,
-                work::RefusalReason reason);
+  void RefuseInvalidKeys(const std::set<std::string>& valid_keys,
+                         work::RefusalReason reason);
 
   CreditNeeds Needs(const work::LedgerRow& row, base::TimePoint now) override;
   Grants Allow(const Grants& grants, base::TimePoint now) override;
@@ -62,14 +62,14 @@
   using TermsDecision = std::function<work::TeamQuota(std::uint32_t running)>;
   void DecideTerms(const std::string& team, const TermsDecision& decide);
 
-  struct Figures {
+  struct Stats {
     std::size_t waiting = 0;
     std::size_t unfinished = 0;
     std::uint32_t slots = 0;
     std::uint32_t in_use = 0;
     std::uint32_t ejected = 0;
   };
-  Figures ReadFigures() const;
+  Stats ReadStats() const;
 
  private:
   void CarryOut(work::RequestActions actions);
--- a/include/cassiastile/entry/team_credits.hpp
+++ b/include/cassiastile/entry/team_credits.hpp
@@ -20,7 +20,7 @@
 
 // Spends the credits for teams' limits on requests: splits what this host was
 // granted of each among its services, and sets teams' weights.
-class TeamCredits final : public CreditUser {
+class TeamCredits final : public CreditConsumer {
  public:
   // The source outlives it.
   TeamCredits(const config::FleetSource& source, ShardFinder shards);
--- a/include/cassiastile/standin/backend_simulation.hpp
+++ b/include/cassiastile/standin/backend_simulation.hpp
@@ -120,7 +120,7 @@
   void Arrive(const SimulatedRequest& request);
   void Complete(const ModelCompletion& completion);
   void TickHosts();
-  void StepCredits(std::uint32_t index);
+  void SyncCredits(std::uint32_t index);
   base::TimePoint NextEvent() const;
 
   void SendBaseline(std::uint64_t request);
--- a/include/cassiastile/wire/http_types.hpp
+++ b/include/cassiastile/wire/http_types.hpp
@@ -34,7 +34,7 @@
                                               std::string_view name);
 
 // The secret in `Authorization: Bearer SECRET`, or nothing.
-std::optional<std::string> FindBearerSecret(const HttpRequest& request);
+std::optional<std::string> FindBearerToken(const HttpRequest& request);
 
 // Encodes text for use as a segment of a path or a value of a query.
 std::string EncodePercent(std::string_view text);
--- a/include/cassiastile/work/request_dispatcher.hpp
+++ b/include/cassiastile/work/request_dispatcher.hpp
@@ -102,8 +102,8 @@
                 base::TimePoint read_at);
   void SetQuota(const std::map<std::string, TeamQuota>& terms);
   // Refuses what waits under a key that is none of these.
-  RequestActions Withdraw(const std::set<std::string>& valid_keys,
-                          RefusalReason reason);
+  RequestActions RefuseInvalidKeys(const std::set<std::string>& valid_keys,
+                                   RefusalReason reason);
 
   // How a request arriving now would be refused, or nothing.
   std::optional<NotRun> Preview(const RequestTicket& ticket,
--- a/src/bin/cassia_entry.cpp
+++ b/src/bin/cassia_entry.cpp
@@ -11,7 +11,7 @@
 constexpr std::int64_t kMostThreads = 64;
 constexpr std::int64_t kMostBodyBytes = 64 << 20;
 
-void ReadLimits(config::Settings& settings, entry::IntakeLimits& limits) {
+void ReadLimits(config::Settings& settings, entry::RequestLimits& limits) {
   limits.max_body_bytes = static_cast<std::size_t>(settings.Number(
       "max_body_bytes", static_cast<std::int64_t>(limits.max_body_bytes), 1,
       kMostBodyBytes));
--- a/src/cassiastile/control/access.cpp
+++ b/src/cassiastile/control/access.cpp
@@ -26,7 +26,7 @@
   if (!source.IsFresh(now)) {
     return NotFresh();
   }
-  const auto secret = wire::FindBearerSecret(request);
+  const auto secret = wire::FindBearerToken(request);
   const config::Operator* found =
       secret ? config::FindOperator(accepted->fleet, *secret) : nullptr;
   if (found == nullptr) {
@@ -40,7 +40,7 @@
 base::Result<std::string> TeamOf(const config::FleetSource& source,
                                  const wire::HttpRequest& request,
                                  base::TimePoint now) {
-  const auto secret = wire::FindBearerSecret(request);
+  const auto secret = wire::FindBearerToken(request);
   if (!secret) {
     return std::string();
   }
--- a/src/cassiastile/control/config_service.cpp
+++ b/src/cassiastile/control/config_service.cpp
@@ -65,7 +65,7 @@
   edit.text = text->get<std::string>();
   edit.base_version = base->get<std::uint64_t>();
   edit.dry_run = dry != body->end() && dry->get<bool>();
-  edit.key = wire::FindBearerSecret(request).value_or("");
+  edit.key = wire::FindBearerToken(request).value_or("");
   const auto named = request.path_parameters.find("section");
   if (named != request.path_parameters.end()) {
     edit.section = config::FindSection(named->second);
--- a/src/cassiastile/entry/claim_store.cpp
+++ b/src/cassiastile/entry/claim_store.cpp
@@ -57,9 +57,9 @@
   m_waiting.clear();
 }
 
-void ClaimStore::Take(std::string key,
-                      work::Claim claim,
-                      ClaimCallback callback) {
+void ClaimStore::AcquireClaim(std::string key,
+                              work::Claim claim,
+                              ClaimCallback callback) {
   {
     const std::lock_guard lock(m_mutex);
     if (m_waiting.size() < m_options.max_waiting && !m_stopping) {
@@ -72,9 +72,9 @@
   callback(ClaimFailed{});
 }
 
-void ClaimStore::End(std::string key,
-                     const work::Claim& claim,
-                     const work::Outcome& outcome) {
+void ClaimStore::RecordOutcome(std::string key,
+                               const work::Claim& claim,
+                               const work::Outcome& outcome) {
   const std::lock_guard lock(m_mutex);
   if (m_ended.size() < m_options.max_waiting) {
     m_ended.push_back({std::move(key), claim.nonce, EndClaim(claim, outcome)});
@@ -125,7 +125,7 @@
   if (m_waiting.empty() || now < m_next_claims) {
     return {};
   }
-  m_next_claims = now + m_options.claim_interval;
+  m_next_claims = now + m_options.claim_write_interval;
   return TakeSome(m_waiting, m_options.max_batch);
 }
 
@@ -134,7 +134,7 @@
   if (m_ended.empty() || now < m_next_ended) {
     return {};
   }
-  m_next_ended = now + m_options.end_interval;
+  m_next_ended = now + m_options.outcome_write_interval;
   return TakeSome(m_ended, m_options.max_batch);
 }
 
@@ -153,7 +153,7 @@
     const auto commit = m_table.Apply(transaction);
     if (commit) {
       for (Waiting& waiting : batch) {
-        waiting.callback(ClaimTaken{});
+        waiting.callback(ClaimCommitted{});
       }
       batch = std::move(twins);
       continue;
@@ -197,7 +197,7 @@
     }
     auto found = work::ParseClaim((*row)->value);
     if (found) {
-      waiting.callback(ClaimFound{std::move(*found)});
+      waiting.callback(ClaimExists{std::move(*found)});
     } else {
       waiting.callback(ClaimFailed{});
     }
@@ -210,7 +210,7 @@
 void ClaimStore::FailAll(std::vector<Waiting>& batch, bool may_be_written) {
   for (Waiting& waiting : batch) {
     if (may_be_written) {
-      End(waiting.key, waiting.claim, work::NotRun{});
+      RecordOutcome(waiting.key, waiting.claim, work::NotRun{});
     }
     waiting.callback(ClaimFailed{});
   }
--- a/src/cassiastile/entry/credit_account.cpp
+++ b/src/cassiastile/entry/credit_account.cpp
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-CreditNeeds ReturningUser::Needs(const work::LedgerRow& row,
-                                 base::TimePoint now) {
+CreditNeeds ReleasingConsumer::Needs(const work::LedgerRow& row,
+                                     base::TimePoint now) {
   CreditNeeds needs = m_user.Needs(row, now);
   for (auto& [resource, need] : needs) {
     need.wanted = need.in_use;
@@ -56,7 +56,7 @@
   return needs;
 }
 
-Grants ReturningUser::Allow(const Grants& grants, base::TimePoint now) {
+Grants ReleasingConsumer::Allow(const Grants& grants, base::TimePoint now) {
   return m_user.Allow(grants, now);
 }
 
@@ -69,37 +69,37 @@
       m_holder(std::move(holder)),
       m_random(seed) {}
 
-CreditStep CreditAccount::Step(CreditUser& user,
-                               const GoneFinder& find_gone,
-                               base::TimePoint now) {
+CreditSyncResult CreditAccount::Sync(CreditConsumer& user,
+                                     const GoneHolderFinder& find_gone,
+                                     base::TimePoint now) {
   if (!Resolve()) {
-    return CreditStep::kUnreachable;
+    return CreditSyncResult::kUnreachable;
   }
   const auto read = m_table.Get(m_key);
   if (!read) {
-    return CreditStep::kUnreachable;
+    return CreditSyncResult::kUnreachable;
   }
   m_last_answer = now;
   const std::string text = read->has_value() ? (*read)->value : "{}";
   const std::uint64_t version = read->has_value() ? (*read)->version : 0;
   const auto row = work::ParseLedgerRow(text);
   if (!row) {
-    return CreditStep::kUnreachable;
+    return CreditSyncResult::kUnreachable;
   }
-  work::LedgerRow planned = PlanRow(*row, m_holder, user.Needs(*row, now),
-                                    find_gone(HoldersOf(*row)));
+  work::LedgerRow planned = PlanLedgerRow(*row, m_holder, user.Needs(*row, now),
+                                          find_gone(HoldersOf(*row)));
   if (!IsWorthWriting(*row, planned, m_holder)) {
     user.Allow(GrantsOf(*row, m_holder), now);
-    return CreditStep::kUnchanged;
+    return CreditSyncResult::kUnchanged;
   }
   return Write(user, *row, version, std::move(planned), now);
 }
 
-CreditStep CreditAccount::Write(CreditUser& user,
-                                const work::LedgerRow& row,
-                                std::uint64_t version,
-                                work::LedgerRow planned,
-                                base::TimePoint now) {
+CreditSyncResult CreditAccount::Write(CreditConsumer& user,
+                                      const work::LedgerRow& row,
+                                      std::uint64_t version,
+                                      work::LedgerRow planned,
+                                      base::TimePoint now) {
   const Grants held = GrantsOf(row, m_holder);
   const Grants in_use =
       user.Allow(LowerOf(held, GrantsOf(planned, m_holder)), now);
@@ -111,17 +111,17 @@
   const auto commit = m_table.Apply(transaction);
   if (commit) {
     user.Allow(GrantsOf(planned, m_holder), now);
-    return CreditStep::kWritten;
+    return CreditSyncResult::kWritten;
   }
   switch (commit.error().code) {
     case base::ErrorCode::kConflict:
-      return CreditStep::kConflict;
+      return CreditSyncResult::kConflict;
     case base::ErrorCode::kUnavailable:
       user.Allow(held, now);
-      return CreditStep::kUnreachable;
+      return CreditSyncResult::kUnreachable;
     default:
       m_unresolved = std::move(transaction);
-      return CreditStep::kUnreachable;
+      return CreditSyncResult::kUnreachable;
   }
 }
 
--- a/src/cassiastile/entry/credit_account_test.cpp
+++ b/src/cassiastile/entry/credit_account_test.cpp
@@ -12,7 +12,7 @@
 const std::string kKey = "ledger/slots/draw";
 
 // Wants a fixed number of slots on one runner.
-class FixedUser final : public CreditUser {
+class FixedUser final : public CreditConsumer {
  public:
   CreditNeeds Needs(const work::LedgerRow&, base::TimePoint) override {
     return {{"r1", {8, in_use, wanted}}};
@@ -50,63 +50,67 @@
 };
 
 TEST_F(CreditAccountTest, CreditsAreUsedAfterTheWriteThatGrantsThem) {
-  EXPECT_EQ(m_account.Step(m_user, Nobody, kStart), CreditStep::kWritten);
+  EXPECT_EQ(m_account.Sync(m_user, Nobody, kStart), CreditSyncResult::kWritten);
   EXPECT_EQ(m_user.allowed, 8U);
 }
 
 TEST_F(CreditAccountTest, LostAnswerGrantsNothingUntilItIsResolved) {
   m_table.SetFaults({.delay_apply = 1});
-  EXPECT_EQ(m_account.Step(m_user, Nobody, kStart), CreditStep::kUnreachable);
+  EXPECT_EQ(m_account.Sync(m_user, Nobody, kStart),
+            CreditSyncResult::kUnreachable);
   EXPECT_EQ(m_user.allowed, 0U);
   // The other host's write comes first; the delayed one then does not apply.
   m_table.SetFaults({});
-  m_other_account.Step(m_other, Nobody, kStart);
-  while (m_account.Step(m_user, Nobody, kStart) == CreditStep::kUnreachable) {
+  m_other_account.Sync(m_other, Nobody, kStart);
+  while (m_account.Sync(m_user, Nobody, kStart) ==
+         CreditSyncResult::kUnreachable) {
   }
   EXPECT_LE(m_user.allowed + m_other.allowed, 8U);
 }
 
 TEST_F(CreditAccountTest, GivingBackStopsUseEvenWhenTheAnswerIsLost) {
-  m_account.Step(m_user, Nobody, kStart);
+  m_account.Sync(m_user, Nobody, kStart);
   m_user.wanted = 2;
   m_table.SetFaults({.lose_answer = 1});
-  m_account.Step(m_user, Nobody, kStart);
+  m_account.Sync(m_user, Nobody, kStart);
   EXPECT_EQ(m_user.allowed, 2U);
   EXPECT_EQ(GrantedIn("e1#1"), 2U);
 }
 
 TEST_F(CreditAccountTest, HeldCreditsServeWhileTheStoreIsDown) {
-  m_account.Step(m_user, Nobody, kStart);
+  m_account.Sync(m_user, Nobody, kStart);
   m_table.SetFaults({.down = true});
   m_user.wanted = 0;
-  EXPECT_EQ(m_account.Step(m_user, Nobody, kStart), CreditStep::kUnreachable);
+  EXPECT_EQ(m_account.Sync(m_user, Nobody, kStart),
+            CreditSyncResult::kUnreachable);
   EXPECT_EQ(m_user.allowed, 8U);
 }
 
 TEST_F(CreditAccountTest, WhatIsInUseIsNotGivenBack) {
-  m_account.Step(m_user, Nobody, kStart);
+  m_account.Sync(m_user, Nobody, kStart);
   m_user.in_use = 5;
-  ReturningUser returning(m_user);
-  m_account.Step(returning, Nobody, kStart);
+  ReleasingConsumer returning(m_user);
+  m_account.Sync(returning, Nobody, kStart);
   EXPECT_EQ(GrantedIn("e1#1"), 5U);
 }
 
 TEST_F(CreditAccountTest, LittleChangesAreNotWritten) {
   m_user.wanted = 3;
-  m_account.Step(m_user, Nobody, kStart);
+  m_account.Sync(m_user, Nobody, kStart);
   const auto writes = m_table.Counts().writes;
   for (int i = 0; i < 10; ++i) {
-    EXPECT_EQ(m_account.Step(m_user, Nobody, kStart), CreditStep::kUnchanged);
+    EXPECT_EQ(m_account.Sync(m_user, Nobody, kStart),
+              CreditSyncResult::kUnchanged);
   }
   EXPECT_EQ(m_table.Counts().writes, writes);
 }
 
 TEST_F(CreditAccountTest, HolderThatIsGoneLosesItsCredits) {
-  m_other_account.Step(m_other, Nobody, kStart);
+  m_other_account.Sync(m_other, Nobody, kStart);
   const auto gone = [](const std::set<work::HolderName>&) {
     return std::set<work::HolderName>{"e2#1"};
   };
-  m_account.Step(m_user, gone, kStart);
+  m_account.Sync(m_user, gone, kStart);
   EXPECT_EQ(GrantedIn("e1#1"), 8U);
   EXPECT_EQ(GrantedIn("e2#1"), 0U);
 }
--- a/src/cassiastile/entry/credit_plan.cpp
+++ b/src/cassiastile/entry/credit_plan.cpp
@@ -73,10 +73,10 @@
   return grants;
 }
 
-work::LedgerRow PlanRow(const work::LedgerRow& row,
-                        const work::HolderName& holder,
-                        const CreditNeeds& needs,
-                        const std::set<work::HolderName>& gone) {
+work::LedgerRow PlanLedgerRow(const work::LedgerRow& row,
+                              const work::HolderName& holder,
+                              const CreditNeeds& needs,
+                              const std::set<work::HolderName>& gone) {
   work::LedgerRow planned = row;
   ForfeitAll(planned, gone);
   for (const auto& [resource, need] : needs) {
--- a/src/cassiastile/entry/entry_bench.hpp
+++ b/src/cassiastile/entry/entry_bench.hpp
@@ -89,11 +89,11 @@
     EntryOptions options;
     options.name = name;
     options.zone = "z1";
-    options.listing = std::chrono::milliseconds(50);
-    options.credit_step = std::chrono::milliseconds(50);
-    options.credit_jitter = std::chrono::milliseconds(20);
-    options.claims.claim_interval = std::chrono::milliseconds(5);
-    options.claims.end_interval = std::chrono::milliseconds(5);
+    options.listing_interval = std::chrono::milliseconds(50);
+    options.credit_sync_interval = std::chrono::milliseconds(50);
+    options.credit_sync_jitter = std::chrono::milliseconds(20);
+    options.claims.claim_write_interval = std::chrono::milliseconds(5);
+    options.claims.outcome_write_interval = std::chrono::milliseconds(5);
     options.limits.max_body_bytes = 1000;
     options.limits.max_headers = 20;
     m_service = EntryService::Create(
--- a/src/cassiastile/entry/entry_service.cpp
+++ b/src/cassiastile/entry/entry_service.cpp
@@ -25,7 +25,7 @@
 
 base::Result<std::unique_ptr<EntryService>> EntryService::Create(
     EntryOptions options,
-    const EntryPorts& ports) {
+    const EntryDependencies& ports) {
   if (options.name.empty() || options.name.find('#') != std::string::npos) {
     return base::Fail(base::ErrorCode::kInvalid,
                       "The host's name must be set and have no '#'.");
@@ -40,7 +40,7 @@
   return service;
 }
 
-EntryService::EntryService(EntryOptions options, const EntryPorts& ports)
+EntryService::EntryService(EntryOptions options, const EntryDependencies& ports)
     : m_options(std::move(options)),
       m_ports(ports),
       m_holder(MakeHolderName(m_options.name, m_options.incarnation)),
@@ -96,7 +96,7 @@
 
 void EntryService::UpdateMetrics() {
   for (const auto& [service, shard] : AllShards()) {
-    const ServiceShard::Figures figures = shard->ReadFigures();
+    const ServiceShard::Stats figures = shard->ReadStats();
     const wire::Metrics::Labels labels{{"service", service}};
     wire::Metrics& metrics = m_ports.metrics;
     metrics
@@ -120,8 +120,9 @@
                           wire::HttpResponder respond) {
   const base::TimePoint now = m_ports.clock.Now();
   const auto accepted = m_ports.fleet.Current();
-  const IntakeContext context{accepted.get(), m_ports.fleet.IsFresh(now), now};
-  auto intake = ReadIntake(request, context, m_options.limits);
+  const ValidationContext context{accepted.get(), m_ports.fleet.IsFresh(now),
+                                  now};
+  auto intake = ValidateRequest(request, context, m_options.limits);
   auto shared = std::make_shared<const wire::HttpRequest>(std::move(request));
   if (!intake) {
     work::RequestTicket ticket;
@@ -134,7 +135,7 @@
 }
 
 void EntryService::HandleGood(
-    Intake intake,
+    ValidatedRequest intake,
     const std::shared_ptr<const wire::HttpRequest>& request,
     wire::HttpResponder respond) {
   intake.ticket.id = m_next_id.fetch_add(1);
@@ -161,7 +162,7 @@
 }
 
 // Claims the caller's key before the request may be sent.
-void EntryService::Claim(const Intake& intake,
+void EntryService::Claim(const ValidatedRequest& intake,
                          const std::string& key,
                          const std::shared_ptr<ServiceGateway>& gateway,
                          GatewayRequest request) {
@@ -178,7 +179,7 @@
   const std::string row = work::ClaimKey(intake.ticket.team, key);
   auto take = [this, row, claim, gateway, request = std::move(request)](
                   const ClaimResult& result) mutable {
-    if (const auto* found = std::get_if<ClaimFound>(&result)) {
+    if (const auto* found = std::get_if<ClaimExists>(&result)) {
       request.done(work::OutcomeOfRetry(found->claim, claim.fingerprint));
       return;
     }
@@ -190,12 +191,12 @@
     }
     request.done = [this, row, claim,
                     done = std::move(request.done)](work::Outcome outcome) {
-      m_claims->End(row, claim, outcome);
+      m_claims->RecordOutcome(row, claim, outcome);
       done(std::move(outcome));
     };
     gateway->Accept(std::move(request));
   };
-  m_claims->Take(row, claim, std::move(take));
+  m_claims->AcquireClaim(row, claim, std::move(take));
 }
 
 void EntryService::Answer(const std::string& service,
@@ -240,7 +241,7 @@
   context.now = m_ports.clock.Now();
   const auto gateway = FindGateway(service);
   if (gateway) {
-    context.figures = gateway->Shard().ReadFigures();
+    context.figures = gateway->Shard().ReadStats();
   }
   m_ports.decisions.Record(MakeRefusalDecision(context, outcome));
   return context.id;
--- a/src/cassiastile/entry/entry_service_test.cpp
+++ b/src/cassiastile/entry/entry_service_test.cpp
@@ -72,8 +72,8 @@
   for (const auto& decision : m_shared.decisions.All()) {
     EXPECT_EQ(decision.subject.find("secret"), std::string::npos);
   }
-  const wire::HttpHeaders passed =
-      KeepEndToEnd({{"Authorization", "Bearer secret"}, {"Accept", "*/*"}});
+  const wire::HttpHeaders passed = KeepEndToEndHeaders(
+      {{"Authorization", "Bearer secret"}, {"Accept", "*/*"}});
   EXPECT_EQ(passed, (wire::HttpHeaders{{"Accept", "*/*"}}));
 }
 
--- a/src/cassiastile/entry/entry_threads.cpp
+++ b/src/cassiastile/entry/entry_threads.cpp
@@ -46,11 +46,11 @@
 void EntryService::ReturnCredits() {
   const std::lock_guard lock(m_credits_mutex);
   m_returned = true;
-  ReturningUser teams(m_team_credits);
-  static_cast<void>(StepAccount(m_team_account, teams));
+  ReleasingConsumer teams(m_team_credits);
+  static_cast<void>(SyncAccount(m_team_account, teams));
   for (const auto& [account, shard] : AllAccounts()) {
-    ReturningUser slots(*shard);
-    static_cast<void>(StepAccount(*account, slots));
+    ReleasingConsumer slots(*shard);
+    static_cast<void>(SyncAccount(*account, slots));
   }
 }
 
@@ -70,9 +70,9 @@
     List();
     if (m_ports.clock.Now() >= next_members) {
       ReadIncarnations();
-      next_members = m_ports.clock.Now() + m_options.member_reading;
+      next_members = m_ports.clock.Now() + m_options.member_read_interval;
     }
-  } while (Sleep(m_options.listing));
+  } while (Sleep(m_options.listing_interval));
 }
 
 // Exchanges credits now and then, and at once when requests begin to wait.
@@ -86,11 +86,12 @@
       continue;
     }
     lacked = lacks;
-    StepCredits();
+    SyncCredits();
     std::uniform_int_distribution<std::int64_t> jitter(
-        0, m_options.credit_jitter.count());
+        0, m_options.credit_sync_jitter.count());
     const std::lock_guard lock(m_random_mutex);
-    left = m_options.credit_step + std::chrono::milliseconds(jitter(m_random));
+    left = m_options.credit_sync_interval +
+           std::chrono::milliseconds(jitter(m_random));
   }
 }
 
@@ -156,7 +157,7 @@
   const auto reason = fresh ? work::RefusalReason::kUnknownKey
                             : work::RefusalReason::kStaleConfiguration;
   for (const auto& [name, shard] : AllShards()) {
-    shard->Withdraw(keys, reason);
+    shard->RefuseInvalidKeys(keys, reason);
   }
 }
 
@@ -189,14 +190,14 @@
   }
 }
 
-void EntryService::StepCredits() {
+void EntryService::SyncCredits() {
   const std::lock_guard lock(m_credits_mutex);
   if (m_returned) {
     return;
   }
-  static_cast<void>(StepAccount(m_team_account, m_team_credits));
+  static_cast<void>(SyncAccount(m_team_account, m_team_credits));
   for (const auto& [account, shard] : AllAccounts()) {
-    static_cast<void>(StepAccount(*account, *shard));
+    static_cast<void>(SyncAccount(*account, *shard));
   }
 }
 
@@ -217,18 +218,20 @@
   });
 }
 
-CreditStep EntryService::StepAccount(CreditAccount& account, CreditUser& user) {
+CreditSyncResult EntryService::SyncAccount(CreditAccount& account,
+                                           CreditConsumer& user) {
   constexpr int kMaxConflicts = 3;
   const auto find_gone = [this](const std::set<work::HolderName>& holders) {
     const std::lock_guard lock(m_list_mutex);
-    return m_watch.FindGone(holders, m_ports.clock.Now());
+    return m_watch.FindGoneHolders(holders, m_ports.clock.Now());
   };
-  CreditStep step = CreditStep::kConflict;
-  for (int i = 0; i < kMaxConflicts && step == CreditStep::kConflict; ++i) {
-    step = account.Step(user, find_gone, m_ports.clock.Now());
+  CreditSyncResult step = CreditSyncResult::kConflict;
+  for (int i = 0; i < kMaxConflicts && step == CreditSyncResult::kConflict;
+       ++i) {
+    step = account.Sync(user, find_gone, m_ports.clock.Now());
   }
   const std::lock_guard lock(m_list_mutex);
-  if (step == CreditStep::kUnreachable &&
+  if (step == CreditSyncResult::kUnreachable &&
       m_watch.MayBeForfeited(account.LastAnswer(), m_ports.clock.Now())) {
     user.Allow({}, m_ports.clock.Now());
   }
--- a/src/cassiastile/entry/holder_watch.cpp
+++ b/src/cassiastile/entry/holder_watch.cpp
@@ -81,10 +81,10 @@
     return now - seen.incarnation_since >= m_options.longest_request;
   }
   return m_self_listed && seen.missing_since &&
-         now - *seen.missing_since >= m_options.absence;
+         now - *seen.missing_since >= m_options.max_absence;
 }
 
-std::set<work::HolderName> HolderWatch::FindGone(
+std::set<work::HolderName> HolderWatch::FindGoneHolders(
     const std::set<work::HolderName>& holders,
     base::TimePoint now) {
   std::set<work::HolderName> gone;
@@ -99,7 +99,8 @@
 bool HolderWatch::MayBeForfeited(base::TimePoint last_store_answer,
                                  base::TimePoint now) const {
   const base::TimePoint last_sign = std::max(last_store_answer, m_self_seen);
-  return now - last_sign >= m_options.absence - 2 * m_options.longest_request;
+  return now - last_sign >=
+         m_options.max_absence - 2 * m_options.longest_request;
 }
 
 }  // namespace cassiastile::entry
--- a/src/cassiastile/entry/refusal_decision.cpp
+++ b/src/cassiastile/entry/refusal_decision.cpp
@@ -34,7 +34,7 @@
   if (!WasTakenIn(context)) {
     return "refused on arrival, before it was queued";
   }
-  const ServiceShard::Figures& figures = context.figures;
+  const ServiceShard::Stats& figures = context.figures;
   return fmt::format(
       "{} waiting, {} of {} slots in use, {} runners ejected; {} ms after it "
       "came, {} ms before its deadline",
--- a/src/cassiastile/entry/intake.cpp
+++ b/src/cassiastile/entry/request_validation.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/entry/intake.hpp"
+#include "cassiastile/entry/request_validation.hpp"
 
 #include <algorithm>
 #include <array>
@@ -38,7 +38,7 @@
                                                         "cassiastile-team",
                                                         "cassiastile-runner"};
 
-using Read = tl::expected<Intake, work::NotRun>;
+using Read = tl::expected<ValidatedRequest, work::NotRun>;
 
 tl::unexpected<work::NotRun> Refuse(work::RefusalReason reason,
                                     std::string detail,
@@ -60,7 +60,7 @@
 }
 
 std::optional<work::NotRun> CheckSize(const wire::HttpRequest& request,
-                                      const IntakeLimits& limits) {
+                                      const RequestLimits& limits) {
   using work::RefusalReason;
   if (request.body.size() > limits.max_body_bytes) {
     return work::NotRun{RefusalReason::kTooLarge,
@@ -89,7 +89,7 @@
 std::optional<std::chrono::milliseconds> ReadTimeout(
     const wire::HttpRequest& request,
     const config::Service& service,
-    const IntakeLimits& limits) {
+    const RequestLimits& limits) {
   const auto header = wire::FindHeader(request.headers, work::kTimeoutHeader);
   if (!header) {
     return std::min(service.deadline, limits.longest_timeout);
@@ -113,10 +113,10 @@
 // requests without a key.
 std::optional<work::NotRun> CheckKey(const wire::HttpRequest& request,
                                      const config::Service& service,
-                                     const IntakeContext& context,
+                                     const ValidationContext& context,
                                      work::RequestTicket& ticket) {
   constexpr std::chrono::seconds kFreshAgain{2};
-  const auto secret = wire::FindBearerSecret(request);
+  const auto secret = wire::FindBearerToken(request);
   if (!secret && service.open) {
     return std::nullopt;
   }
@@ -138,9 +138,10 @@
 
 }  // namespace
 
-tl::expected<Intake, work::NotRun> ReadIntake(const wire::HttpRequest& request,
-                                              const IntakeContext& context,
-                                              const IntakeLimits& limits) {
+tl::expected<ValidatedRequest, work::NotRun> ValidateRequest(
+    const wire::HttpRequest& request,
+    const ValidationContext& context,
+    const RequestLimits& limits) {
   using work::RefusalReason;
   constexpr std::chrono::seconds kSoon{2};
   if (const auto refusal = CheckSize(request, limits)) {
@@ -153,7 +154,7 @@
     return Refuse(RefusalReason::kStaleConfiguration,
                   "This host has no configuration yet.", kSoon);
   }
-  Intake intake;
+  ValidatedRequest intake;
   intake.service = request.path_parameters.at("service");
   const config::Service* service =
       config::FindService(context.accepted->fleet, intake.service);
@@ -183,7 +184,7 @@
   return intake;
 }
 
-wire::HttpHeaders KeepEndToEnd(const wire::HttpHeaders& headers) {
+wire::HttpHeaders KeepEndToEndHeaders(const wire::HttpHeaders& headers) {
   wire::HttpHeaders kept;
   for (const auto& [name, value] : headers) {
     if (!IsIn(kNotPassedOn, ToLower(name))) {
--- a/src/cassiastile/entry/service_gateway.cpp
+++ b/src/cassiastile/entry/service_gateway.cpp
@@ -3,7 +3,7 @@
 #include <utility>
 
 #include "cassiastile/base/hash.hpp"
-#include "cassiastile/entry/intake.hpp"
+#include "cassiastile/entry/request_validation.hpp"
 #include "cassiastile/work/request_try.hpp"
 
 namespace cassiastile::entry {
@@ -102,7 +102,8 @@
     m_requests.erase(found);
   }
   if (auto* answered = std::get_if<work::Answered>(&finish.outcome)) {
-    answered->response.headers = KeepEndToEnd(answered->response.headers);
+    answered->response.headers =
+        KeepEndToEndHeaders(answered->response.headers);
   }
   request->done(std::move(finish.outcome));
 }
@@ -113,7 +114,7 @@
   wire::HttpCall call;
   call.method = request.http->method;
   call.url = MakeUrl(send.address, *request.http);
-  call.headers = KeepEndToEnd(request.http->headers);
+  call.headers = KeepEndToEndHeaders(request.http->headers);
   call.headers.emplace_back(work::kRequestIdHeader, request_id);
   call.headers.emplace_back(work::kTimeoutHeader,
                             std::to_string(base::Milliseconds(send.timeout)));
--- a/src/cassiastile/entry/service_shard.cpp
+++ b/src/cassiastile/entry/service_shard.cpp
@@ -75,12 +75,12 @@
   m_options.slots_per_runner = slots;
 }
 
-void ServiceShard::Withdraw(const std::set<std::string>& valid_keys,
-                            work::RefusalReason reason) {
+void ServiceShard::RefuseInvalidKeys(const std::set<std::string>& valid_keys,
+                                     work::RefusalReason reason) {
   work::RequestActions actions;
   {
     const std::lock_guard lock(m_mutex);
-    actions = m_dispatcher.Withdraw(valid_keys, reason);
+    actions = m_dispatcher.RefuseInvalidKeys(valid_keys, reason);
   }
   CarryOut(std::move(actions));
 }
@@ -128,9 +128,9 @@
   m_dispatcher.SetQuota({{team, decide(running)}});
 }
 
-ServiceShard::Figures ServiceShard::ReadFigures() const {
+ServiceShard::Stats ServiceShard::ReadStats() const {
   const std::lock_guard lock(m_mutex);
-  Figures figures;
+  Stats figures;
   figures.waiting = m_dispatcher.Waiting();
   figures.unfinished = m_dispatcher.Unfinished();
   for (const work::Runner& runner : m_dispatcher.AllRunners()) {
--- a/src/cassiastile/standin/backend_simulation.cpp
+++ b/src/cassiastile/standin/backend_simulation.cpp
@@ -285,12 +285,12 @@
   }
   for (std::uint32_t i = 0; i < m_hosts.size(); ++i) {
     if (m_hosts[i].shard && m_now >= m_hosts[i].next_step) {
-      StepCredits(i);
+      SyncCredits(i);
     }
   }
 }
 
-void RequestSimulation::StepCredits(std::uint32_t index) {
+void RequestSimulation::SyncCredits(std::uint32_t index) {
   constexpr int kMaxConflicts = 3;
   Host& host = m_hosts[index];
   std::uniform_int_distribution<int> draw(
@@ -298,11 +298,11 @@
   host.next_step =
       m_now + kCreditStep + std::chrono::milliseconds(draw(m_random));
   const auto find_gone = [&](const std::set<work::HolderName>& holders) {
-    return host.watch->FindGone(holders, m_now);
+    return host.watch->FindGoneHolders(holders, m_now);
   };
   for (int i = 0; i < kMaxConflicts; ++i) {
-    const auto step = host.account->Step(*host.shard, find_gone, m_now);
-    if (step != entry::CreditStep::kConflict) {
+    const auto step = host.account->Sync(*host.shard, find_gone, m_now);
+    if (step != entry::CreditSyncResult::kConflict) {
       return;
     }
   }
--- a/src/cassiastile/wire/http_types.cpp
+++ b/src/cassiastile/wire/http_types.cpp
@@ -44,7 +44,7 @@
 
 }  // namespace
 
-std::optional<std::string> FindBearerSecret(const HttpRequest& request) {
+std::optional<std::string> FindBearerToken(const HttpRequest& request) {
   constexpr std::string_view kScheme = "Bearer ";
   const auto value = FindHeader(request.headers, "Authorization");
   if (!value || !value->starts_with(kScheme)) {
--- a/src/cassiastile/work/request_dispatcher.cpp
+++ b/src/cassiastile/work/request_dispatcher.cpp
@@ -151,7 +151,7 @@
   }
 }
 
-RequestActions RequestDispatcher::Withdraw(
+RequestActions RequestDispatcher::RefuseInvalidKeys(
     const std::set<std::string>& valid_keys,
     RefusalReason reason) {
   const auto withdrawn = [&valid_keys](const RequestTicket& ticket) {
--- a/src/cassiastile/work/request_dispatcher_test.cpp
+++ b/src/cassiastile/work/request_dispatcher_test.cpp
@@ -127,7 +127,7 @@
   }
   Arrive(false, "k1");
   const auto end = Only<FinishRequest>(
-      m_dispatcher.Withdraw({"k2"}, RefusalReason::kUnknownKey));
+      m_dispatcher.RefuseInvalidKeys({"k2"}, RefusalReason::kUnknownKey));
   EXPECT_TRUE(std::holds_alternative<NotRun>(end.outcome));
   EXPECT_EQ(m_dispatcher.Waiting(), 0U);
 }
