--- a/include/cassiastile/jobs/admission.hpp
+++ b/include/cassiastile/jobs/admission.hpp
@@ -10,12 +10,13 @@
 
 namespace cassiastile::jobs {
 
+// Why a submitted job was not accepted.
 enum class RefusalReason : std::uint8_t {
   kNone,
-  kOverload,          // It could not be done in time behind the work before it.
-  kStoreUnavailable,  // Jobs can't be recorded now.
-  kNoScheduler,       // No host is in office.
-  kTooLarge,          // No worker of the pool is large enough.
+  kOverload,          // It would miss its objective behind the backlog.
+  kStoreUnavailable,  // The store can't record jobs now.
+  kNoScheduler,       // No host is the leader.
+  kTooLarge,          // A task exceeds the capacity of every worker.
 };
 
 inline constexpr std::array<base::EnumName<RefusalReason>, 5> kRefusalNames{{
@@ -26,32 +27,36 @@
     {RefusalReason::kTooLarge, "too large"},
 }};
 
-// What admission knows of a pool and of the job at its door.
+// The state of a pool and of a job that asks to be admitted to it.
 struct AdmissionInput {
-  Work backlog;    // Ahead of the job, not yet done.
-  Resources pool;  // What jobs can use, with what is on its way.
-  // Its customer hands in more jobs a second than its weight.
+  Work backlog;  // Accepted work that is not done yet.
+  // Capacity usable by finite tasks, including machines that are on their way.
+  Resources pool;
+  // Whether its customer submits more jobs per second than its weight.
   bool beyond_share = false;
-  bool fits_now = false;  // Its first step finds room at once.
-  std::chrono::milliseconds critical_path{0};  // Longest chain of the job.
-  std::chrono::milliseconds objective{0};      // From its first request on.
+  bool fits_now = false;  // There is free capacity for its first step.
+  // Expected duration of the job's longest chain of steps.
+  std::chrono::milliseconds critical_path{0};
+  // Time left until the job's objective, which counts from its first request;
+  // negative when the objective has passed.
+  std::chrono::milliseconds objective{0};
 };
 
+// The decision on one job, with the values behind it.
 struct AdmissionVerdict {
   bool admitted = true;
   std::chrono::milliseconds retry_after{0};
-  // What was weighed: the wait behind the work ahead against what the job can
-  // bear.
+  // The values compared: the expected wait behind the backlog, and the longest
+  // wait with which the job still meets its objective.
   std::chrono::milliseconds wait{0};
   std::chrono::milliseconds slack{0};
 };
 
-// Answers one customer that sends many times its usual: what goes beyond its
-// share is taken only while there is room at once, so that the others' jobs
-// find theirs. Answers demand of several times the pool: a job that could not
-// meet its objective behind the work already taken is turned away at once, with
-// the time after which it could. Taking it would make it and those behind it
-// late.
+// Decides whether a job is accepted. A customer beyond its share is served from
+// free capacity only, so that a burst from one customer doesn't displace the
+// jobs of others. When demand exceeds the pool, a job that would miss its
+// objective behind the backlog is refused at once, with the time after which a
+// retry can succeed: accepting it would make it and the jobs behind it late.
 AdmissionVerdict Admit(const AdmissionInput& input);
 
 }  // namespace cassiastile::jobs
--- a/include/cassiastile/jobs/arrival_meter.hpp
+++ b/include/cassiastile/jobs/arrival_meter.hpp
@@ -11,7 +11,7 @@
 
 namespace cassiastile::jobs {
 
-// Work in resource-milliseconds.
+// An amount of work: resources multiplied by time.
 struct Work {
   double cpu = 0;     // Core-milliseconds.
   double memory = 0;  // Megabyte-milliseconds.
@@ -20,11 +20,13 @@
   Work& operator-=(const Work& other);
 };
 
-// When each job was first handed in. Callers that were turned away, or heard no
-// answer, come back with the same job, and its objective counts from the first
-// time. Old entries are forgotten, and the oldest when there are too many.
+// Records when each job was first submitted. Callers that were refused or got
+// no answer submit the same job again, and its objective counts from the first
+// submission. Entries expire with age, and the oldest are dropped when there
+// are too many.
 class FirstArrivals {
  public:
+  // Returns when the job was first submitted, which is `now` for a new job.
   base::TimePoint Note(const std::string& job, base::TimePoint now);
 
  private:
@@ -32,15 +34,15 @@
   std::deque<std::pair<base::TimePoint, std::string>> m_order;
 };
 
-// How much work callers hand in per time, refused jobs included. A job that is
-// handed in again soon after counts once.
+// Measures the rate at which work is submitted, including refused jobs. A job
+// that is submitted again within a few seconds counts once.
 class ArrivalMeter {
  public:
   void Add(const std::string& job, const Work& work, base::TimePoint now);
-  // Work per millisecond over the last moments: cores and megabytes in use if
-  // all of it ran at once.
+  // Mean work submitted per millisecond over the last half second: the cores
+  // and megabytes that would be in use if all of it ran as it arrived.
   Work Rate(base::TimePoint now);
-  // Jobs over the last seconds.
+  // Mean number of distinct jobs per second over the last 3 s.
   double JobsPerSecond(base::TimePoint now);
 
  private:
@@ -52,7 +54,7 @@
   void Forget(base::TimePoint now);
 
   std::deque<Arrival> m_arrivals;
-  std::unordered_set<std::string> m_jobs;  // Of the arrivals.
+  std::unordered_set<std::string> m_jobs;  // Ids of the jobs in m_arrivals.
 };
 
 }  // namespace cassiastile::jobs
--- a/include/cassiastile/jobs/duration_model.hpp
+++ b/include/cassiastile/jobs/duration_model.hpp
@@ -12,13 +12,15 @@
 
 namespace cassiastile::jobs {
 
-// The work of some tasks of a step that take so long each.
+// The work of `tasks` tasks of a step that take `each` on average.
 Work WorkOf(const StepSpec& step, std::chrono::milliseconds each, double tasks);
 
-// How long tasks of each queue really take. Callers' estimates are far off on
-// some queues and good on others; the model learns by how much to trust them.
+// Predicts task durations for each queue from observed ones. Callers' estimates
+// are accurate on some queues and far off on others; the model learns how much
+// weight to give them.
 class DurationModel {
  public:
+  // Adds a finished task with its estimated and its actual duration.
   void Observe(const std::string& queue,
                std::chrono::milliseconds estimate,
                std::chrono::milliseconds taken);
@@ -26,29 +28,33 @@
   // The expected duration of one task.
   std::chrono::milliseconds Expect(const std::string& queue,
                                    std::chrono::milliseconds estimate) const;
-  // For each step, the expected time from its begin to the end of the job; the
-  // largest is that of the longest chain.
+  // For each step, the expected time from its start to the end of the job. The
+  // largest value is the length of the critical path.
   std::vector<std::chrono::milliseconds> ExpectCriticalPaths(
       const std::string& queue,
       const JobSpec& spec) const;
-  // Expected work of one occurrence, long-running steps left out.
+  // Expected work of one occurrence, without long-running and filler steps.
   Work ExpectWork(const std::string& queue, const JobSpec& spec) const;
 
-  // What was learnt as bytes, for the next office, and back.
+  // Serializes the model for the next leader.
   std::string Encode() const;
   // Fails with kInvalid when the bytes are not what Encode wrote.
   static base::Result<DurationModel> Decode(const std::string& bytes);
+  // Whether durations of this queue have been observed.
   bool HasSamples(const std::string& queue) const {
     return m_entries.contains(queue);
   }
-  // Grows with each observation.
+  // Increases with each observation.
   std::uint64_t Revision() const { return m_revision; }
 
  private:
   struct Entry {
     double mean_ms = 0;
-    double ratio = 1;       // Taken over estimated, as a mean of logarithms.
-    double mean_error = 1;  // Mean squared error of each way, relative.
+    // Actual over estimated duration, as a geometric mean.
+    double ratio = 1;
+    // Mean squared relative error of a prediction by mean_ms; ratio_error is
+    // that of a prediction by ratio.
+    double mean_error = 1;
     double ratio_error = 1;
     int samples = 0;
 
--- a/include/cassiastile/jobs/fleet_config.hpp
+++ b/include/cassiastile/jobs/fleet_config.hpp
@@ -12,24 +12,26 @@
 
 namespace cassiastile::jobs {
 
-// How long the placement advisor of a queue takes, and how long what it says
-// holds.
+// The time that a queue's placement advisor takes, in total and per worker, and
+// for how long its answer is valid.
 struct AdviceConfig {
   std::chrono::milliseconds decision{0};
   std::chrono::milliseconds per_worker{0};
   std::chrono::milliseconds validity{0};
 };
 
+// A queue of jobs; requests are routed to it by host and path prefix.
 struct QueueConfig {
   std::string name;
   std::string host;
   std::string path_prefix;
   std::string service;
-  int priority = 0;  // 0 goes first.
+  int priority = 0;  // 0 is the highest.
   std::uint32_t max_attempts = 1;
-  double stretch = 1.0;  // Factor of the longest chain in a job's objective.
-  std::chrono::milliseconds slack{0};  // Added to the objective.
-  bool open = false;                   // Needs no key.
+  // A job's objective is its critical path times `stretch`, plus `slack`.
+  double stretch = 1.0;
+  std::chrono::milliseconds slack{0};
+  bool open = false;  // Accepts requests without an API key.
   std::optional<AdviceConfig> advice;
 };
 
@@ -37,32 +39,36 @@
 struct ServiceConfig {
   std::string name;
   bool workers_guard_capacity = true;
-  bool standby = false;  // Its machines are off and cost nothing.
+  // The spare pool, whose machines are off and cost nothing.
+  bool standby = false;
 };
 
+// A customer with its share, resource limit and API keys.
 struct CustomerConfig {
   std::string name;
+  // Submitting more jobs per second than this is beyond its share.
   double weight = 1.0;
-  Resources limit;  // 0 in a resource: no limit.
+  Resources limit;  // 0 means no limit for that resource.
   std::vector<std::string> keys;
 };
 
-// The operators' configuration of one version.
+// One version of the operators' configuration.
 struct FleetConfig {
   std::uint64_t version = 0;
   std::vector<QueueConfig> queues;
   std::vector<ServiceConfig> services;
   std::vector<CustomerConfig> customers;
 
+  // These return null when there is no such entry.
   const QueueConfig* FindQueue(std::string_view name) const;
   const ServiceConfig* FindService(std::string_view name) const;
   const CustomerConfig* FindCustomer(std::string_view name) const;
-  // The queue whose host is this one and whose prefix is the longest that the
-  // path begins with.
+  // The queue of this host with the longest prefix of the path, or null.
   const QueueConfig* Route(std::string_view host, std::string_view path) const;
+  // The customer with this API key, or null.
   const CustomerConfig* CustomerOfKey(const std::string& key) const;
 
-  // Must be called after the lists were filled.
+  // Builds the lookup tables. Must be called after the lists were filled.
   void BuildIndex();
 
  private:
--- a/include/cassiastile/jobs/job.hpp
+++ b/include/cassiastile/jobs/job.hpp
@@ -12,6 +12,7 @@
 
 namespace cassiastile::jobs {
 
+// The state of a job.
 enum class JobPhase : std::uint8_t {
   kQueued,
   kRunning,
@@ -28,88 +29,102 @@
     {JobPhase::kCancelled, "cancelled"},
 }};
 
+// Whether the phase is a final one.
 bool IsFinished(JobPhase phase);
 
+// The state of a run as the scheduler knows it.
 enum class RunPhase : std::uint8_t {
-  kPlanned,    // Chosen; the store has not confirmed the record yet.
-  kStarting,   // The order was sent and not yet answered.
+  kPlanned,    // Placed; its record is not committed yet.
+  kStarting,   // The start order is not answered yet.
   kRunning,    // The worker has confirmed it.
-  kDoubtful,   // The order was not answered; it is being stopped.
-  kStopping,   // A stop is under way.
-  kRecovered,  // Taken from the store; its worker has not reported yet.
+  kDoubtful,   // The outcome of the start order is unknown.
+  kStopping,   // A stop order was sent.
+  kRecovered,  // Read from the store; its worker has not reported yet.
 };
 
-// One run of a task on one worker.
+// One attempt at a task on one worker.
 struct Run {
   std::uint32_t number = 0;
   WorkerId worker;
-  std::string machine;  // That the worker lives on.
+  std::string machine;  // The machine of the worker.
   RunPhase phase = RunPhase::kPlanned;
-  StopReason stop_reason = StopReason::kUnknown;  // While it is stopped.
+  StopReason stop_reason = StopReason::kUnknown;  // Valid in phase kStopping.
   base::TimePoint ordered_at{};
-  base::TimePoint confirmed_at{};   // Of the start, or of the stop.
-  base::TimePoint progressed_at{};  // When the percentage last changed.
-  base::TimePoint serving_since{};  // Of a long-running task; zero if not.
+  // When the last start or stop order was answered, or the outcome of a start
+  // became unknown.
+  base::TimePoint confirmed_at{};
+  base::TimePoint progressed_at{};  // When `percent` last changed.
+  // Since when a long-running task serves users; zero while it does not.
+  base::TimePoint serving_since{};
   int percent = -1;
   int paced_percent = 100;
   std::int64_t load = 0;
-  // Where the task starts again from; of this run's start or newer.
+  // The newest checkpoint of this run, or the one it was started from.
   std::string checkpoint;
 };
 
+// One of the parallel units of a step.
 struct Task {
   bool done = false;
-  // Numbers of the runs that failed. An end is listed again until it is known
-  // to be stored, so a count alone could count it twice.
+  // Numbers of the failed runs. An end is listed again until it is known to be
+  // stored, so a plain counter could count it twice.
   std::vector<std::uint32_t> failed_runs;
   std::uint32_t last_run = 0;
   std::string checkpoint;
-  std::vector<Run> runs;       // More than one only where copies are allowed.
-  std::string avoided_worker;  // Where the last run failed.
-  base::TimePoint unavailable_since{};  // Of a long-running task; zero if not.
+  // Runs that may be alive; more than one only in speculative steps.
+  std::vector<Run> runs;
+  std::string avoided_worker;  // Where the last run failed or was stuck.
+  // Since when a long-running task has stopped serving; zero otherwise.
+  base::TimePoint unavailable_since{};
 };
 
+// The progress of one step of an occurrence.
 struct StepState {
   std::vector<Task> tasks;
   std::uint32_t done = 0;
-  bool ready = false;                  // All steps before it are done.
-  std::vector<std::uint32_t> waiting;  // Tasks to place, when ready.
+  bool ready = false;  // All steps that it depends on are done.
+  // Indices of the tasks to place; empty until the step is ready.
+  std::vector<std::uint32_t> waiting;
 };
 
+// One execution of the steps of a job.
 struct Occurrence {
   std::uint32_t number = 0;
   std::vector<StepState> steps;
   std::uint32_t steps_done = 0;
 };
 
+// A job and its progress, as the scheduler keeps it.
 struct Job {
   std::string id;
   std::string queue;
   std::string service;
-  std::string customer;  // Empty on queues open to all.
+  std::string customer;  // Empty for jobs submitted without a key.
   JobSpec spec;
-  base::TimePoint arrived_at{};  // When it was first handed in.
-  // By the wall clock of the office that took it, so that the next one knows
-  // how old it is. Clocks may step; only the order of jobs hangs on it.
+  base::TimePoint arrived_at{};  // When it was first submitted.
+  // The same by the wall clock of the leader that accepted it, from which the
+  // next leader derives the job's age. Wall clocks may jump; only the order of
+  // jobs depends on this value.
   std::chrono::milliseconds arrived_wall{0};
-  base::TimePoint objective{};  // When it should be done.
-  base::TimePoint
-      worthless_after{};  // When being done is worth nothing any more.
-  // Expected from the begin of each step to the end of the job.
+  base::TimePoint objective{};  // Time by which it should be done.
+  // Time after which its result has no value.
+  base::TimePoint worthless_after{};
+  // For each step, the expected time from its start to the end of the job.
   std::vector<std::chrono::milliseconds> critical_paths;
   base::TimePoint finished_at{};
   JobPhase phase = JobPhase::kQueued;
-  JobPhase stored_phase = JobPhase::kQueued;  // The newest one in the store.
-  bool accepted = false;                      // Its record is in the store.
-  bool dirty = false;    // Its progress differs from the store's.
-  bool started = false;  // A task of it has run.
+  JobPhase stored_phase = JobPhase::kQueued;  // The newest committed phase.
+  bool accepted = false;                      // Its record is committed.
+  bool dirty = false;    // Its progress differs from the stored one.
+  bool started = false;  // One of its tasks has run.
   std::uint32_t next_occurrence = 0;
-  std::vector<Occurrence> occurrences;  // Those begun and not done.
+  std::vector<Occurrence> occurrences;  // Those that have begun.
   std::uint32_t occurrences_done = 0;
-  std::uint32_t runs = 0;  // Runs of all its tasks that may be alive.
+  std::uint32_t runs = 0;  // Number of runs of its tasks that may be alive.
 };
 
-// Names a task inside the scheduler. Valid as long as the job is kept.
+// Refers to a task inside the scheduler. Valid while the scheduler keeps the
+// job.
 struct TaskRef {
   Job* job = nullptr;
   std::uint32_t occurrence = 0;
@@ -119,28 +134,30 @@
   friend bool operator==(const TaskRef&, const TaskRef&) = default;
 };
 
+// The occurrence, or null.
 Occurrence* FindOccurrence(Job& job, std::uint32_t number);
-// The task, or null when its occurrence is over.
+// The task, or null when the job has no such occurrence, step or task.
 Task* FindTask(const TaskRef& ref);
 const StepSpec& SpecOf(const TaskRef& ref);
 TaskId IdOf(const TaskRef& ref);
-// Names a step of one occurrence, for what is asked about all of its tasks.
+// The key of a step of one occurrence, "job.occurrence.step", for data that
+// concerns all of its tasks.
 std::string StepName(const std::string& job,
                      std::uint32_t occurrence,
                      std::uint32_t step);
 
-// What a task takes from its worker's capacity.
+// The capacity that a task reserves on its worker; a filler reserves no CPU.
 Resources CapacityNeed(const StepSpec& step);
 
-// Adds an occurrence whose first steps are ready.
+// Adds an occurrence and makes the steps without predecessors ready.
 Occurrence& BeginOccurrence(Job& job, std::uint32_t number);
-// Marks steps ready whose predecessors are done and lists their tasks.
+// Makes the steps ready whose predecessors are done, and queues their tasks.
 void RefreshReadySteps(Job& job, Occurrence& occurrence);
 
-// A job's record and its progress as bytes for the store, and back.
+// Serialize a job's record and its progress for the store, and read them back.
 std::string EncodeRecord(const Job& job);
 std::string EncodeProgress(const Job& job);
-// Fails with kInvalid when the bytes are not what the functions above wrote.
+// Fails with kInvalid when the bytes were not written by the functions above.
 base::Result<Job> DecodeRecord(const std::string& id, const std::string& bytes);
 base::Result<void> DecodeProgress(Job& job, const std::string& bytes);
 
--- a/include/cassiastile/jobs/job_spec.hpp
+++ b/include/cassiastile/jobs/job_spec.hpp
@@ -11,43 +11,48 @@
 
 namespace cassiastile::jobs {
 
-// A number of tasks that do the same on different data.
+// A step of a job: `count` tasks that do the same work on different data.
 struct StepSpec {
   std::uint32_t count = 1;
-  Resources need;                         // Of one task.
-  std::chrono::milliseconds estimate{0};  // The caller's guess; often far off.
-  std::vector<std::uint32_t> after;       // Steps that must be done first.
+  Resources need;  // Of one task.
+  // The caller's estimate of a task's duration; often far off.
+  std::chrono::milliseconds estimate{0};
+  std::vector<std::uint32_t> after;  // Earlier steps that must be done first.
   bool checkpointing = false;
-  bool gang = false;          // Works only while all tasks are present.
-  bool single_rack = false;   // Slower when spread over racks.
-  bool speculative = false;   // Copies may run at once; the first end counts.
+  bool gang = false;         // Makes progress only while all tasks run.
+  bool single_rack = false;  // Slower when spread over racks.
+  // Several runs of a task may be alive at once; the first success counts.
+  bool speculative = false;
   bool long_running = false;  // Runs until the job is cancelled.
-  bool fills = false;         // Uses what others leave; takes no capacity.
+  // A filler: uses CPU that other tasks leave idle, and reserves none.
+  bool fills = false;
   std::string required_label;
-  std::string data_rack;              // Slower on any other rack.
+  std::string data_rack;              // The rack of its data; slower elsewhere.
   std::uint32_t max_per_worker = 0;   // 0 for no limit.
-  std::uint32_t max_unavailable = 0;  // 0 for no promise.
+  std::uint32_t max_unavailable = 0;  // At once; 0 for no limit.
   std::string image;
-  std::chrono::milliseconds target{0};  // Bound of the latency tail, 0: none.
+  // Bound of the tail latency; 0 for none.
+  std::chrono::milliseconds target{0};
 };
 
-// What a customer hands in.
+// A job as a customer submits it.
 struct JobSpec {
-  std::string payload;  // Opaque text that every task is started with.
+  std::string payload;  // Opaque text that is passed to every task.
   std::vector<StepSpec> steps;
-  // A job with repeats runs its steps once for each occurrence.
+  // Number of occurrences, each of which runs all steps; 0 for a job that runs
+  // once, without a due time.
   std::uint32_t repeats = 0;
-  std::chrono::milliseconds first_due{0};  // Since 1970.
+  std::chrono::milliseconds first_due{0};  // When the first is due, since 1970.
   std::chrono::milliseconds interval{0};
 
   std::uint32_t Occurrences() const { return repeats == 0 ? 1 : repeats; }
 };
 
-// Fails with kInvalid when steps refer to themselves or to missing ones, or
-// when a count is zero or beyond what one job may hold.
+// Fails with kInvalid when a step depends on one that is not an earlier step,
+// or when a count is zero or above its limit.
 base::Result<void> CheckSpec(const JobSpec& spec);
 
-// Names one task of one occurrence of a job.
+// Identifies one task of one occurrence of a job.
 struct TaskId {
   std::string job;
   std::uint32_t occurrence = 0;
--- a/include/cassiastile/jobs/pool_plan.hpp
+++ b/include/cassiastile/jobs/pool_plan.hpp
@@ -10,57 +10,60 @@
 
 namespace cassiastile::jobs {
 
-// A machine that the pools' planner may move.
+// A machine as the pool planner sees it.
 struct PoolMachine {
   std::string name;
   std::string pool;
   Resources capacity;
-  bool movable = false;   // Up and without any run.
-  bool arriving = false;  // On its way into the pool.
+  bool movable = false;   // Up and without runs.
+  bool arriving = false;  // Being moved into the pool.
   base::TimePoint idle_since{};
 };
 
+// The demand on one pool.
 struct PoolDemand {
   bool standby = false;
   Resources used;               // By all tasks.
   Resources long_running_used;  // By long-running tasks.
-  Resources unplaced;           // Needed by tasks that found no room.
-  Work arriving;                // Handed in per millisecond.
+  Resources unplaced;           // Needed by tasks that could not be placed.
+  Work arriving;                // Submitted per millisecond.
   std::size_t min_machines = 0;
 };
 
+// A planned move of a machine from one pool to another.
 struct MachineMove {
   std::string machine;
   std::string from;
   std::string to;
 };
 
+// Parameters of the pool planner.
 struct PoolPlanOptions {
-  // Room above the mean of arriving work, since machines are never filled to
-  // the brim.
+  // Capacity as a factor of the mean rate of arriving work, since machines are
+  // never filled completely.
   double headroom = 1.2;
-  // Share of the tasks without room that a pool should get room for at once;
-  // the others follow as tasks end.
+  // Share of the unplaced tasks for which a pool gets capacity at once; the
+  // others are placed as running tasks end.
   double unplaced_share = 0.6;
-  // A pool that nothing asks for still answers the next job at once, and can
-  // lose a machine meanwhile.
+  // Least number of machines of a pool, so that an unused pool can start the
+  // next job at once, even after losing a machine.
   std::size_t min_machines = 2;
-  // A machine is fetched from another pool only when it has been idle for a
-  // moment, and leaves for the spare pool when staying would cost more than two
-  // moves.
+  // A machine is taken for another pool only after a short idle time. It goes
+  // to the spare pool when keeping it would cost more than two moves.
   std::chrono::milliseconds idle_before_lending{300};
   std::chrono::milliseconds idle_before_leaving{2000};
 };
 
-// What a pool should have: room for its long-running tasks, and for work as it
-// comes in or, when that is more, for what runs and waits.
+// The capacity that a pool should have: that of its long-running tasks, plus
+// the larger of what arriving work needs and what running and unplaced tasks
+// need.
 Resources DesiredCapacity(const PoolDemand& demand,
                           const PoolPlanOptions& options);
 
-// Answers queues that take turns at several times their mean: a pool that needs
-// more gets at once the idle machines that other pools have too many of, then
-// those of the spare pool; what stands idle beyond the need goes back to the
-// spare pool, where it costs nothing.
+// Plans moves of machines between pools, for queues whose load rises in turn to
+// several times its mean. A pool that needs capacity gets idle surplus machines
+// of other pools at once, then machines of the spare pool. Surplus machines
+// that stay idle go back to the spare pool, where they cost nothing.
 std::vector<MachineMove> PlanMoves(
     const std::vector<PoolMachine>& machines,
     const std::map<std::string, PoolDemand>& pools,
--- a/include/cassiastile/jobs/resources.hpp
+++ b/include/cassiastile/jobs/resources.hpp
@@ -4,7 +4,7 @@
 
 namespace cassiastile::jobs {
 
-// What a task needs, a worker has, or a customer may use.
+// Amounts of resources that a task needs, a worker has or a customer may use.
 struct Resources {
   std::int64_t cpu = 0;     // Thousandths of a core.
   std::int64_t memory = 0;  // Megabytes.
--- a/include/cassiastile/jobs/scheduler.hpp
+++ b/include/cassiastile/jobs/scheduler.hpp
@@ -23,6 +23,7 @@
 
 namespace cassiastile::jobs {
 
+// Orders a worker to start a run.
 struct StartOrder {
   WorkerId worker;
   TaskId task;
@@ -32,6 +33,7 @@
   std::string ticket;
 };
 
+// Orders a worker to stop a run.
 struct StopOrder {
   WorkerId worker;
   TaskId task;
@@ -39,6 +41,7 @@
   StopReason reason = StopReason::kUnknown;
 };
 
+// Orders a worker to run a filler at a percentage of its full speed.
 struct PaceOrder {
   WorkerId worker;
   TaskId task;
@@ -55,7 +58,7 @@
   std::chrono::milliseconds validity{0};
 };
 
-// What the caller must carry out. Starts come only out of Confirm.
+// Orders that the caller must carry out. Only Confirm adds starts.
 struct Orders {
   std::vector<StartOrder> starts;
   std::vector<StopOrder> stops;
@@ -63,37 +66,37 @@
   std::vector<AdviceRequest> advice;
 };
 
-// A row to write; no bytes means that the row goes.
+// A row of the store to write, or to remove if it has no bytes.
 struct JobRow {
   std::string job;
-  bool is_record = false;  // The record, else the progress.
+  bool is_record = false;  // The job's record, else its progress.
   std::optional<std::string> bytes;
 };
 
-// What one transaction makes last, and what may happen once it is committed.
+// The rows of one transaction, and what may take effect once it is committed.
 struct Batch {
   std::vector<JobRow> rows;
   std::vector<std::pair<TaskRef, std::uint32_t>> starts;
   std::vector<std::string> accepted;
   std::vector<std::pair<std::string, JobPhase>> phases;
-  // Sequence of the last end that the rows cover, by worker.
+  // Sequence number of the last end that the rows cover, by worker.
   std::vector<std::pair<WorkerId, std::uint64_t>> ends;
 };
 
-// What became of a job that was handed in.
+// The outcome of a job submission.
 struct Submission {
   enum class Verdict : std::uint8_t {
-    kNew,      // Taken; acknowledge once its record is committed.
-    kPending,  // Handed in before; its record is not committed yet.
-    kKnown,    // Handed in before and committed.
-    kRefused,  // Not taken; it will not run unless handed in again.
+    kNew,      // Accepted; acknowledge once its record is committed.
+    kPending,  // Submitted before; its record is not committed yet.
+    kKnown,    // Submitted before and committed.
+    kRefused,  // Not accepted; it will not run unless submitted again.
   };
   Verdict verdict = Verdict::kNew;
   RefusalReason reason = RefusalReason::kNone;
   std::chrono::milliseconds retry_after{0};
-  // What decided: the wait behind other work, what the job could bear, the
-  // time since it was first handed in, and whether its customer was beyond its
-  // share.
+  // The values behind a refusal: the expected wait, the longest wait with which
+  // the job meets its objective, the time since it was first submitted, and
+  // whether its customer was beyond its share.
   std::chrono::milliseconds wait{0};
   std::chrono::milliseconds slack{0};
   std::chrono::milliseconds age{0};
@@ -103,132 +106,147 @@
 // A worker as the scheduler knows it.
 struct WorkerState {
   WorkerEntry entry;
-  bool listed = false;        // In the platform's list now.
-  bool has_reported = false;  // Has reported in this term of the scheduler.
+  bool listed = false;        // In the platform's newest list.
+  bool has_reported = false;  // Has reported to this scheduler.
   base::TimePoint last_report{};
-  // After this nothing that was ordered so far can still run there.
+  // Upper bound of its lease: nothing ordered so far can still run after it.
   base::TimePoint lease_bound{};
   Resources used;               // By runs that may be alive.
-  Resources long_running_used;  // The part of it used by long-running tasks.
-  std::int64_t long_running_runs = 0;  // Long-running ones that are no fillers.
-  // Kept free in this round for a task that fits nowhere yet.
+  Resources long_running_used;  // The part of `used` for long-running tasks.
+  // Number of long-running runs, without fillers.
+  std::int64_t long_running_runs = 0;
+  // Reserved in this planning round for a task that fits nowhere yet.
   Resources reserved;
   std::vector<std::pair<TaskRef, std::uint32_t>> runs;
-  std::uint64_t last_end = 0;   // Newest end seen.
-  std::uint64_t acked_end = 0;  // Newest end that the store covers.
+  std::uint64_t last_end = 0;  // Sequence number of the newest end seen.
+  // Sequence number of the newest end that the store covers.
+  std::uint64_t acked_end = 0;
   WorkerHealth health;
-  bool terminated = false;    // This life was ended on purpose.
-  bool silent = false;        // Did not answer the last time.
-  bool cordoned = false;      // About to move or to be maintained.
-  bool wants_report = false;  // A report sent now would decide something.
+  bool terminated = false;  // This incarnation was ended by our order.
+  bool silent = false;      // Did not answer the last call.
+  // Gets no new tasks, since it is about to be moved or maintained.
+  bool cordoned = false;
+  bool wants_report = false;  // A report is needed to settle a run.
 
-  // Books a run of a step, and takes it off again.
+  // Adds a run of a step to the capacity in use, and removes it again.
   void Use(const StepSpec& step);
   void Release(const StepSpec& step);
 };
 
-// Decides which tasks run where. Pure: observations and the time go in, orders
-// and rows come out. One scheduler is in office at a time; what it orders is
-// recorded in the store first, so that its successor knows each run that may
-// be alive.
+// Decides which tasks run where. It does no I/O: observations and the time go
+// in, orders and rows come out. Only the leader's scheduler gives orders. Each
+// start is recorded in the store before it is ordered, so that the next leader
+// knows every run that may be alive.
 class Scheduler {
  public:
   explicit Scheduler(SchedulerOptions options);
 
+  // Replaces the configuration.
   void ApplyConfig(std::shared_ptr<const FleetConfig> config);
 
-  // Takes over the jobs of a predecessor. Runs at workers that do not report
-  // count as alive until `latest_lease_end`.
+  // Takes over the jobs of the previous leader. Runs on workers that do not
+  // report count as alive until `latest_lease_end`.
   void Recover(std::vector<Job> jobs,
                base::TimePoint now,
                base::WallTime wall,
                base::TimePoint latest_lease_end);
 
-  // Callers.
+  // Requests of callers.
   Submission Submit(const std::string& id,
                     const QueueConfig& queue,
                     const std::string& customer,
                     JobSpec spec,
                     base::TimePoint now,
                     base::WallTime wall);
-  // False when there is no such job. Acknowledge once the phase is committed.
+  // Returns false when there is no such job. Acknowledge once the phase is
+  // committed.
   bool Cancel(const std::string& id, base::TimePoint now);
+  // The job, or null.
   const Job* FindJob(const std::string& id) const;
+  // Number of accepted jobs of a queue that have not started.
   std::size_t QueuedJobs(const std::string& queue) const;
 
-  // Observations.
+  // Observations of workers, and answers to orders.
+  // `entries` is the platform's whole list.
   void WorkersListed(const std::vector<WorkerEntry>& entries,
                      base::TimePoint now);
-  // `asked_at` is when the report was asked for.
+  // `asked_at` is when the report was requested.
   void WorkerReported(const std::string& worker,
                       const WorkerReport& report,
                       base::TimePoint asked_at,
                       base::TimePoint now);
+  // A call to the worker got no answer.
   void WorkerSilent(const std::string& worker, base::TimePoint now);
-  // The platform says that this life of a worker is over.
+  // The platform says that this incarnation of a worker has ended.
   void WorkerGone(const WorkerId& worker, base::TimePoint now);
-  // The same, by an order of our own: there is no need to ask it any more.
+  // The same, by our own order: the worker need not be asked for reports any
+  // more.
   void WorkerTerminated(const WorkerId& worker, base::TimePoint now);
-  // An order was sent that lets the worker go on until `bound`.
+  // A lease was sent to the worker that ends at `bound` at the latest.
   void LeaseSent(const std::string& worker, base::TimePoint bound);
+  // A start order was answered, or its outcome is unknown.
   void StartAnswered(const WorkerId& worker,
                      const TaskId& task,
                      std::uint32_t run,
                      StartResult result,
                      base::TimePoint now);
-  // A stop was answered: the run ends soon and will not start any more.
+  // A stop order was answered: the run ends soon and cannot start any more.
   void StopAnswered(const WorkerId& worker,
                     const TaskId& task,
                     std::uint32_t run,
                     base::TimePoint now);
+  // The advisor has answered: `allowed` holds workers with placement tickets.
   void AdviceAnswered(
       const AdviceRequest& request,
       const std::vector<std::pair<std::string, std::string>>& allowed,
       std::chrono::milliseconds validity,
       base::TimePoint now);
 
-  // Drops what can't be alive any more, begins occurrences that are due and
-  // places waiting tasks.
+  // Drops runs that can't be alive any more, begins occurrences that are due
+  // and places waiting tasks.
   void Plan(base::TimePoint now, base::WallTime wall);
 
-  // What is to be written next, at most `max_rows` rows; empty if nothing is.
+  // The next rows to write, at most `max_rows`; empty if there are none.
   Batch TakeBatch(std::size_t max_rows, base::TimePoint now);
-  // Whether something waits for a write that should not be put off.
+  // Whether there are rows that should be written without delay.
   bool HasUrgentRows() const { return m_urgent; }
   bool HasRows() const { return !m_dirty.empty(); }
+  // The batch is committed: updates the jobs and orders the starts in it.
   void Confirm(const Batch& batch, base::TimePoint now);
 
-  // Orders since the last call.
+  // Returns the orders given since the last call.
   Orders TakeOrders();
 
-  // Whether all that may run on a machine may be ended now without taking more
-  // tasks of a step away than it allows. Counts workers that are not listed,
-  // too: a run of theirs may be alive.
+  // Whether all runs on a machine may be ended now without exceeding the
+  // max_unavailable of a step. Includes workers that are not listed, since
+  // their runs may be alive.
   bool CanDrainMachine(const std::string& machine) const;
-  // Stops those long-running tasks of a withheld worker that may be taken away
-  // now; they start again elsewhere.
+  // Stops those long-running tasks of a cordoned worker that may become
+  // unavailable now; they are restarted elsewhere.
   void Evacuate(const std::string& worker, base::TimePoint now);
-  // A task that forbids it, or nothing.
+  // A task that prevents this, or nothing.
   std::optional<TaskId> DrainBlocker(const std::string& machine) const;
-  // Everything on a worker is about to be ended on purpose.
+  // Cordons a worker whose runs are about to be ended on purpose, and counts
+  // its long-running tasks as unavailable.
   void MarkVacated(const std::string& worker, base::TimePoint now);
-  // Places nothing more on a worker that is about to be taken away.
+  // Sets whether a worker gets no new tasks, before it is moved or maintained.
   void SetCordoned(const std::string& worker, bool cordoned);
-  // What the pools' planner looks at.
+  // The load of a pool, for the pool planner.
   struct PoolLoad {
     Resources capacity;
     Resources used;
     Resources long_running_used;  // Used by long-running tasks.
-    Resources unplaced;           // Needed by tasks that found no room.
-    Work backlog;                 // Left of the jobs that are worth something.
-    Work arriving_work;           // Handed in per millisecond.
+    Resources unplaced;           // Needed by tasks that could not be placed.
+    Work backlog;                 // Left of jobs whose result still has value.
+    Work arriving_work;           // Submitted per millisecond.
     std::size_t workers = 0;
-    // Distinct workers that long-running steps need, with one to move to.
+    // Distinct workers that long-running steps need, plus one to move a task
+    // to.
     std::size_t min_workers = 0;
   };
   using PoolLoads = std::map<std::string, PoolLoad>;  // By service.
   PoolLoads GetPoolLoads(base::TimePoint now);
-  // Capacity on its way to each pool.
+  // Sets the capacity that is being moved into each pool.
   void SetArrivingCapacity(std::map<std::string, Resources> arriving) {
     m_arriving = std::move(arriving);
   }
@@ -236,26 +254,30 @@
   const std::map<std::string, WorkerState>& Workers() const {
     return m_workers;
   }
+  // The worker, or null.
   WorkerState* FindWorker(const std::string& id);
-  // The newest listed worker that lives on a machine, or null.
+  // The newest listed incarnation of a worker on a machine, or null.
   const WorkerState* FindWorkerOnMachine(const std::string& machine) const;
   std::size_t JobCount() const { return m_jobs.size(); }
 
-  // How long tasks take, as a predecessor has learnt it; before Recover.
+  // Sets the durations that the previous leader has learnt. Must be called
+  // before Recover.
   void SetDurations(DurationModel durations) {
     m_durations = std::move(durations);
   }
   const DurationModel& Durations() const { return m_durations; }
 
  private:
-  // What admission weighs a new job against.
+  // The state of a pool that admission checks a new job against.
   struct PoolView {
     base::TimePoint taken_at{};
-    Work backlog;    // Left of the jobs that are worth something.
-    Resources pool;  // What finite tasks can use, with what is on its way.
-    Resources free;  // Now, less what waits for room.
+    Work backlog;  // Left of jobs whose result still has value.
+    // Capacity usable by finite tasks, including machines on their way.
+    Resources pool;
+    Resources free;  // Now, less the need of unplaced tasks.
   };
 
+  // The answer of a placement advisor about one step.
   struct Advice {
     base::TimePoint valid_until{};
     base::TimePoint asked_at{};
@@ -267,7 +289,7 @@
   void MarkDirty(Job& job, bool urgent);
   void Finish(Job& job, JobPhase phase, base::TimePoint now);
   void StopAllRuns(Job& job, base::TimePoint now);
-  void ReleaseFinished(base::TimePoint now);
+  void RemoveFinished(base::TimePoint now);
   void IndexMachines();
   std::string ServiceOf(const Job& job) const;
   const QueueConfig* QueueOf(const Job& job) const;
@@ -280,8 +302,8 @@
   Run* FindRun(const TaskRef& ref, std::uint32_t number);
   std::optional<TaskRef> Resolve(const TaskId& id);
   void BeginRun(const TaskRef& ref, WorkerState& worker, base::TimePoint now);
-  // Takes a run off the books and, unless its task is over, lists the task as
-  // waiting again.
+  // Removes a run from the scheduler's state and, unless its task is done,
+  // queues the task again.
   void DropRun(const TaskRef& ref, std::uint32_t number, base::TimePoint now);
   void DropRunsOf(WorkerState& worker,
                   std::int64_t incarnation_ms,
@@ -299,10 +321,11 @@
                   std::uint32_t run,
                   const std::string& worker,
                   base::TimePoint now);
-  // The task that is listed, if it is known.
-  std::optional<TaskRef> NoteListed(WorkerState& worker,
-                                    const ListedRun& listed,
-                                    base::TimePoint now);
+  // Updates a listed run, or stops it if it is unknown. Returns the task if it
+  // is known.
+  std::optional<TaskRef> UpdateListedRun(WorkerState& worker,
+                                         const ListedRun& listed,
+                                         base::TimePoint now);
   void ExpireRuns(base::TimePoint now);
 
   // scheduler_place.cpp
@@ -320,23 +343,25 @@
                  std::uint32_t step,
                  std::vector<WorkerState*>& workers,
                  base::TimePoint now);
-  // Whether no worker has room for a task, whatever else it asks for.
+  // Whether no worker has room for `need`, regardless of other constraints.
   bool IsFull(const Resources& need, const std::vector<WorkerState*>& workers);
-  // Keeps what becomes free on one worker for a task that found no room.
+  // Reserves capacity that becomes free on one worker for a task that could not
+  // be placed.
   void Reserve(const TaskRef& ref,
                const std::vector<WorkerState*>& workers,
                const Advice* advice);
-  bool MayHost(const WorkerState& worker,
+  bool CanHost(const WorkerState& worker,
                const TaskRef& ref,
                const Advice* advice) const;
   WorkerState* Choose(const TaskRef& ref,
                       const std::vector<WorkerState*>& workers,
                       const Advice* advice) const;
-  bool IsAtWork(const Run& run) const;
-  // Whether a task's step allows that all of its runs on a worker end.
-  bool MayEndWith(const TaskRef& ref, const std::string& worker) const;
-  // Tasks of the same step, this one left out, that do not serve now.
-  std::uint32_t AwayBeside(const TaskRef& ref) const;
+  bool IsServing(const Run& run) const;
+  // Whether the max_unavailable of the task's step allows all its runs on a
+  // worker to end.
+  bool CanEndRunsOn(const TaskRef& ref, const std::string& worker) const;
+  // Number of other tasks of the same step that are not serving now.
+  std::uint32_t CountOtherUnavailable(const TaskRef& ref) const;
   bool WithinLimit(const Job& job, const Resources& need) const;
   bool IsUsable(const WorkerState& worker, base::TimePoint now) const;
   const Advice* AdviceFor(Job& job,
@@ -345,16 +370,16 @@
                           const std::vector<WorkerState*>& workers,
                           base::TimePoint now);
 
-  // scheduler_care.cpp
-  void CareForRuns(base::TimePoint now);
+  // scheduler_supervision.cpp
+  void SuperviseRuns(base::TimePoint now);
   void PaceFillers(WorkerState& worker, base::TimePoint now);
   void MoveStuckRun(const TaskRef& ref, Run& run, base::TimePoint now);
-  void LeaveDrainingWorker(WorkerState& worker, base::TimePoint now);
+  void DrainWorker(WorkerState& worker, base::TimePoint now);
 
   SchedulerOptions m_options;
   std::shared_ptr<const FleetConfig> m_config;
   std::map<std::string, std::unique_ptr<Job>> m_jobs;
-  std::map<std::string, Job*> m_open;  // Those of them not finished.
+  std::map<std::string, Job*> m_open;  // The unfinished ones.
   std::map<std::string, WorkerState> m_workers;
   // Ids of the workers known on each machine, listed or not.
   std::unordered_map<std::string, std::vector<std::string>>
@@ -366,14 +391,15 @@
   std::map<std::string, Resources> m_arriving;     // By service.
   std::map<std::string, Resources> m_unplaced;     // By service.
   std::map<std::string, PoolView> m_views;         // By service.
-  // Needs that were found to fit nowhere in this round of a service.
-  std::vector<Resources> m_full_for;
-  std::size_t m_reserved_for_finite = 0;  // In this round of a service.
-  base::TimePoint m_cared_at{};
+  // Needs found to fit nowhere in the current planning round of a service.
+  std::vector<Resources> m_unplaceable;
+  std::size_t m_reserved_for_finite = 0;  // In the same round.
+  base::TimePoint m_supervised_at{};
   std::map<std::string, Advice> m_advice;  // By job, occurrence and step.
   std::unordered_set<Job*> m_dirty;
-  std::vector<std::string> m_dropped_jobs;  // Rows to remove.
-  std::vector<Job*> m_to_release;
+  std::vector<std::string> m_removed_jobs;  // Their rows are to be removed.
+  // Finished jobs that are still kept.
+  std::vector<Job*> m_finished;
   DurationModel m_durations;
   bool m_urgent = false;
   Orders m_orders;
--- a/include/cassiastile/jobs/scheduler_options.hpp
+++ b/include/cassiastile/jobs/scheduler_options.hpp
@@ -4,10 +4,10 @@
 
 namespace cassiastile::jobs {
 
-// Times that the scheduler goes by. Hosts take them from their settings.
+// Time limits of the scheduler. Hosts read them from their settings.
 struct SchedulerOptions {
-  // A worker whose last report is older gets no new tasks. A report comes at
-  // least once a second from a worker in good order.
+  // A worker whose last report is older gets no new tasks. A healthy worker
+  // reports at least once a second.
   std::chrono::milliseconds stale_report{2500};
   // How long a finished job's state is kept; finished_state_s in the settings.
   std::chrono::milliseconds keep_finished{120000};
--- a/include/cassiastile/jobs/wave_plan.hpp
+++ b/include/cassiastile/jobs/wave_plan.hpp
@@ -8,39 +8,44 @@
 
 namespace cassiastile::jobs {
 
-// A machine of a wave as the planner sees it.
+// A machine of a maintenance wave as the planner sees it.
 struct WaveMachine {
   std::string name;
-  bool begun = false;     // Its upkeep of this wave has begun or is over.
-  bool down = false;      // In upkeep, or an order for it is not settled.
-  bool busy = false;      // Moving, not up, or not to be touched now.
-  bool can_drain = true;  // Ending all that runs there takes nothing too far.
-  bool idle = true;       // Without any run.
+  bool begun = false;  // Its maintenance has begun or is done.
+  bool down = false;   // In maintenance, or an order for it is pending.
+  bool busy = false;   // Moving, not up, or not available for now.
+  // Whether all its runs may end now; see Scheduler::CanDrainMachine.
+  bool can_drain = true;
+  bool idle = true;       // Has no runs.
   bool needed = false;    // Its pool has no capacity to spare now.
-  bool cordoned = false;  // Gets no new tasks and is being emptied.
+  bool cordoned = false;  // Gets no new tasks and is being drained.
   base::TimePoint cordoned_at{};
-  std::int64_t finite_cpu = 0;  // In use by tasks that will end by themselves.
+  // Used by finite tasks, in thousandths of a core.
+  std::int64_t finite_cpu = 0;
 };
 
+// The next actions of a wave, as names of machines.
 struct WavePlan {
-  // Give these nothing new from now on and move off what may be moved off.
+  // Machines to cordon and to move tasks off.
   std::vector<std::string> cordon;
-  std::vector<std::string> maintain;  // Order the upkeep of these.
+  std::vector<std::string> maintain;  // Machines to order maintenance for.
 };
 
+// Limits of a wave.
 struct WaveLimits {
   std::uint32_t max_down = 1;
-  // A machine is emptied for at most so long before its upkeep; what still runs
-  // then starts again elsewhere.
+  // Longest time that a machine is drained before its maintenance. Tasks that
+  // still run then are restarted elsewhere.
   std::chrono::milliseconds max_drain_time{1500};
-  // Time left for the whole wave, and what one upkeep takes with emptying.
+  // Time left for the whole wave, and the duration of one maintenance including
+  // the drain.
   std::chrono::milliseconds left{0};
   std::chrono::milliseconds each{4000};
 };
 
-// Which machines go next: those with the least work under way first, never more
-// at once than the wave allows, each emptied for a moment before. Machines of
-// pools that need them wait as long as the wave's time allows.
+// Chooses the next machines of a wave: those with the least running work first,
+// never more at once than `max_down`, and each after a short drain. Machines
+// that their pools need are put off as long as the remaining time allows.
 WavePlan PlanWave(const std::vector<WaveMachine>& machines,
                   const WaveLimits& limits,
                   base::TimePoint now);
--- a/include/cassiastile/jobs/worker_health.hpp
+++ b/include/cassiastile/jobs/worker_health.hpp
@@ -6,28 +6,30 @@
 
 namespace cassiastile::jobs {
 
-// Whether a worker is worth new tasks, judged by how its runs ended. Answers
-// the load where one worker fails all that it starts and, being idle, would
-// draw ever more tasks.
+// Decides whether a worker gets new tasks, from how its runs ended. Without it,
+// a worker that fails everything it starts would be idle most of the time and
+// attract ever more tasks.
 class WorkerHealth {
  public:
   void RunSucceeded();
   void RunFailed(base::TimePoint now);
-  // The worker refused an order though it seemed to have room.
+  // The worker refused an order though it seemed to have room, or gave no
+  // answer.
   void Refused(base::TimePoint now);
 
-  // At most one task at a time while it is on probation.
+  // While quarantined, a worker gets no new tasks.
   bool IsQuarantined(base::TimePoint now) const;
+  // While on probation, a worker gets at most one task at a time.
   bool IsOnProbation() const { return m_failures_in_row >= kProbationFailures; }
 
  private:
-  // Two failures in a row happen by chance among tasks that fail by their own
-  // fault; three on one worker seldom do.
+  // Two failures in a row happen by chance when tasks fail through their own
+  // fault; three in a row on one worker rarely do.
   static constexpr std::uint32_t kProbationFailures = 3;
 
   std::uint32_t m_failures_in_row = 0;
   std::uint32_t m_quarantines = 0;
-  base::TimePoint m_until{};
+  base::TimePoint m_quarantined_until{};
 };
 
 }  // namespace cassiastile::jobs
--- a/include/cassiastile/jobs/worker_view.hpp
+++ b/include/cassiastile/jobs/worker_view.hpp
@@ -14,21 +14,21 @@
 
 namespace cassiastile::jobs {
 
-// One life of a worker. A worker that starts again may keep its id; it then
-// runs nothing and knows nothing of before.
+// One incarnation of a worker. A worker that restarts may keep its id, but
+// keeps no runs and no state.
 struct WorkerId {
   std::string id;
-  std::int64_t incarnation_ms =
-      0;  // Start of this life, milliseconds since 1970.
+  // When this incarnation started, in milliseconds since 1970.
+  std::int64_t incarnation_ms = 0;
 
   friend bool operator==(const WorkerId&, const WorkerId&) = default;
 };
 
-// What a worker says of itself in the platform's list.
+// A worker's entry in the platform's list.
 struct WorkerEntry {
   WorkerId id;
   std::string service;
-  std::string machine;  // Where it lives; one worker at a time.
+  std::string machine;  // Runs one worker at a time.
   std::string endpoint;
   std::string availability_zone;
   std::string kind;
@@ -37,12 +37,12 @@
   bool draining = false;
 };
 
-// How a run came to its end.
+// How a run ended.
 enum class RunEnd : std::uint8_t {
   kDone,
   kFailed,
   kStopped,
-  kLeaseExpired,    // The worker's lease ran out.
+  kLeaseExpired,    // The worker's lease expired.
   kGangBroken,      // Another member of the gang ended.
   kGangIncomplete,  // The gang was not complete in time.
 };
@@ -58,14 +58,15 @@
 
 // Why a run is stopped.
 enum class StopReason : std::uint8_t {
-  kJobOver,     // Its job was cancelled, or has failed.
-  kDoubtful,    // Its start was not answered and it is not listed.
-  kUnanswered,  // Its start was not answered for long.
-  kUnknown,     // The books do not hold it.
-  kCopy,        // Another copy has ended successfully.
-  kStuck,       // It stands still, or is far slower than expected.
-  kDraining,    // Its worker is leaving.
-  kEvacuated,   // Its machine is due for upkeep.
+  kJobOver,  // Its job is done, failed or cancelled.
+  // The outcome of its start is unknown and its worker does not list it.
+  kDoubtful,
+  kUnanswered,  // Its start was not answered in time.
+  kUnknown,     // The scheduler does not know it.
+  kCopy,        // Another run of the task has succeeded.
+  kStuck,       // It makes no progress or is far too slow.
+  kDraining,    // Its worker is draining.
+  kEvacuated,   // Its machine is due for maintenance.
 };
 
 inline constexpr std::array<base::EnumName<StopReason>, 8> kStopReasonNames{{
@@ -85,12 +86,12 @@
   std::uint32_t run = 0;
   std::string checkpoint;
   int percent = 0;
-  // Milliseconds of latency tail for a task with a target, else thousandths of
-  // a core in use. Rough, over the last half second.
+  // Tail latency in milliseconds for a task with a target, otherwise CPU use in
+  // thousandths of a core. Approximate, over the last half second.
   std::int64_t load = 0;
 };
 
-// A run that a worker lists as ended. Listed again until acknowledged.
+// A run that a worker lists as ended, in every report until it is acknowledged.
 struct ListedEnd {
   std::uint64_t sequence = 0;
   TaskId task;
@@ -99,7 +100,7 @@
   std::string checkpoint;
 };
 
-// What a worker answers when its lease is extended.
+// A worker's answer to a lease extension.
 struct WorkerReport {
   std::int64_t incarnation_ms = 0;
   std::chrono::milliseconds clock{0};  // The worker's own steady clock.
@@ -110,16 +111,17 @@
 // How a worker answered an order to start a run.
 enum class StartResult : std::uint8_t {
   kRunning,
-  kFenced,            // A newer scheduler has spoken to this worker.
-  kStaleRun,          // This or a later run has already ended there.
-  kTooLate,           // The lease in the order was over when it arrived.
-  kNoRoom,            // The worker's capacity is in use.
-  kNoTicket,          // The placement ticket is not valid there.
-  kBusy,              // The worker is not healthy; it did nothing.
-  kOtherIncarnation,  // Another life of the worker has the address now.
-  kRejected,          // The worker can't read the order.
-  kUnreachable,       // The connection was refused; nothing arrived.
-  kUnknown,           // No answer; it may be carried out later.
+  kFenced,    // The worker has seen a newer fencing token.
+  kStaleRun,  // This or a later run has already ended there.
+  kTooLate,   // The lease in the order had expired on arrival.
+  kNoRoom,    // The worker's capacity is in use.
+  kNoTicket,  // The placement ticket is not valid there.
+  kBusy,      // The worker is unhealthy and did nothing.
+  // Another incarnation of the worker has the address now.
+  kOtherIncarnation,
+  kRejected,     // The worker can't read the order.
+  kUnreachable,  // The connection was refused; nothing arrived.
+  kUnknown,      // No answer; it may still be carried out.
 };
 
 inline constexpr std::array<base::EnumName<StartResult>, 11> kStartResultNames{{
--- a/src/cassiastile/jobs/admission.cpp
+++ b/src/cassiastile/jobs/admission.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-// Estimates of single jobs are noisy, so a job is turned away only when the
-// wait is clearly more than it can bear.
+// Estimates of single jobs are noisy, so a job is refused only when the
+// expected wait clearly exceeds its slack.
 constexpr double kTolerance = 1.15;
-// A job that is late already, since its caller heard no answer for a while, is
-// still taken where it waits for no others.
-constexpr std::chrono::milliseconds kLeastSlack{300};
+// Every job gets this much slack, so that a job that is late already, because
+// its caller got no answer for a while, is still accepted where it hardly has
+// to wait.
+constexpr std::chrono::milliseconds kMinSlack{300};
 constexpr std::chrono::milliseconds kMinRetryAfter{1000};
 constexpr std::chrono::milliseconds kMaxRetryAfter{10000};
 
@@ -20,7 +21,8 @@
 
 AdmissionVerdict Admit(const AdmissionInput& input) {
   if (input.fits_now || input.pool.cpu <= 0 || input.pool.memory <= 0) {
-    // Without cores, workers may be on their way; the job waits for them.
+    // When the pool has no capacity, workers may be on their way; the job waits
+    // for them.
     return {};
   }
   // The scarcer resource decides.
@@ -30,7 +32,7 @@
       input.backlog.memory / static_cast<double>(input.pool.memory));
   AdmissionVerdict verdict;
   verdict.wait = std::chrono::milliseconds(std::llround(wait_ms));
-  verdict.slack = std::max(kLeastSlack, input.objective - input.critical_path);
+  verdict.slack = std::max(kMinSlack, input.objective - input.critical_path);
   if (input.beyond_share) {
     verdict.admitted = false;
     verdict.retry_after = kMinRetryAfter;
--- a/src/cassiastile/jobs/admission_test.cpp
+++ b/src/cassiastile/jobs/admission_test.cpp
@@ -22,8 +22,8 @@
   EXPECT_TRUE(Admit(MakeInput(90)).admitted);
 }
 
-// Demand of five times the pool: each job taken beyond the slack would be late
-// and make those behind it late.
+// Demand of five times the pool: each job accepted beyond the slack would be
+// late and make those behind it late.
 TEST(AdmissionTest, TurnsAwayWhatCouldNotBeDoneInTime) {
   const AdmissionVerdict verdict = Admit(MakeInput(400));
   EXPECT_FALSE(verdict.admitted);
@@ -65,7 +65,7 @@
       200);
 }
 
-// Callers that come back after a change of the office.
+// After a change of leader, callers submit jobs again that are already late.
 TEST(AdmissionTest, LateJobIsTakenWhereItWaitsForNoOthers) {
   AdmissionInput input = MakeInput(20);
   input.objective = milliseconds(-2000);
--- a/src/cassiastile/jobs/arrival_meter.cpp
+++ b/src/cassiastile/jobs/arrival_meter.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-// Long enough for about ten jobs of a busy queue, short enough to see a queue's
-// turn begin well before a machine could have come.
-constexpr std::chrono::milliseconds kWindow{500};
-// Callers that were refused come back within some seconds.
-constexpr std::chrono::milliseconds kSameJob{3000};
-// Longer than any caller was seen to go on trying.
-constexpr std::chrono::milliseconds kRemembered{30000};
-// A few megabytes; some hundred arrivals a second are usual.
-constexpr std::size_t kMostRemembered = 20000;
+// Long enough for about ten jobs of a busy queue, short enough to see its load
+// rise well before a machine could be moved.
+constexpr std::chrono::milliseconds kRateWindow{500};
+// Callers that were refused submit the job again within some seconds.
+constexpr std::chrono::milliseconds kRetryWindow{3000};
+// Longer than any caller was seen to keep retrying.
+constexpr std::chrono::milliseconds kMaxAge{30000};
+// A few megabytes; a few hundred arrivals per second are usual.
+constexpr std::size_t kMaxEntries = 20000;
 
 }  // namespace
 
@@ -32,8 +32,8 @@
 
 base::TimePoint FirstArrivals::Note(const std::string& job,
                                     base::TimePoint now) {
-  while (!m_order.empty() && (now - m_order.front().first > kRemembered ||
-                              m_order.size() > kMostRemembered)) {
+  while (!m_order.empty() && (now - m_order.front().first > kMaxAge ||
+                              m_order.size() > kMaxEntries)) {
     m_first.erase(m_order.front().second);
     m_order.pop_front();
   }
@@ -57,22 +57,22 @@
   Forget(now);
   Work sum;
   for (const Arrival& arrival : m_arrivals) {
-    if (now - arrival.at < kWindow) {
+    if (now - arrival.at < kRateWindow) {
       sum += arrival.work;
     }
   }
-  const auto window = static_cast<double>(kWindow.count());
+  const auto window = static_cast<double>(kRateWindow.count());
   return {sum.cpu / window, sum.memory / window};
 }
 
 double ArrivalMeter::JobsPerSecond(base::TimePoint now) {
   Forget(now);
   return static_cast<double>(m_arrivals.size()) /
-         std::chrono::duration<double>(kSameJob).count();
+         std::chrono::duration<double>(kRetryWindow).count();
 }
 
 void ArrivalMeter::Forget(base::TimePoint now) {
-  while (!m_arrivals.empty() && now - m_arrivals.front().at > kSameJob) {
+  while (!m_arrivals.empty() && now - m_arrivals.front().at > kRetryWindow) {
     m_jobs.erase(m_arrivals.front().job);
     m_arrivals.pop_front();
   }
--- a/src/cassiastile/jobs/arrival_meter_test.cpp
+++ b/src/cassiastile/jobs/arrival_meter_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr base::TimePoint kBegin{std::chrono::seconds(100)};
 
-TEST(FirstArrivalsTest, KeepsTheFirstTimeOfAJobThatComesBack) {
+TEST(FirstArrivalsTest, KeepsTheFirstTimeOfAResubmittedJob) {
   FirstArrivals arrivals;
   EXPECT_EQ(arrivals.Note("job", kBegin), kBegin);
   EXPECT_EQ(arrivals.Note("job", kBegin + milliseconds(4000)), kBegin);
@@ -24,7 +24,7 @@
   EXPECT_EQ(arrivals.Note("job", later), later);
 }
 
-// A storm of jobs that are all turned away must not fill the memory.
+// A flood of jobs that are all refused must not fill the memory.
 TEST(FirstArrivalsTest, ForgetsTheOldestWhenThereAreTooMany) {
   FirstArrivals arrivals;
   arrivals.Note("first", kBegin);
@@ -35,7 +35,7 @@
             kBegin + milliseconds(2));
 }
 
-TEST(ArrivalMeterTest, JobHandedInAgainCountsOnce) {
+TEST(ArrivalMeterTest, ResubmittedJobCountsOnce) {
   ArrivalMeter meter;
   meter.Add("job", {1000, 0}, kBegin);
   meter.Add("job", {1000, 0}, kBegin + milliseconds(100));
--- a/src/cassiastile/jobs/duration_model.cpp
+++ b/src/cassiastile/jobs/duration_model.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-// Weight of a new sample, once there are enough for the weight to be smaller
-// than that of a plain mean.
-constexpr double kGain = 0.05;
-constexpr std::chrono::milliseconds kUnknownTask{1000};
-// Raised when the layout changes in a way that older programs can't read.
+// Least weight of a new sample. The first samples get the weight that they have
+// in a plain mean, which is larger.
+constexpr double kMinGain = 0.05;
+constexpr std::chrono::milliseconds kDefaultDuration{1000};
+// Incremented when older programs can't read the new layout.
 constexpr std::uint8_t kLayout = 1;
 
 }  // namespace
@@ -30,7 +30,7 @@
       std::max<double>(1, static_cast<double>(estimate.count()));
   ++m_revision;
   Entry& entry = m_entries[queue];
-  const double gain = std::max(kGain, 1.0 / (entry.samples + 1));
+  const double gain = std::max(kMinGain, 1.0 / (entry.samples + 1));
   if (entry.samples > 0) {
     const double by_mean = std::log(taken_ms / entry.mean_ms);
     const double by_ratio = std::log(taken_ms / (estimate_ms * entry.ratio));
@@ -53,7 +53,7 @@
     std::chrono::milliseconds estimate) const {
   const auto found = m_entries.find(queue);
   if (found == m_entries.end()) {
-    return estimate.count() > 0 ? estimate : kUnknownTask;
+    return estimate.count() > 0 ? estimate : kDefaultDuration;
   }
   const Entry& entry = found->second;
   const double by_ratio = static_cast<double>(estimate.count()) * entry.ratio;
@@ -71,7 +71,7 @@
     const std::string& queue,
     const JobSpec& spec) const {
   std::vector<std::chrono::milliseconds> critical_paths(spec.steps.size());
-  // Steps refer to earlier ones only.
+  // Steps depend on earlier ones only.
   for (std::size_t i = spec.steps.size(); i-- > 0;) {
     critical_paths[i] += Expect(queue, spec.steps[i].estimate);
     for (const std::uint32_t before : spec.steps[i].after) {
--- a/src/cassiastile/jobs/duration_model_test.cpp
+++ b/src/cassiastile/jobs/duration_model_test.cpp
@@ -22,7 +22,7 @@
       1000, 50);
 }
 
-TEST(DurationModelTest, TailsReachToTheEndOfTheJob) {
+TEST(DurationModelTest, CriticalPathsReachToTheEndOfTheJob) {
   DurationModel model;
   JobSpec spec;
   spec.steps.resize(3);
@@ -38,7 +38,7 @@
             milliseconds(300));
 }
 
-TEST(DurationModelTest, WhatWasLearntOutlivesTheOffice) {
+TEST(DurationModelTest, DecodesWhatWasEncoded) {
   DurationModel model;
   model.Observe("queue", milliseconds(100), milliseconds(700));
   const auto read = DurationModel::Decode(model.Encode());
--- a/src/cassiastile/jobs/job_codec.cpp
+++ b/src/cassiastile/jobs/job_codec.cpp
@@ -1,4 +1,4 @@
-// Jobs as bytes, by cereal's portable binary archive.
+// Serialization of jobs with cereal's portable binary archive.
 #include <sstream>
 
 #include <fmt/format.h>
@@ -12,7 +12,7 @@
 
 namespace {
 
-// Raised when the layout changes in a way that older programs can't read.
+// Incremented when older programs can't read the new layout.
 constexpr std::uint8_t kLayout = 2;
 
 template <typename Archive>
@@ -61,7 +61,7 @@
   Visit(archive, job.spec);
 }
 
-// What a task's row of the progress holds.
+// A task in the stored progress of a job.
 struct TaskRow {
   std::uint32_t step = 0;
   std::uint32_t index = 0;
@@ -102,7 +102,7 @@
   archive(step, index);
   if (step >= occurrence.steps.size() ||
       index >= occurrence.steps[step].tasks.size()) {
-    throw cereal::Exception("a task beyond the job's steps");
+    throw cereal::Exception("task outside the steps of the job");
   }
   Task& task = occurrence.steps[step].tasks[index];
   std::uint32_t runs = 0;
@@ -142,7 +142,7 @@
 std::string EncodeRecord(const Job& job) {
   std::ostringstream out;
   cereal::PortableBinaryOutputArchive archive(out);
-  // The archive takes references it does not change when it writes.
+  // An output archive takes mutable references but does not change them.
   VisitRecord(archive, const_cast<Job&>(job));
   return std::move(out).str();
 }
--- a/src/cassiastile/jobs/job_spec.cpp
+++ b/src/cassiastile/jobs/job_spec.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Bounds on what one job may make the scheduler hold in memory.
+// Limits on the memory that one job takes in the scheduler.
 constexpr std::size_t kMaxSteps = 256;
 constexpr std::uint32_t kMaxTasksOfStep = 10000;
 constexpr std::uint32_t kMaxRepeats = 100000;
@@ -23,7 +23,7 @@
                                kMaxSteps, spec.steps.size()));
   }
   if (spec.repeats > kMaxRepeats) {
-    return Invalid(fmt::format("more than {} repeats", kMaxRepeats));
+    return Invalid(fmt::format("repeats: at most {} are allowed", kMaxRepeats));
   }
   for (std::size_t i = 0; i < spec.steps.size(); ++i) {
     const StepSpec& step = spec.steps[i];
--- a/src/cassiastile/jobs/pool_plan.cpp
+++ b/src/cassiastile/jobs/pool_plan.cpp
@@ -21,18 +21,18 @@
           base::TimePoint now)
       : m_machines(machines), m_pools(pools), m_options(options), m_now(now) {
     for (const PoolMachine& machine : machines) {
-      m_have[machine.pool] += machine.capacity;
-      ++m_count[machine.pool];
+      m_capacity[machine.pool] += machine.capacity;
+      ++m_machine_count[machine.pool];
     }
     for (const auto& [pool, demand] : pools) {
-      m_want[pool] = DesiredCapacity(demand, options);
+      m_wanted[pool] = DesiredCapacity(demand, options);
     }
   }
 
   std::vector<MachineMove> Plan() {
     for (const auto& [pool, demand] : m_pools) {
       if (!demand.standby) {
-        Fetch(pool);
+        FillPool(pool);
       }
     }
     ReleaseIdle();
@@ -52,17 +52,17 @@
                : std::max(m_options.min_machines, found->second.min_machines);
   }
 
-  // Whether the machine's pool has enough without it.
+  // Whether the machine's pool has enough capacity and machines without it.
   bool IsSurplus(const PoolMachine& machine) {
     if (IsStandby(machine.pool)) {
       return true;
     }
-    const Resources left = m_have[machine.pool] - machine.capacity;
-    return Fits(m_want[machine.pool], left) &&
-           m_count[machine.pool] > MinMachines(machine.pool);
+    const Resources left = m_capacity[machine.pool] - machine.capacity;
+    return Fits(m_wanted[machine.pool], left) &&
+           m_machine_count[machine.pool] > MinMachines(machine.pool);
   }
 
-  // The machine to give away next, or null.
+  // The machine to move into `pool` next, or null.
   const PoolMachine* FindDonor(const std::string& pool) {
     const PoolMachine* best = nullptr;
     for (const PoolMachine& machine : m_machines) {
@@ -70,10 +70,10 @@
       const bool idle = standby || m_now - machine.idle_since >=
                                        m_options.idle_before_lending;
       if (!machine.movable || machine.pool == pool || !idle ||
-          m_taken.contains(machine.name) || !IsSurplus(machine)) {
+          m_moved.contains(machine.name) || !IsSurplus(machine)) {
         continue;
       }
-      // One that runs anyway costs no more in its new pool.
+      // A machine that is already running costs no more in its new pool.
       if (best == nullptr || (IsStandby(best->pool) && !standby)) {
         best = &machine;
       }
@@ -82,17 +82,18 @@
   }
 
   void Move(const PoolMachine& machine, const std::string& to) {
-    m_taken.insert(machine.name);
-    m_have[machine.pool] -= machine.capacity;
-    m_have[to] += machine.capacity;
-    --m_count[machine.pool];
-    ++m_count[to];
+    m_moved.insert(machine.name);
+    m_capacity[machine.pool] -= machine.capacity;
+    m_capacity[to] += machine.capacity;
+    --m_machine_count[machine.pool];
+    ++m_machine_count[to];
     m_moves.push_back({machine.name, machine.pool, to});
   }
 
-  void Fetch(const std::string& pool) {
-    while (IsPositive(m_want[pool] - m_have[pool]) ||
-           m_count[pool] < MinMachines(pool)) {
+  // Moves machines into a pool until it has enough or none is left.
+  void FillPool(const std::string& pool) {
+    while (IsPositive(m_wanted[pool] - m_capacity[pool]) ||
+           m_machine_count[pool] < MinMachines(pool)) {
       const PoolMachine* donor = FindDonor(pool);
       if (donor == nullptr) {
         return;
@@ -101,6 +102,7 @@
     }
   }
 
+  // Moves surplus machines that stay idle to the spare pool.
   void ReleaseIdle() {
     const auto spare = std::ranges::find_if(
         m_pools, [](const auto& row) { return row.second.standby; });
@@ -111,7 +113,7 @@
       const bool long_idle =
           m_now - machine.idle_since >= m_options.idle_before_leaving;
       if (machine.movable && long_idle && !IsStandby(machine.pool) &&
-          !m_taken.contains(machine.name) && IsSurplus(machine)) {
+          !m_moved.contains(machine.name) && IsSurplus(machine)) {
         Move(machine, spare->first);
       }
     }
@@ -121,10 +123,10 @@
   const std::map<std::string, PoolDemand>& m_pools;
   const PoolPlanOptions& m_options;
   base::TimePoint m_now;
-  std::map<std::string, Resources> m_have;
-  std::map<std::string, std::size_t> m_count;
-  std::map<std::string, Resources> m_want;
-  std::set<std::string> m_taken;
+  std::map<std::string, Resources> m_capacity;
+  std::map<std::string, std::size_t> m_machine_count;
+  std::map<std::string, Resources> m_wanted;
+  std::set<std::string> m_moved;
   std::vector<MachineMove> m_moves;
 };
 
--- a/src/cassiastile/jobs/pool_plan_test.cpp
+++ b/src/cassiastile/jobs/pool_plan_test.cpp
@@ -35,8 +35,8 @@
   std::map<std::string, PoolDemand> m_pools{{"spare", {.standby = true}}};
 };
 
-// A queue's turn begins: work for 100 cores a second comes to two machines.
-TEST_F(PoolPlanTest, TurnThatBeginsFetchesAllItNeedsAtOnce) {
+// The load of a queue rises: work for 100 cores arrives at two machines.
+TEST_F(PoolPlanTest, RisingLoadFetchesAllMachinesAtOnce) {
   m_pools["busy"].arriving = {.cpu = 100, .memory = 0};
   Add("busy", 2, milliseconds(0));
   Add("spare", 10, milliseconds(60000));
@@ -55,7 +55,7 @@
   EXPECT_THAT(Plan(), IsEmpty());
 }
 
-TEST_F(PoolPlanTest, PoolWhoseTurnIsOverLendsBeforeTheSpareDoes) {
+TEST_F(PoolPlanTest, IdlePoolLendsBeforeTheSparePool) {
   m_pools["busy"].arriving = {.cpu = 40, .memory = 0};
   m_pools["idle"] = {};
   Add("busy", 2, milliseconds(0));
--- a/src/cassiastile/jobs/scheduler.cpp
+++ b/src/cassiastile/jobs/scheduler.cpp
@@ -7,31 +7,32 @@
 
 namespace {
 
-// A job taken by an earlier office counts as no older than this.
-constexpr std::chrono::milliseconds kOldest{60000};
+// A job accepted by an earlier leader counts as no older than this.
+constexpr std::chrono::milliseconds kMaxRecoveredAge{60000};
 
 std::chrono::milliseconds Millis(base::WallTime wall) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
       wall.time_since_epoch());
 }
 
-// A pool changes little in so short a time, and each look walks all its jobs.
-constexpr std::chrono::milliseconds kViewAge{20};
+// How long a PoolView is reused: a pool changes little in so short a time, and
+// each new view visits all of its jobs.
+constexpr std::chrono::milliseconds kMaxViewAge{20};
 
-// A job that is later than this many objectives is worth nothing.
+// The result of a job has no value after this many times its allowed duration.
 constexpr int kWorthlessFactor = 3;
 
-// The part of a task that is still to be done, from its best run.
-double LeftOf(const Task& task) {
+// The fraction of a task that remains, from its most advanced run.
+double RemainingFraction(const Task& task) {
   int percent = 0;
   for (const Run& run : task.runs) {
     percent = std::max(percent, run.percent);
   }
-  constexpr double kWhole = 100.0;
-  return 1.0 - std::clamp(percent, 0, 100) / kWhole;
+  constexpr double kDonePercent = 100.0;
+  return 1.0 - std::clamp(percent, 0, 100) / kDonePercent;
 }
 
-// What a job still needs.
+// The work that is left of a job, without long-running and filler steps.
 Work RemainingWork(const Job& job, const DurationModel& durations) {
   Work work;
   for (const Occurrence& occurrence : job.occurrences) {
@@ -42,7 +43,7 @@
       }
       double left = 0;
       for (const Task& task : occurrence.steps[i].tasks) {
-        left += task.done ? 0.0 : LeftOf(task);
+        left += task.done ? 0.0 : RemainingFraction(task);
       }
       work += WorkOf(step, durations.Expect(job.queue, step.estimate), left);
     }
@@ -50,7 +51,8 @@
   return work;
 }
 
-// How many workers a long-running step is spread over, and one more.
+// Number of workers that a long-running step must be spread over, plus one to
+// move a task to; 0 for other steps.
 std::size_t DistinctWorkers(const StepSpec& step) {
   if (!step.long_running) {
     return 0;
@@ -65,6 +67,7 @@
   return (step.count + together - 1) / together + 1;
 }
 
+// Whether a worker of the service is large enough; true if it has none.
 bool FitsSomeWorker(const StepSpec& step,
                     const std::string& service,
                     const std::map<std::string, WorkerState>& workers) {
@@ -135,14 +138,14 @@
     Job& job = *owned;
     job.accepted = true;
     const auto age = std::clamp(Millis(wall) - job.arrived_wall,
-                                std::chrono::milliseconds(0), kOldest);
+                                std::chrono::milliseconds(0), kMaxRecoveredAge);
     job.arrived_at = now - age;
     if (const QueueConfig* queue = QueueOf(job)) {
       SetObjective(job, *queue);
     }
     if (IsFinished(job.phase)) {
       job.finished_at = now;
-      m_to_release.push_back(&job);
+      m_finished.push_back(&job);
     }
     for (Occurrence& occurrence : job.occurrences) {
       for (std::uint32_t s = 0; s < occurrence.steps.size(); ++s) {
@@ -184,7 +187,7 @@
 Scheduler::PoolView& Scheduler::ViewOf(const std::string& service,
                                        base::TimePoint now) {
   PoolView& view = m_views[service];
-  if (view.taken_at != base::TimePoint{} && now - view.taken_at < kViewAge) {
+  if (view.taken_at != base::TimePoint{} && now - view.taken_at < kMaxViewAge) {
     return view;
   }
   view = {};
@@ -277,7 +280,8 @@
   }
   if (!timed) {
     BeginOccurrence(job, 0);
-    // Callers that come before the next look must not all find the same room.
+    // Callers that arrive before the view is renewed must not all be given the
+    // same free capacity.
     PoolView& view = ViewOf(job.service, now);
     const StepSpec& first = job.spec.steps.front();
     view.backlog += work;
@@ -354,7 +358,7 @@
   job.finished_at = now;
   m_open.erase(job.id);
   StopAllRuns(job, now);
-  m_to_release.push_back(&job);
+  m_finished.push_back(&job);
   MarkDirty(job, true);
 }
 
@@ -373,20 +377,20 @@
   }
 }
 
-void Scheduler::ReleaseFinished(base::TimePoint now) {
-  std::erase_if(m_to_release, [this, now](Job* job) {
+void Scheduler::RemoveFinished(base::TimePoint now) {
+  std::erase_if(m_finished, [this, now](Job* job) {
     if (now - job->finished_at < m_options.keep_finished || job->runs > 0 ||
         job->dirty) {
       return false;
     }
-    m_dropped_jobs.push_back(job->id);
+    m_removed_jobs.push_back(job->id);
     m_jobs.erase(job->id);
     return true;
   });
 }
 
 Batch Scheduler::TakeBatch(std::size_t max_rows, base::TimePoint now) {
-  ReleaseFinished(now);
+  RemoveFinished(now);
   Batch batch;
   std::vector<Job*> taken;
   for (Job* job : m_dirty) {
@@ -417,10 +421,10 @@
     batch.starts.push_back(planned);
     return true;
   });
-  while (!m_dropped_jobs.empty() && batch.rows.size() + 2 <= max_rows) {
-    batch.rows.push_back({m_dropped_jobs.back(), true, std::nullopt});
-    batch.rows.push_back({m_dropped_jobs.back(), false, std::nullopt});
-    m_dropped_jobs.pop_back();
+  while (!m_removed_jobs.empty() && batch.rows.size() + 2 <= max_rows) {
+    batch.rows.push_back({m_removed_jobs.back(), true, std::nullopt});
+    batch.rows.push_back({m_removed_jobs.back(), false, std::nullopt});
+    m_removed_jobs.pop_back();
   }
   if (m_dirty.empty()) {
     m_urgent = false;
--- a/src/cassiastile/jobs/scheduler_bench.hpp
+++ b/src/cassiastile/jobs/scheduler_bench.hpp
@@ -10,8 +10,8 @@
 
 namespace cassiastile::jobs {
 
-// A scheduler with a few workers for tests. Commits succeed at once; what is
-// ordered is kept for the test to answer.
+// A scheduler with simulated workers, for tests. Commits succeed at once;
+// orders are returned for the test to answer.
 class SchedulerBench {
  public:
   explicit SchedulerBench(std::uint32_t max_attempts = 2);
@@ -23,17 +23,19 @@
   void AddWorker(const std::string& id, std::int64_t incarnation_ms = 1);
   void RemoveWorker(const std::string& id);
   Submission Submit(const std::string& id, JobSpec spec);
-  // Plans, commits all that is to be written and returns the orders.
+  // Plans, commits all rows and returns the orders.
   Orders Step();
-  // Answers all starts with success.
+  // The same, and answers all starts with success.
   std::vector<StartOrder> StepAndStart();
   void Report(const std::string& worker, const WorkerReport& report);
-  // A report that lists what was started there and has not ended.
+  // A report with the runs of the worker and its ends.
   WorkerReport Listing(const std::string& worker) const;
+  // Ends a run with this sequence number and reports it.
   void End(const StartOrder& order, RunEnd how, std::uint64_t sequence);
-  // What a successor reads from the store.
+  // The jobs in the store, as the next leader reads them.
   std::vector<Job> Stored() const;
-  // A bench whose scheduler took over from this one.
+  // A bench whose scheduler has taken over from this one. Runs on workers that
+  // do not report count as alive for `silent_for`.
   SchedulerBench Successor(std::chrono::milliseconds silent_for) const;
   void Advance(std::chrono::milliseconds by) { m_clock.Advance(by); }
   base::TimePoint Now() const { return m_clock.Now(); }
--- a/src/cassiastile/jobs/scheduler_place.cpp
+++ b/src/cassiastile/jobs/scheduler_place.cpp
@@ -1,4 +1,4 @@
-// Which waiting task goes where, and in which order.
+// Placement: the order of waiting tasks, and the worker for each.
 #include <algorithm>
 #include <tuple>
 
@@ -8,33 +8,38 @@
 
 namespace {
 
-// Costs of a place, in thousandths of a core that another place would have to
-// offer more to be chosen instead.
+// Costs of choosing a worker, in thousandths of a core: another worker is
+// chosen instead unless it has more free CPU by that much.
 constexpr std::int64_t kFailedHereCost = 1000000;
 constexpr std::int64_t kRemoteCost = 100000;
-// More of a step on one worker than may be away at once.
-constexpr std::int64_t kTogetherCost = 200000;
-constexpr std::int64_t kLongRunningPack = 20000;
-constexpr std::int64_t kLongRunningDisturbs = 1000;
+// For more tasks of a step on one worker than may be unavailable at once.
+constexpr std::int64_t kColocationCost = 200000;
+// Long-running tasks are packed together, and finite tasks kept off them.
+constexpr std::int64_t kLongRunningPackingBonus = 20000;
+constexpr std::int64_t kInterferenceCost = 1000;
 
-// Leases and patience are counted in seconds; looking after all runs at every
-// plan is what a loaded scheduler spent most of its time on.
-constexpr std::chrono::milliseconds kCareInterval{50};
+// Leases and timeouts are in the order of seconds, and a loaded scheduler spent
+// most of its time supervising all runs in every planning round.
+constexpr std::chrono::milliseconds kSupervisionInterval{50};
 
-// Workers of a service that are kept for finite tasks that found no room. More
-// of them would stand half empty at the worst load.
+// Number of workers of a service that are reserved for finite tasks that could
+// not be placed. More of them would be left half empty at peak load.
 constexpr std::size_t kReservedForFinite = 1;
 
-// The advisor answers at most this many workers in one call.
+// The advisor accepts at most this many workers in one call.
 constexpr std::size_t kMaxAdvisedWorkers = 30;
 
+// How urgent a job is; more urgent jobs are placed first.
 enum class Urgency : std::uint8_t {
-  kLongRunning,  // Serves users all the while.
+  kLongRunning,  // Serves users as long as it runs.
   kOnTime,       // Can still meet its objective.
-  kLate,         // Can't, or can no more: it takes no room from those that can.
-  kWorthless,
+  // Cannot meet its objective (any more), so it takes no capacity from those
+  // that can.
+  kLate,
+  kWorthless,  // Its result has no value any more.
 };
 
+// The order in which jobs are placed, smallest first.
 struct Rank {
   Urgency urgency = Urgency::kOnTime;
   int priority = 0;
@@ -44,11 +49,11 @@
   auto Key() const { return std::tie(urgency, priority, objective, id); }
 };
 
-// Durations are guesses, so a job is given up as late only when it would need
-// to be clearly faster than expected.
-constexpr double kFastestOfExpected = 0.7;
+// Durations are estimates, so a job counts as late only if it would have to be
+// clearly faster than expected.
+constexpr double kFastestFraction = 0.7;
 
-// When the job's waiting tasks bring it to its end at the earliest.
+// The earliest time at which the job can end, given its waiting tasks.
 base::TimePoint EarliestEnd(const Job& job, base::TimePoint now) {
   std::chrono::milliseconds longest{0};
   for (const Occurrence& occurrence : job.occurrences) {
@@ -60,7 +65,7 @@
     }
   }
   return now + std::chrono::duration_cast<base::TimePoint::duration>(
-                   kFastestOfExpected * longest);
+                   kFastestFraction * longest);
 }
 
 Rank RankOf(const Job& job, const QueueConfig* queue, base::TimePoint now) {
@@ -146,10 +151,10 @@
 }
 
 void Scheduler::Plan(base::TimePoint now, base::WallTime wall) {
-  if (now - m_cared_at >= kCareInterval) {
-    m_cared_at = now;
+  if (now - m_supervised_at >= kSupervisionInterval) {
+    m_supervised_at = now;
     ExpireRuns(now);
-    CareForRuns(now);
+    SuperviseRuns(now);
   }
   BeginDueOccurrences(wall);
   std::map<std::string, std::vector<Job*>> waiting;
@@ -181,7 +186,7 @@
   std::ranges::sort(ranked, [](const auto& left, const auto& right) {
     return left.first.Key() < right.first.Key();
   });
-  m_full_for.clear();
+  m_unplaceable.clear();
   m_reserved_for_finite = 0;
   for (WorkerState* worker : workers) {
     worker->reserved = {};
@@ -206,10 +211,10 @@
   const QueueConfig* queue = QueueOf(job);
   const std::string key = StepName(job.id, occurrence.number, step);
   Advice& advice = m_advice[key];
-  constexpr std::chrono::milliseconds kAskAgain{2000};
+  constexpr std::chrono::milliseconds kRetryAfter{2000};
   const bool valid = now < advice.valid_until;
-  const bool asking =
-      advice.asked_at != base::TimePoint{} && now - advice.asked_at < kAskAgain;
+  const bool asking = advice.asked_at != base::TimePoint{} &&
+                      now - advice.asked_at < kRetryAfter;
   if (!valid && !asking) {
     AdviceRequest request{
         job.id, occurrence.number, step, {}, queue->advice->validity};
@@ -263,9 +268,9 @@
   }
   StepState& step = occurrence.steps[step_number];
   std::vector<std::uint32_t> left;
-  // A task that fits nowhere waits for ever while smaller ones take each piece
-  // of room that becomes free. Long-running tasks serve users meanwhile; of the
-  // others, the one that comes first is enough.
+  // Without a reservation, a task that fits nowhere would starve while smaller
+  // ones take all capacity that becomes free. All waiting long-running tasks
+  // get one, since they serve users; of the others, only the first.
   std::size_t may_reserve = spec.long_running ? step.waiting.size() : 0;
   if (!spec.long_running && m_reserved_for_finite < kReservedForFinite) {
     may_reserve = kReservedForFinite - m_reserved_for_finite;
@@ -303,7 +308,7 @@
                           base::TimePoint now) {
   StepState& step = occurrence.steps[step_number];
   if (step.waiting.size() < step.tasks.size()) {
-    // Members of the last run are still ending.
+    // Members of the last attempt are still ending.
     return false;
   }
   const StepSpec& spec = job.spec.steps[step_number];
@@ -318,7 +323,7 @@
     if (place == nullptr) {
       break;
     }
-    place->used += need;  // Held while the others are chosen.
+    place->used += need;  // Reserved while the others are placed.
     places.push_back(place);
   }
   for (WorkerState* place : places) {
@@ -344,9 +349,11 @@
 
 bool Scheduler::IsFull(const Resources& need,
                        const std::vector<WorkerState*>& workers) {
-  // Placing only takes room away, so what did not fit before does not fit now.
+  // Placing only reduces free capacity, so what did not fit before does not fit
+  // now.
   const bool known = std::ranges::any_of(
-      m_full_for, [&need](const Resources& full) { return Fits(full, need); });
+      m_unplaceable,
+      [&need](const Resources& full) { return Fits(full, need); });
   if (known) {
     return true;
   }
@@ -354,23 +361,23 @@
       workers,
       [&need](const WorkerState* worker) { return HasRoom(*worker, need); });
   if (full) {
-    m_full_for.push_back(need);
+    m_unplaceable.push_back(need);
   }
   return full;
 }
 
-bool Scheduler::MayHost(const WorkerState& worker,
+bool Scheduler::CanHost(const WorkerState& worker,
                         const TaskRef& ref,
                         const Advice* advice) const {
   const StepSpec& spec = SpecOf(ref);
   const WorkerEntry& entry = worker.entry;
-  const bool labelled = spec.required_label.empty() ||
-                        entry.kind == spec.required_label ||
-                        entry.rack == spec.required_label;
+  const bool has_label = spec.required_label.empty() ||
+                         entry.kind == spec.required_label ||
+                         entry.rack == spec.required_label;
   const bool advised =
       advice == nullptr || advice->ticket_of_worker.contains(entry.id.id);
   const bool healthy = !worker.health.IsOnProbation() || worker.used.cpu == 0;
-  return labelled && advised && healthy &&
+  return has_label && advised && healthy &&
          (spec.max_per_worker == 0 ||
           RunsOfStep(worker, ref) < spec.max_per_worker);
 }
@@ -386,11 +393,11 @@
     const bool can_fit =
         Fits(worker->long_running_used + need, worker->entry.capacity);
     if (!can_fit || worker->reserved != Resources{} ||
-        !MayHost(*worker, ref, advice)) {
+        !CanHost(*worker, ref, advice)) {
       continue;
     }
     const Resources missing = worker->used + need - worker->entry.capacity;
-    // A core goes with about so much memory.
+    // Missing memory counts as CPU, at the usual memory per core.
     constexpr std::int64_t kMegabytesPerCore = 4096;
     const std::int64_t cost =
         std::max<std::int64_t>(0, missing.cpu) +
@@ -415,10 +422,10 @@
   std::int64_t best_cost = 0;
   for (WorkerState* worker : workers) {
     const WorkerEntry& entry = worker->entry;
-    if (!HasRoom(*worker, need) || !MayHost(*worker, ref, advice)) {
+    if (!HasRoom(*worker, need) || !CanHost(*worker, ref, advice)) {
       continue;
     }
-    // Best fit: machines that need not run become idle, and large tasks find
+    // Best fit, so that unneeded machines become idle and large tasks find
     // room.
     std::int64_t cost = entry.capacity.cpu - worker->used.cpu;
     if (task.avoided_worker == entry.id.id) {
@@ -429,11 +436,11 @@
     }
     if (spec.max_unavailable > 0 &&
         RunsOfStep(*worker, ref) >= spec.max_unavailable) {
-      cost += kTogetherCost;
+      cost += kColocationCost;
     }
-    const std::int64_t long_running_used = worker->long_running_runs;
-    cost += spec.long_running ? -kLongRunningPack * long_running_used
-                              : kLongRunningDisturbs * long_running_used;
+    const std::int64_t neighbours = worker->long_running_runs;
+    cost += spec.long_running ? -kLongRunningPackingBonus * neighbours
+                              : kInterferenceCost * neighbours;
     if (best == nullptr || cost < best_cost) {
       best = worker;
       best_cost = cost;
--- a/src/cassiastile/jobs/scheduler_runs.cpp
+++ b/src/cassiastile/jobs/scheduler_runs.cpp
@@ -1,4 +1,4 @@
-// What becomes of runs: reports of workers, answers to orders, expiry.
+// State changes of runs: reports of workers, answers to orders, expiry.
 #include <algorithm>
 
 #include "cassiastile/jobs/scheduler.hpp"
@@ -7,9 +7,9 @@
 
 namespace {
 
-// An order to start that is not answered for so long counts as doubtful even
-// when its connection has not failed.
-constexpr std::chrono::milliseconds kStartPatience{3000};
+// A run whose start order is not answered for this long is stopped, even when
+// the connection has not failed.
+constexpr std::chrono::milliseconds kStartTimeout{3000};
 
 }  // namespace
 
@@ -67,7 +67,7 @@
   }
   const StepSpec& spec = SpecOf(ref);
   const WorkerId where = run->worker;
-  const bool was_at_work = run->serving_since != base::TimePoint{};
+  const bool was_serving = run->serving_since != base::TimePoint{};
   if (WorkerState* worker = FindWorker(where.id)) {
     const auto erased = std::erase(worker->runs, std::pair(ref, number));
     if (erased > 0) {
@@ -87,7 +87,7 @@
   if (IsFinished(ref.job->phase) || task->done) {
     return;
   }
-  if (spec.long_running && was_at_work) {
+  if (spec.long_running && was_serving) {
     task->unavailable_since = now;
   }
   StepState& step = FindOccurrence(*ref.job, ref.occurrence)->steps[ref.step];
@@ -194,12 +194,12 @@
   std::vector<std::pair<TaskRef, std::uint32_t>> listed;
   listed.reserve(report.running.size());
   for (const ListedRun& run : report.running) {
-    if (const auto ref = NoteListed(*worker, run, now)) {
+    if (const auto ref = UpdateListedRun(*worker, run, now)) {
       listed.emplace_back(*ref, run.run);
     }
   }
-  // A run that a newer report lacks has ended without being listed, or its
-  // order will not be carried out any more.
+  // A run that is missing from a newer report has ended without being listed,
+  // or its order will not be carried out any more.
   const auto runs = worker->runs;
   for (const auto& [ref, number] : runs) {
     Run* run = FindRun(ref, number);
@@ -223,9 +223,9 @@
   }
 }
 
-std::optional<TaskRef> Scheduler::NoteListed(WorkerState& worker,
-                                             const ListedRun& listed,
-                                             base::TimePoint now) {
+std::optional<TaskRef> Scheduler::UpdateListedRun(WorkerState& worker,
+                                                  const ListedRun& listed,
+                                                  base::TimePoint now) {
   const auto ref = Resolve(listed.task);
   Run* run = ref ? FindRun(*ref, listed.run) : nullptr;
   if (run == nullptr || run->worker != worker.entry.id) {
@@ -249,8 +249,8 @@
   const StepSpec& spec = SpecOf(*ref);
   Task& task = *FindTask(*ref);
   if (spec.long_running) {
-    const bool at_work = listed.percent >= 100;
-    if (at_work && run->serving_since == base::TimePoint{}) {
+    const bool serving = listed.percent >= 100;
+    if (serving && run->serving_since == base::TimePoint{}) {
       run->serving_since = now;
       task.unavailable_since = {};
     }
@@ -268,7 +268,8 @@
                        const ListedEnd& end,
                        base::TimePoint now) {
   Task& task = *FindTask(ref);
-  base::TimePoint began{};  // Known only of whole runs that were confirmed.
+  // Known only of confirmed runs that started without a checkpoint.
+  base::TimePoint began{};
   if (const Run* run = FindRun(ref, end.run)) {
     began = run->checkpoint.empty() ? run->confirmed_at : base::TimePoint{};
   }
@@ -302,7 +303,7 @@
   Occurrence& occurrence = *FindOccurrence(job, ref.occurrence);
   StepState& step = occurrence.steps[ref.step];
   if (step.tasks[ref.index].done) {
-    // Listed again: the acknowledgement was lost, or there was a copy.
+    // Listed again: the acknowledgement was lost, or there was another run.
     return;
   }
   const bool whole_gang = SpecOf(ref).gang;
@@ -457,7 +458,7 @@
 }
 
 void Scheduler::ExpireRuns(base::TimePoint now) {
-  constexpr std::chrono::milliseconds kStopRepeat{700};
+  constexpr std::chrono::milliseconds kStopRetryInterval{700};
   for (auto& [id, worker] : m_workers) {
     const auto runs = worker.runs;
     for (const auto& [ref, number] : runs) {
@@ -469,11 +470,11 @@
           worker.lease_bound != base::TimePoint{}) {
         DropRun(ref, number, now);
       } else if (run->phase == RunPhase::kStarting &&
-                 now - run->ordered_at > kStartPatience) {
+                 now - run->ordered_at > kStartTimeout) {
         StopRun(ref, *run, StopReason::kUnanswered, now);
       } else if (run->phase == RunPhase::kStopping &&
                  run->confirmed_at == base::TimePoint{} &&
-                 now - run->ordered_at > kStopRepeat) {
+                 now - run->ordered_at > kStopRetryInterval) {
         run->ordered_at = now;
         m_orders.stops.push_back(
             {run->worker, IdOf(ref), number, run->stop_reason});
--- a/src/cassiastile/jobs/scheduler_supervision.cpp
+++ b/src/cassiastile/jobs/scheduler_supervision.cpp
@@ -1,5 +1,5 @@
-// Looks after runs under way: fillers that disturb, workers that drain, tasks
-// that stand still.
+// Supervision of runs: fillers that disturb other tasks, workers that drain,
+// tasks that make no progress.
 #include <algorithm>
 
 #include "cassiastile/jobs/scheduler.hpp"
@@ -8,35 +8,36 @@
 
 namespace {
 
-// A finite task whose percentage has not moved for so long stands still; a
+// A finite task whose percentage has not changed for this long is stuck; a
 // healthy worker reports progress several times a second.
 constexpr std::chrono::milliseconds kStuckAfter{2000};
-// A run that is slower than expected by this factor is started elsewhere.
+// A run that is slower than expected by this factor is restarted elsewhere.
 constexpr int kSlowFactor = 4;
 constexpr std::chrono::milliseconds kSlowAtLeast{1500};
-// Fillers go down at once and come back in steps.
-constexpr int kPaceLow = 0;
+// Fillers are slowed down at once and sped up in steps; in percent.
+constexpr int kMinPace = 0;
 constexpr int kPaceStep = 25;
-// The tail must be well below its target before fillers get more.
-constexpr double kCalmShare = 0.7;
+// Share of its target that tail latency must stay below before fillers are sped
+// up.
+constexpr double kSpeedUpShare = 0.7;
 constexpr std::chrono::milliseconds kPaceInterval{500};
 
 }  // namespace
 
-bool Scheduler::IsAtWork(const Run& run) const {
+bool Scheduler::IsServing(const Run& run) const {
   const auto worker = m_workers.find(run.worker.id);
   return run.phase == RunPhase::kRunning &&
          run.serving_since != base::TimePoint{} && worker != m_workers.end() &&
          !worker->second.silent;
 }
 
-void Scheduler::CareForRuns(base::TimePoint now) {
+void Scheduler::SuperviseRuns(base::TimePoint now) {
   for (auto& [id, worker] : m_workers) {
     if (!worker.has_reported) {
       continue;
     }
     if (worker.entry.draining && worker.listed) {
-      LeaveDrainingWorker(worker, now);
+      DrainWorker(worker, now);
     }
     PaceFillers(worker, now);
     const auto runs = worker.runs;
@@ -75,7 +76,7 @@
   StopRun(ref, run, StopReason::kStuck, now);
 }
 
-void Scheduler::LeaveDrainingWorker(WorkerState& worker, base::TimePoint now) {
+void Scheduler::DrainWorker(WorkerState& worker, base::TimePoint now) {
   const auto runs = worker.runs;
   for (const auto& [ref, number] : runs) {
     Run* run = FindRun(ref, number);
@@ -88,17 +89,19 @@
 }
 
 void Scheduler::PaceFillers(WorkerState& worker, base::TimePoint now) {
-  bool over = false;
-  bool calm = true;
+  bool above_target = false;
+  bool well_below_target = true;
   for (const auto& [ref, number] : worker.runs) {
     const StepSpec& spec = SpecOf(ref);
     const Run* run = FindRun(ref, number);
     if (run == nullptr || spec.target.count() == 0 || run->percent < 100) {
       continue;
     }
-    over = over || run->load > spec.target.count();
-    calm = calm && static_cast<double>(run->load) <
-                       kCalmShare * static_cast<double>(spec.target.count());
+    above_target = above_target || run->load > spec.target.count();
+    well_below_target =
+        well_below_target &&
+        static_cast<double>(run->load) <
+            kSpeedUpShare * static_cast<double>(spec.target.count());
   }
   for (const auto& [ref, number] : worker.runs) {
     const StepSpec& spec = SpecOf(ref);
@@ -107,9 +110,9 @@
       continue;
     }
     int wanted = run->paced_percent;
-    if (over) {
-      wanted = kPaceLow;
-    } else if (calm && now - run->ordered_at > kPaceInterval) {
+    if (above_target) {
+      wanted = kMinPace;
+    } else if (well_below_target && now - run->ordered_at > kPaceInterval) {
       wanted = std::min(100, run->paced_percent + kPaceStep);
     }
     if (wanted != run->paced_percent) {
@@ -141,16 +144,16 @@
   }
 }
 
-std::uint32_t Scheduler::AwayBeside(const TaskRef& ref) const {
-  std::uint32_t away = 0;
+std::uint32_t Scheduler::CountOtherUnavailable(const TaskRef& ref) const {
+  std::uint32_t unavailable = 0;
   const auto& tasks =
       FindOccurrence(*ref.job, ref.occurrence)->steps[ref.step].tasks;
   for (std::uint32_t i = 0; i < tasks.size(); ++i) {
-    const bool at_work = std::ranges::any_of(
-        tasks[i].runs, [this](const Run& run) { return IsAtWork(run); });
-    away += i != ref.index && !at_work ? 1 : 0;
+    const bool serving = std::ranges::any_of(
+        tasks[i].runs, [this](const Run& run) { return IsServing(run); });
+    unavailable += i != ref.index && !serving ? 1 : 0;
   }
-  return away;
+  return unavailable;
 }
 
 void Scheduler::Evacuate(const std::string& id, base::TimePoint now) {
@@ -161,8 +164,8 @@
   for (const auto& [ref, number] : worker->runs) {
     Run* run = FindRun(ref, number);
     const StepSpec& spec = SpecOf(ref);
-    if (run != nullptr && spec.max_unavailable > 0 && IsAtWork(*run) &&
-        AwayBeside(ref) < spec.max_unavailable) {
+    if (run != nullptr && spec.max_unavailable > 0 && IsServing(*run) &&
+        CountOtherUnavailable(ref) < spec.max_unavailable) {
       StopRun(ref, *run, StopReason::kEvacuated, now);
     }
   }
@@ -184,7 +187,7 @@
       continue;
     }
     for (const auto& [ref, number] : worker->second.runs) {
-      if (!MayEndWith(ref, id)) {
+      if (!CanEndRunsOn(ref, id)) {
         return IdOf(ref);
       }
     }
@@ -192,21 +195,21 @@
   return std::nullopt;
 }
 
-bool Scheduler::MayEndWith(const TaskRef& ref, const std::string& id) const {
+bool Scheduler::CanEndRunsOn(const TaskRef& ref, const std::string& id) const {
   const StepSpec& spec = SpecOf(ref);
   if (spec.max_unavailable == 0 || IsFinished(ref.job->phase)) {
     return true;
   }
   const Occurrence* occurrence = FindOccurrence(*ref.job, ref.occurrence);
-  std::uint32_t away = 0;
+  std::uint32_t unavailable = 0;
   for (const Task& task : occurrence->steps[ref.step].tasks) {
-    const bool at_work = std::ranges::any_of(
-        task.runs, [this](const Run& run) { return IsAtWork(run); });
+    const bool serving = std::ranges::any_of(
+        task.runs, [this](const Run& run) { return IsServing(run); });
     const bool here = std::ranges::any_of(
         task.runs, [&id](const Run& run) { return run.worker.id == id; });
-    away += !at_work || here ? 1 : 0;
+    unavailable += !serving || here ? 1 : 0;
   }
-  return away <= spec.max_unavailable;
+  return unavailable <= spec.max_unavailable;
 }
 
 }  // namespace cassiastile::jobs
--- a/src/cassiastile/jobs/scheduler_test.cpp
+++ b/src/cassiastile/jobs/scheduler_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_THAT(bench.Step().starts, SizeIs(1));
 }
 
-TEST(SchedulerTest, SameJobHandedInAgainStaysOneJob) {
+TEST(SchedulerTest, ResubmittedJobStaysOneJob) {
   SchedulerBench bench;
   bench.AddWorker("a");
   bench.Submit(kJob, SchedulerBench::OneTask());
@@ -84,8 +84,8 @@
   EXPECT_EQ(bench.Get().FindJob(kJob)->stored_phase, JobPhase::kFailed);
 }
 
-// A worker lists an end until it is acknowledged, so the successor of a
-// scheduler sees ends that the store already covers.
+// A worker lists an end until it is acknowledged, so after a takeover the new
+// leader sees ends that the store already covers.
 TEST(SchedulerTest, FailureListedAgainAfterATakeoverCountsOnce) {
   SchedulerBench bench(2);
   bench.AddWorker("a");
@@ -164,7 +164,7 @@
   EXPECT_EQ(starts.front().run, 2U);
 }
 
-TEST(SchedulerTest, NewLifeOfAWorkerRunsNothingOfBefore) {
+TEST(SchedulerTest, NewIncarnationOfAWorkerStartsWithoutRuns) {
   SchedulerBench bench;
   bench.AddWorker("a");
   bench.Submit(kJob, SchedulerBench::OneTask());
@@ -216,7 +216,7 @@
   EXPECT_THAT(bench.Step().stops, IsEmpty());
 }
 
-TEST(SchedulerTest, RunNobodyOrderedIsStopped) {
+TEST(SchedulerTest, UnknownRunIsStopped) {
   SchedulerBench bench;
   bench.AddWorker("a");
   WorkerReport report = bench.Listing("a");
@@ -254,7 +254,7 @@
   EXPECT_FALSE(IsFinished(bench.Get().FindJob(kJob)->phase));
 }
 
-TEST(SchedulerTest, VacatesNoMoreOfAStepThanItAllows) {
+TEST(SchedulerTest, DrainsNoMoreOfAStepThanItAllows) {
   SchedulerBench bench;
   bench.AddWorker("a");
   bench.AddWorker("b");
@@ -267,7 +267,7 @@
   EXPECT_FALSE(bench.Get().CanDrainMachine("machine-b"));
 }
 
-TEST(SchedulerTest, TaskOnASilentWorkerCountsAsAway) {
+TEST(SchedulerTest, TaskOnASilentWorkerCountsAsUnavailable) {
   SchedulerBench bench;
   bench.AddWorker("a");
   bench.AddWorker("b");
@@ -288,8 +288,8 @@
   EXPECT_THAT(bench.StepAndStart(), SizeIs(3));
 }
 
-// A queue at several times what its pool holds: jobs that can no longer be in
-// time go behind those that can, or all of them end up late.
+// When a queue has several times the load of its pool, jobs that can no longer
+// meet their objective go behind those that can. Otherwise all would be late.
 TEST(SchedulerTest, WorkThatCanBeInTimeGoesBeforeWorkThatCannot) {
   SchedulerBench bench;
   bench.AddWorker("a");
@@ -320,7 +320,7 @@
   }
   const std::string turned_away = std::to_string(taken);
   const base::TimePoint first_request = bench.Now();
-  // All of what was taken is cancelled, so that there is room again.
+  // All accepted jobs are cancelled, so that there is room again.
   for (int i = 0; i < taken; ++i) {
     bench.Get().Cancel(std::to_string(i), bench.Now());
   }
@@ -339,11 +339,12 @@
              .verdict != Submission::Verdict::kRefused) {
     ASSERT_LT(++taken, 100);
   }
-  // One runs, and what is done within 1.15 of the slack of 1.1 s may wait.
+  // One job runs; others may wait for up to 1.15 times the slack of 1.1 s.
   EXPECT_EQ(taken, 3);
 }
 
-// After a takeover a worker may be missing from the list though it runs on.
+// After a takeover, a worker may be missing from the list though it is still
+// running.
 TEST(SchedulerTest, RunsOfAnUnlistedWorkerKeepItsMachine) {
   SchedulerBench bench;
   bench.AddWorker("a");
@@ -356,11 +357,12 @@
   EXPECT_FALSE(next.Get().CanDrainMachine("machine-a"));
 }
 
-// A full pool with small tasks that take each piece of room as it becomes free.
+// A full pool in which small tasks take all capacity that becomes free.
 class FullPoolTest : public testing::Test {
  protected:
-  // Ends running small tasks one after the other, and hands in another for
-  // each, until a task of `job` starts. Returns how many had to end.
+  // Ends running small tasks one after the other, and submits another for each,
+  // until a task of `job` starts. Returns how many had to end, or `most` + 1
+  // when none started.
   int EndsUntilStarted(const std::string& job, int most) {
     for (int ended = 0; ended <= most; ++ended) {
       for (const StartOrder& start : m_bench.StepAndStart()) {
@@ -404,12 +406,12 @@
 TEST_F(FullPoolTest, LargeTaskIsNotStarvedBySmallOnes) {
   Fill();
   m_bench.Submit(kJob, SchedulerBench::OneTask(10000));
-  // The small ones that came before go first.
+  // The small tasks that were submitted earlier go first.
   EXPECT_LE(EndsUntilStarted(kJob, 30), 14);
 }
 
-// A start that was not answered may still arrive after its worker has begun
-// another life under the same id, and would be carried out there.
+// An unanswered start order may still arrive after its worker has restarted
+// under the same id, and the new incarnation would carry it out.
 TEST(SchedulerTest, UnansweredStartIsStoppedAtTheNextLifeOfItsWorker) {
   SchedulerBench bench;
   bench.AddWorker("a");
--- a/src/cassiastile/jobs/wave_plan.cpp
+++ b/src/cassiastile/jobs/wave_plan.cpp
@@ -9,30 +9,32 @@
                   const WaveLimits& limits,
                   base::TimePoint now) {
   WavePlan plan;
-  std::size_t taken = 0;
-  std::vector<const WaveMachine*> emptying;
+  std::size_t down_count = 0;
+  std::vector<const WaveMachine*> being_drained;
   std::vector<const WaveMachine*> others;
   for (const WaveMachine& machine : machines) {
     if (machine.down) {
-      ++taken;
+      ++down_count;
     } else if (!machine.begun && !machine.busy) {
-      (machine.cordoned ? emptying : others).push_back(&machine);
+      (machine.cordoned ? being_drained : others).push_back(&machine);
     }
   }
-  for (const WaveMachine* machine : emptying) {
-    const bool emptied = machine->finite_cpu == 0 ||
+  for (const WaveMachine* machine : being_drained) {
+    const bool drained = machine->finite_cpu == 0 ||
                          now - machine->cordoned_at > limits.max_drain_time;
-    if (emptied && machine->can_drain && taken < limits.max_down) {
+    if (drained && machine->can_drain && down_count < limits.max_down) {
       plan.maintain.push_back(machine->name);
-      ++taken;
+      ++down_count;
     }
   }
-  // Twice the time that the rest takes at full width: some will have to wait
-  // for tasks that may not be taken away together.
-  const auto rounds = (emptying.size() + others.size()) / limits.max_down + 1;
-  const bool hurry = limits.left < 2 * limits.each * rounds;
-  std::size_t planned = taken + emptying.size() - plan.maintain.size();
-  // Idle ones first: emptying a machine of long-running tasks takes a while.
+  // Twice the time that the rest takes at full parallelism: some machines will
+  // have to wait for tasks that may not be unavailable together.
+  const auto rounds =
+      (being_drained.size() + others.size()) / limits.max_down + 1;
+  const bool short_of_time = limits.left < 2 * limits.each * rounds;
+  std::size_t planned =
+      down_count + being_drained.size() - plan.maintain.size();
+  // Idle ones first: draining long-running tasks off a machine takes a while.
   std::ranges::stable_sort(others, [](const auto* left, const auto* right) {
     return std::pair(!left->idle, left->finite_cpu) <
            std::pair(!right->idle, right->finite_cpu);
@@ -41,7 +43,7 @@
     if (planned >= limits.max_down) {
       break;
     }
-    if (hurry || machine->idle || !machine->needed) {
+    if (short_of_time || machine->idle || !machine->needed) {
       plan.cordon.push_back(machine->name);
       ++planned;
     }
--- a/src/cassiastile/jobs/wave_plan_test.cpp
+++ b/src/cassiastile/jobs/wave_plan_test.cpp
@@ -19,7 +19,7 @@
   return machine;
 }
 
-WaveMachine Emptied(const std::string& name) {
+WaveMachine MakeDraining(const std::string& name) {
   WaveMachine machine = MakeMachine(name);
   machine.cordoned = true;
   machine.cordoned_at = kNow - milliseconds(500);
@@ -30,13 +30,13 @@
   WaveMachine down = MakeMachine("down");
   down.down = true;
   const WavePlan plan =
-      PlanWave({down, Emptied("a"), Emptied("b"), MakeMachine("c")},
+      PlanWave({down, MakeDraining("a"), MakeDraining("b"), MakeMachine("c")},
                {.max_down = 2, .left = milliseconds(60000)}, kNow);
   EXPECT_THAT(plan.maintain, ElementsAre("a"));
   EXPECT_THAT(plan.cordon, IsEmpty());
 }
 
-TEST(WavePlanTest, EmptiesBeforeItMaintains) {
+TEST(WavePlanTest, DrainsBeforeItMaintains) {
   const WavePlan plan = PlanWave(
       {MakeMachine("a")}, {.max_down = 1, .left = milliseconds(60000)}, kNow);
   EXPECT_THAT(plan.cordon, ElementsAre("a"));
@@ -44,7 +44,7 @@
 }
 
 TEST(WavePlanTest, WaitsForFiniteTasksForAMoment) {
-  WaveMachine busy = Emptied("a");
+  WaveMachine busy = MakeDraining("a");
   busy.finite_cpu = 1000;
   const WaveLimits limits{.max_down = 1, .left = milliseconds(60000)};
   EXPECT_THAT(PlanWave({busy}, limits, kNow).maintain, IsEmpty());
@@ -52,8 +52,8 @@
               SizeIs(1));
 }
 
-TEST(WavePlanTest, MachineThatMayNotBeVacatedWaits) {
-  WaveMachine blocked = Emptied("a");
+TEST(WavePlanTest, MachineThatMayNotBeDrainedWaits) {
+  WaveMachine blocked = MakeDraining("a");
   blocked.can_drain = false;
   EXPECT_THAT(
       PlanWave({blocked}, {.max_down = 1, .left = milliseconds(0)}, kNow)
@@ -61,7 +61,7 @@
       IsEmpty());
 }
 
-TEST(WavePlanTest, MachinesInNeedGoOnlyWhenTimeRunsShort) {
+TEST(WavePlanTest, NeededMachinesGoOnlyWhenTimeRunsShort) {
   WaveMachine needed = MakeMachine("a");
   needed.idle = false;
   needed.needed = true;
