--- a/include/cassiastile/sim/invariant_checker.hpp
+++ b/include/cassiastile/sim/invariant_checker.hpp
@@ -9,17 +9,19 @@
 
 namespace cassiastile::sim {
 
-// Checks what must hold for runs, from what callers sent and heard and from
-// what workers saw. Each violation is a sentence.
+// Checks the invariants of runs, from the requests and answers of callers and
+// from what workers observe. Each violation is a sentence.
 class InvariantChecker final : public RunObserver {
  public:
-  // A caller is about to hand in a job; its tasks may run from now on.
+  // A caller is about to submit a job; its tasks may run from now on.
   void JobSubmitted(const std::string& job, jobs::JobSpec spec);
-  // All that the caller has heard of the job so far is refusals.
+  // The caller has got nothing but refusals for the job so far.
   void Refused(const std::string& job);
+  // The caller was told that the job is accepted.
   void Accepted(const std::string& job);
+  // The caller was told that the job is cancelled.
   void CancelAcknowledged(const std::string& job);
-  // A job was said to be in this state.
+  // A caller was told that the job is in this phase.
   void PhaseReported(const std::string& job, jobs::JobPhase phase);
 
   void RunStarted(const jobs::WorkerId& worker,
@@ -30,29 +32,35 @@
                 jobs::RunEnd how) override;
   void EndAcknowledged(const jobs::TaskId& task) override;
 
+  // Adds a violation.
   void Violate(std::string what) { m_violations.push_back(std::move(what)); }
 
   const std::vector<std::string>& Violations() const { return m_violations; }
-  // Null for a job that nobody handed in.
+  // Null for a job that was not submitted.
   const jobs::JobSpec* SpecOf(const std::string& job) const;
+  // Number of its tasks that have ended successfully.
   std::size_t DoneTasks(const std::string& job) const;
+  // Number of its runs that are alive.
   std::size_t RunningTasks(const std::string& job) const;
 
  private:
-  struct Book {
+  // What is known of one job.
+  struct JobState {
     jobs::JobSpec spec;
     bool refused = false;
     bool accepted = false;
-    std::set<jobs::TaskId> done;  // Ended successfully, noted or not.
-    std::map<jobs::TaskId, std::vector<std::string>> running;  // Workers.
+    // Ended successfully, acknowledged or not.
+    std::set<jobs::TaskId> done;
+    // Workers that run each task.
+    std::map<jobs::TaskId, std::vector<std::string>> running;
   };
 
-  bool IsStepDone(const Book& book,
+  bool IsStepDone(const JobState& state,
                   const jobs::TaskId& task,
                   std::uint32_t step) const;
 
-  std::map<std::string, Book> m_books;
-  std::set<jobs::TaskId> m_noted;
+  std::map<std::string, JobState> m_job_states;
+  std::set<jobs::TaskId> m_acknowledged;
   std::vector<std::string> m_violations;
 };
 
--- a/include/cassiastile/sim/table_model.hpp
+++ b/include/cassiastile/sim/table_model.hpp
@@ -11,21 +11,24 @@
 
 namespace cassiastile::sim {
 
-// The platform's transactional table, in memory. Knows nothing of time or
-// connections: whoever serves it decides what is late or lost.
+// The platform's transactional table, in memory. It models neither time nor
+// connections: its user decides which requests are late or lost.
 class TableModel {
  public:
+  // Applies a transaction if each expected row has the expected version, 0 for
+  // none; otherwise returns a conflict with the current rows.
   host::TransactionReply Apply(const host::RowTransaction& transaction,
                                std::chrono::milliseconds now);
-  // Rows of a part from a key on, at most `limit`.
+  // The rows of a part with keys not below `from`, at most `limit`.
   host::RowPage Read(const std::string& table,
                      const std::string& part,
                      const std::string& from,
                      std::size_t limit,
                      std::chrono::milliseconds now) const;
-  // What changed after a version; no rows if nothing did.
+  // The changes after a version; no rows if there are none. `forgotten` is set
+  // if the history does not reach back to it.
   host::FeedPage Feed(const std::string& table, std::uint64_t after) const;
-  // Feeds from before now have to be read anew.
+  // Drops the history: who follows an older version must read the table anew.
   void ForgetHistory();
   // The row, or null.
   const host::Row* Find(const std::string& table,
--- a/include/cassiastile/sim/worker_model.hpp
+++ b/include/cassiastile/sim/worker_model.hpp
@@ -12,7 +12,7 @@
 
 namespace cassiastile::sim {
 
-// Sees what becomes of runs.
+// Observes the runs of workers.
 class RunObserver {
  public:
   virtual ~RunObserver() = default;
@@ -22,40 +22,48 @@
                         const jobs::TaskId& task,
                         std::uint32_t run,
                         jobs::RunEnd how) = 0;
-  // The scheduler has acknowledged a successful end; it counts for good.
+  // The scheduler has acknowledged a successful end, which is final.
   virtual void EndAcknowledged(const jobs::TaskId& task) = 0;
 };
 
-// One life of a worker: fences, leases, runs and the list of their ends. Time
-// is passed in, and Advance must be called at or after NextEvent.
+// Models one incarnation of a worker: its fencing token, lease and runs, and
+// the list of ended runs. Time is passed in, and Advance must be called at or
+// after NextEvent.
 class WorkerModel {
  public:
-  // The watch must outlive the model.
+  // The observer must outlive the model.
   WorkerModel(jobs::WorkerEntry entry,
               base::TimePoint began,
-              RunObserver& watch);
+              RunObserver& observer);
 
-  // `step` says what the task needs and how long it takes.
+  // `step` says what the task needs and how long it takes; `until` is the end
+  // of the lease by the worker's own clock.
   jobs::StartResult Start(const jobs::StartOrder& order,
                           const jobs::StepSpec& step,
                           std::uint64_t fence,
                           std::chrono::milliseconds until,
                           base::TimePoint now);
-  // False when the fence is too low.
+  // Returns false when a newer fencing token has been seen.
   bool Stop(const jobs::TaskId& task,
             std::uint32_t run,
             std::uint64_t fence,
             base::TimePoint now);
-  // Whether the fence is high enough; takes note of acknowledged ends.
+  // Extends the lease and drops acknowledged ends. Returns false when a newer
+  // fencing token has been seen.
   bool Extend(const host::LeaseExtension& extension, base::TimePoint now);
+  // The report of the worker, with its runs and ends.
   jobs::WorkerReport Report(base::TimePoint now) const;
+  // Ends the runs that are done, or whose lease has expired, by `now`.
   void Advance(base::TimePoint now);
+  // When the next run ends, or nothing.
   std::optional<base::TimePoint> NextEvent() const;
-  // Nothing runs any more; ends are not listed.
+  // Ends all runs without listing them, as in a crash.
   void Die();
 
   const jobs::WorkerEntry& Entry() const { return m_entry; }
+  // Whether ends have not been acknowledged yet.
   bool HasEnds() const { return !m_ended.empty(); }
+  // The worker's own clock: the time since it started.
   std::chrono::milliseconds Clock(base::TimePoint now) const;
 
  private:
@@ -69,13 +77,15 @@
   void Finish(const jobs::TaskId& task, jobs::RunEnd how);
 
   jobs::WorkerEntry m_entry;
-  base::TimePoint m_began;
-  RunObserver& m_watch;
+  base::TimePoint m_started;
+  RunObserver& m_observer;
   std::uint64_t m_fence = 0;
-  std::chrono::milliseconds m_until{0};  // Of the lease, by its own clock.
+  // End of the lease, by its own clock.
+  std::chrono::milliseconds m_lease_until{0};
   jobs::Resources m_used;
   std::map<jobs::TaskId, Run> m_running;
-  std::map<jobs::TaskId, std::uint32_t> m_closed;  // Highest run refused.
+  // Highest run of each task that is refused.
+  std::map<jobs::TaskId, std::uint32_t> m_closed;
   std::vector<jobs::ListedEnd> m_ended;
   std::uint64_t m_sequence = 0;
 };
--- a/include/cassiastile/sim/worker_timer.hpp
+++ b/include/cassiastile/sim/worker_timer.hpp
@@ -7,21 +7,21 @@
 
 namespace cassiastile::sim {
 
-// Calls back when something ends at a worker. Keeps one timer, so that whoever
-// serves a model can set it after each call.
+// Calls back at the next event of a worker model. Keeps one timer, so that it
+// can be set after each call to the model.
 class WorkerTimer {
  public:
   // The loop must outlive the timer. `due` runs on it.
   WorkerTimer(host::Loop& loop, std::function<void()> due);
 
-  // Asks for a call at a time, if there is one; a call that is due sooner
-  // stands, and sets the timer anew.
+  // Requests a call at a time, if there is one. If a call is due sooner, it is
+  // kept, and its callback must set the timer anew.
   void Set(std::optional<base::TimePoint> at);
 
  private:
   host::Loop& m_loop;
   std::function<void()> m_due;
-  std::optional<base::TimePoint> m_at;  // Of the next call.
+  std::optional<base::TimePoint> m_at;  // When the next call is due.
   host::Lifetime m_lifetime;
 };
 
--- a/src/cassiastile/sim/invariant_checker.cpp
+++ b/src/cassiastile/sim/invariant_checker.cpp
@@ -18,80 +18,81 @@
 
 void InvariantChecker::JobSubmitted(const std::string& job,
                                     jobs::JobSpec spec) {
-  m_books[job].spec = std::move(spec);
+  m_job_states[job].spec = std::move(spec);
 }
 
 void InvariantChecker::Refused(const std::string& job) {
-  m_books[job].refused = true;
+  m_job_states[job].refused = true;
 }
 
 void InvariantChecker::Accepted(const std::string& job) {
-  m_books[job].refused = false;
-  m_books[job].accepted = true;
+  m_job_states[job].refused = false;
+  m_job_states[job].accepted = true;
 }
 
 void InvariantChecker::CancelAcknowledged(const std::string& job) {
-  m_books[job].accepted = false;
+  m_job_states[job].accepted = false;
 }
 
 void InvariantChecker::PhaseReported(const std::string& job,
                                      jobs::JobPhase phase) {
-  const Book& book = m_books[job];
+  const JobState& state = m_job_states[job];
   std::size_t tasks = 0;
-  for (const jobs::StepSpec& step : book.spec.steps) {
+  for (const jobs::StepSpec& step : state.spec.steps) {
     tasks += step.count;
   }
-  if (phase == jobs::JobPhase::kDone && book.done.size() < tasks) {
+  if (phase == jobs::JobPhase::kDone && state.done.size() < tasks) {
     Violate(fmt::format("job {} is said to be done with {} of {} tasks", job,
-                        book.done.size(), tasks));
+                        state.done.size(), tasks));
   }
   if (phase == jobs::JobPhase::kFailed ||
-      (phase == jobs::JobPhase::kCancelled && book.accepted)) {
+      (phase == jobs::JobPhase::kCancelled && state.accepted)) {
     Violate(fmt::format("job {} is said to be {}", job,
                         base::FindName(jobs::kJobPhaseNames, phase)));
   }
 }
 
 const jobs::JobSpec* InvariantChecker::SpecOf(const std::string& job) const {
-  const auto found = m_books.find(job);
-  return found == m_books.end() ? nullptr : &found->second.spec;
+  const auto found = m_job_states.find(job);
+  return found == m_job_states.end() ? nullptr : &found->second.spec;
 }
 
-bool InvariantChecker::IsStepDone(const Book& book,
+bool InvariantChecker::IsStepDone(const JobState& state,
                                   const jobs::TaskId& task,
                                   std::uint32_t step) const {
-  const auto done =
-      std::ranges::count_if(book.done, [&task, step](const jobs::TaskId& each) {
+  const auto done = std::ranges::count_if(
+      state.done, [&task, step](const jobs::TaskId& each) {
         return each.occurrence == task.occurrence && each.step == step;
       });
-  return static_cast<std::uint32_t>(done) == book.spec.steps[step].count;
+  return static_cast<std::uint32_t>(done) == state.spec.steps[step].count;
 }
 
 void InvariantChecker::RunStarted(const jobs::WorkerId& worker,
                                   const jobs::StartOrder& order) {
   const jobs::TaskId& task = order.task;
-  const auto found = m_books.find(task.job);
-  if (found == m_books.end() || found->second.spec.payload != order.payload) {
+  const auto found = m_job_states.find(task.job);
+  if (found == m_job_states.end() ||
+      found->second.spec.payload != order.payload) {
     Violate(fmt::format("task {} was never handed in", Name(task)));
     return;
   }
-  Book& book = found->second;
-  if (book.refused) {
+  JobState& state = found->second;
+  if (state.refused) {
     Violate(fmt::format("task {} runs though its job was refused", Name(task)));
   }
-  for (const std::uint32_t before : book.spec.steps[task.step].after) {
-    if (!IsStepDone(book, task, before)) {
+  for (const std::uint32_t before : state.spec.steps[task.step].after) {
+    if (!IsStepDone(state, task, before)) {
       Violate(fmt::format("task {} runs before step {} is done", Name(task),
                           before));
     }
   }
-  std::vector<std::string>& running = book.running[task];
+  std::vector<std::string>& running = state.running[task];
   if (!running.empty()) {
     Violate(fmt::format("task {} runs twice: on {} and {}", Name(task),
                         running.front(), worker.id));
   }
   running.push_back(worker.id);
-  if (m_noted.contains(task)) {
+  if (m_acknowledged.contains(task)) {
     Violate(fmt::format("task {} started after its end was acknowledged",
                         Name(task)));
   }
@@ -101,8 +102,8 @@
                                 const jobs::TaskId& task,
                                 std::uint32_t /*run*/,
                                 jobs::RunEnd how) {
-  const auto found = m_books.find(task.job);
-  if (found == m_books.end()) {
+  const auto found = m_job_states.find(task.job);
+  if (found == m_job_states.end()) {
     return;
   }
   std::erase(found->second.running[task], worker.id);
@@ -112,17 +113,17 @@
 }
 
 void InvariantChecker::EndAcknowledged(const jobs::TaskId& task) {
-  m_noted.insert(task);
+  m_acknowledged.insert(task);
 }
 
 std::size_t InvariantChecker::DoneTasks(const std::string& job) const {
-  const auto found = m_books.find(job);
-  return found == m_books.end() ? 0 : found->second.done.size();
+  const auto found = m_job_states.find(job);
+  return found == m_job_states.end() ? 0 : found->second.done.size();
 }
 
 std::size_t InvariantChecker::RunningTasks(const std::string& job) const {
-  const auto found = m_books.find(job);
-  if (found == m_books.end()) {
+  const auto found = m_job_states.find(job);
+  if (found == m_job_states.end()) {
     return 0;
   }
   std::size_t count = 0;
--- a/src/cassiastile/sim/worker_model.cpp
+++ b/src/cassiastile/sim/worker_model.cpp
@@ -9,18 +9,18 @@
 
 using std::chrono::milliseconds;
 
-// A long-running task is at work after a short start-up.
+// Time that a long-running task takes to start up before it serves.
 constexpr milliseconds kStartup{300};
 
 }  // namespace
 
 WorkerModel::WorkerModel(jobs::WorkerEntry entry,
                          base::TimePoint began,
-                         RunObserver& watch)
-    : m_entry(std::move(entry)), m_began(began), m_watch(watch) {}
+                         RunObserver& observer)
+    : m_entry(std::move(entry)), m_started(began), m_observer(observer) {}
 
 milliseconds WorkerModel::Clock(base::TimePoint now) const {
-  return std::chrono::duration_cast<milliseconds>(now - m_began);
+  return std::chrono::duration_cast<milliseconds>(now - m_started);
 }
 
 jobs::StartResult WorkerModel::Start(const jobs::StartOrder& order,
@@ -35,7 +35,7 @@
   if (until <= Clock(now)) {
     return jobs::StartResult::kTooLate;
   }
-  m_until = std::max(m_until, until);
+  m_lease_until = std::max(m_lease_until, until);
   if (const auto same = m_running.find(order.task); same != m_running.end()) {
     return same->second.number == order.run ? jobs::StartResult::kRunning
                                             : jobs::StartResult::kStaleRun;
@@ -54,7 +54,7 @@
   if (!step.long_running) {
     run.ends = now + step.estimate;
   }
-  m_watch.RunStarted(m_entry.id, order);
+  m_observer.RunStarted(m_entry.id, order);
   return jobs::StartResult::kRunning;
 }
 
@@ -83,14 +83,14 @@
   m_fence = extension.fence;
   Advance(now);
   if (extension.until) {
-    m_until = std::max(m_until, *extension.until);
+    m_lease_until = std::max(m_lease_until, *extension.until);
   }
   std::erase_if(m_ended, [this, &extension](const jobs::ListedEnd& end) {
     if (end.sequence > extension.acknowledged_end) {
       return false;
     }
     if (end.how == jobs::RunEnd::kDone) {
-      m_watch.EndAcknowledged(end.task);
+      m_observer.EndAcknowledged(end.task);
     }
     return true;
   });
@@ -117,8 +117,9 @@
 }
 
 void WorkerModel::Advance(base::TimePoint now) {
-  // Ends and the end of the lease count in the order of their times.
-  const base::TimePoint lease_end = m_began + m_until;
+  // Ends of runs and the end of the lease take effect in the order of their
+  // times.
+  const base::TimePoint lease_end = m_started + m_lease_until;
   std::vector<std::pair<base::TimePoint, jobs::TaskId>> due;
   for (const auto& [task, run] : m_running) {
     const bool done = run.ends != base::TimePoint{} && run.ends <= lease_end;
@@ -137,7 +138,7 @@
 std::optional<base::TimePoint> WorkerModel::NextEvent() const {
   std::optional<base::TimePoint> next;
   for (const auto& [task, run] : m_running) {
-    base::TimePoint at = m_began + m_until;
+    base::TimePoint at = m_started + m_lease_until;
     if (run.ends != base::TimePoint{}) {
       at = std::min(at, run.ends);
     }
@@ -148,7 +149,8 @@
 
 void WorkerModel::Die() {
   for (const auto& [task, run] : std::exchange(m_running, {})) {
-    m_watch.RunEnded(m_entry.id, task, run.number, jobs::RunEnd::kLeaseExpired);
+    m_observer.RunEnded(m_entry.id, task, run.number,
+                        jobs::RunEnd::kLeaseExpired);
   }
 }
 
@@ -159,7 +161,7 @@
   m_used -= run.need;
   m_closed[task] = std::max(m_closed[task], run.number);
   m_ended.push_back({++m_sequence, task, run.number, how, ""});
-  m_watch.RunEnded(m_entry.id, task, run.number, how);
+  m_observer.RunEnded(m_entry.id, task, run.number, how);
 }
 
 }  // namespace cassiastile::sim
--- a/src/cassiastile/sim/worker_timer_test.cpp
+++ b/src/cassiastile/sim/worker_timer_test.cpp
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-// Keeps what is asked for; the test runs it.
+// Keeps the requested calls; the test runs them.
 class FakeLoop final : public host::Loop {
  public:
   const base::Clock& GetClock() const override { return m_clock; }
