--- a/include/cassiastile/fleet/audit_appender.hpp
+++ b/include/cassiastile/fleet/audit_appender.hpp
@@ -9,7 +9,7 @@
 
 namespace cassiastile::fleet {
 
-// An operator's act as the audit chain keeps it.
+// An operator's action as recorded in the audit chain.
 struct AuditEntry {
   std::string what;  // Such as "host w-07 drain".
   std::string who;   // The operator's name.
@@ -17,24 +17,26 @@
   std::string detail;
 };
 
-// What a transaction must carry so that the entry is appended with it.
+// The preconditions and writes to include in a transaction so that it appends
+// an audit entry.
 struct AuditAddition {
   std::vector<platform::Precondition> preconditions;
   std::vector<platform::Write> writes;
 };
 
-// Appends to the audit chain in the transaction of the act itself. Safe for use
-// by several threads.
+// Appends entries to the audit chain within the transaction of the audited
+// action. Thread-safe.
 class AuditAppender {
  public:
   virtual ~AuditAppender() = default;
 
-  // Fails when the end of the chain can't be read. The transaction conflicts
-  // when another entry was appended first; then ask again.
+  // Returns what appends the entry; it writes nothing itself. Fails if the end
+  // of the chain can't be read. The transaction conflicts if another entry is
+  // appended first; the caller then calls Append again.
   virtual base::Result<AuditAddition> Append(const AuditEntry& entry) = 0;
 };
 
-// Keeps no audit chain, for tests and examples.
+// Records nothing; for tests and examples.
 class NullAuditAppender final : public AuditAppender {
  public:
   base::Result<AuditAddition> Append(const AuditEntry& entry) override;
--- a/include/cassiastile/fleet/budget.hpp
+++ b/include/cassiastile/fleet/budget.hpp
@@ -11,24 +11,27 @@
 
 namespace cassiastile::fleet {
 
-// What a pool misses and what may still be taken from it.
+// How many hosts of a pool are out of service, and how many more its budget
+// allows.
 struct BudgetCount {
   std::uint32_t max_out = 0;
-  std::uint32_t planned = 0;   // Taken by waves, operators, moves, removals.
-  std::uint32_t failed = 0;    // Failed hosts that nothing stands in for.
-  std::uint32_t replaced = 0;  // Failed hosts that the spare stands in for.
-  std::uint32_t unresponsive = 0;  // Not in the row, yet not known to be up.
+  // Out for waves, operators' drains, moves and removals.
+  std::uint32_t planned = 0;
+  std::uint32_t failed = 0;    // Failed and not replaced.
+  std::uint32_t replaced = 0;  // Failed and replaced by a spare host.
+  // In service by the pool's row, but not confirmed to be up.
+  std::uint32_t unresponsive = 0;
 
   std::uint32_t Out() const { return planned + failed + unresponsive; }
-  // Hosts that may be taken now; unplanned loss has come off first.
+  // Hosts that may be drained now; unplanned losses are already subtracted.
   std::uint32_t Free() const { return Out() < max_out ? max_out - Out() : 0; }
-  // Hosts that are out beyond the budget.
+  // Hosts that are out of service beyond the budget.
   std::uint32_t Excess() const { return Out() > max_out ? Out() - max_out : 0; }
 };
 
-// Counts what is out of a pool, whatever the cause. `unseen` holds the pool's
-// hosts that are in service by their rows but not known to be up. A pool that
-// the document no longer has has no budget to keep.
+// Counts a pool's hosts that are out of service for any cause. `unresponsive`
+// holds the hosts that are in service by their rows but not confirmed to be up.
+// A null `pool`, one that is no longer in the document, has no budget limit.
 BudgetCount CountBudget(const config::Pool* pool,
                         const PoolRecord& record,
                         const std::set<std::string>& unresponsive);
@@ -36,16 +39,16 @@
 // "2 of 3 out: 1 planned, 1 failed, 0 replaced, 0 not answering".
 std::string Describe(const BudgetCount& count);
 
-// A host that could be given back to a pool that is short.
+// A host that could be undrained while its pool exceeds its budget.
 struct UndrainCandidate {
   std::string host;
   HostRecord record;
   HostWork work;
 };
 
-// The hosts to give back undrained when a pool misses more than its budget:
-// those that waves and moves are draining, the busiest first, as many as are
-// out in excess. Operators' own drains are left alone.
+// Chooses the hosts to undrain when more hosts of a pool are out of service
+// than its budget allows: hosts that waves or moves are draining, the busiest
+// first, at most as many as the excess. Operators' drains are never undone.
 std::vector<std::string> ChooseHostsToUndrain(
     const BudgetCount& count,
     std::vector<UndrainCandidate> candidates);
--- a/include/cassiastile/fleet/demand.hpp
+++ b/include/cassiastile/fleet/demand.hpp
@@ -9,32 +9,36 @@
 
 namespace cassiastile::fleet {
 
-// How a pool's size follows its demand.
+// When and how far a pool's size follows its demand.
 struct DemandOptions {
-  // Demand is averaged over buckets longer than a round of bursts.
+  // Demand is averaged over buckets that are longer than a burst cycle.
   std::chrono::seconds bucket{120};
-  std::uint32_t buckets = 5;        // Whole buckets that must agree.
-  double grow_above = 0.9;          // Of the pool's size, in every bucket.
-  double target_utilization = 0.8;  // What a pool is filled to after a change.
-  double shrink_below = 0.6;  // Of the size after shrinking, in every bucket.
+  std::uint32_t buckets = 5;  // Completed buckets that must agree.
+  // The pool grows if demand exceeds this fraction of its size in every bucket.
+  double grow_above = 0.9;
+  double target_utilization = 0.8;  // Utilization to reach by a size change.
+  // The pool shrinks if demand is below this fraction of its size minus one
+  // host in every bucket.
+  double shrink_below = 0.6;
 };
 
-// The demand of one pool over the last buckets, in hosts.
+// The demand of one pool over the last buckets, in units of one host's
+// capacity.
 struct DemandHistory {
-  std::deque<double> means;  // Whole buckets, the oldest first.
-  double sum = 0;            // Of the bucket under way.
+  std::deque<double> means;  // Of completed buckets, oldest first.
+  double sum = 0;            // Of the samples in the current bucket.
   std::uint32_t samples = 0;
   std::optional<base::TimePoint> bucket_start;
 };
 
-// Adds a sample, closing the bucket under way when it is full.
+// Adds a sample and completes the current bucket if its time is over.
 DemandHistory AddDemand(DemandHistory history,
                         double hosts,
                         base::TimePoint now,
                         const DemandOptions& options);
 
-// How many hosts more (positive) or fewer (negative) the pool needs. Zero until
-// the shift has lasted over all buckets; then just as many as it needs.
+// How many more (positive) or fewer (negative) hosts the pool needs. Zero
+// unless the change in demand has lasted over all buckets.
 std::int32_t PoolSizeChange(const DemandHistory& history,
                             std::uint32_t size,
                             const DemandOptions& options);
--- a/include/cassiastile/fleet/demand_source.hpp
+++ b/include/cassiastile/fleet/demand_source.hpp
@@ -5,13 +5,12 @@
 
 namespace cassiastile::fleet {
 
-// What a pool's queues and services ask for now, in hosts' worth of work: what
-// runs plus what waits, over what one host does. Safe for use by several
-// threads.
+// The current demand of a pool's queues and services: running plus waiting
+// work, in units of one host's capacity. Thread-safe.
 class DemandSource {
  public:
   virtual ~DemandSource() = default;
-  // Nothing where the pool's demand is not measured.
+  // Returns nothing if the pool's demand is not measured.
   virtual std::optional<double> Demand(const std::string& pool) const = 0;
 };
 
--- a/include/cassiastile/fleet/host_view.hpp
+++ b/include/cassiastile/fleet/host_view.hpp
@@ -11,50 +11,52 @@
 
 namespace cassiastile::fleet {
 
-// Where a host is between service and maintenance.
+// The states of a host in the maintenance cycle.
 enum class HostState : std::uint8_t {
   kInService,
-  kDraining,  // Takes no new work; what runs goes on.
+  kDraining,  // Gets no new work; running work continues.
   kRebooting,
-  kProbing,  // Back up, not yet trusted with work.
-  kFailed,   // Out without our doing.
+  kProbing,  // Up again, but gets no work yet.
+  kFailed,   // Out of service by a failure, not by plan.
 };
 
 std::string_view NameOf(HostState state);
 std::optional<HostState> FindHostState(std::string_view name);
 
-// What those who place work need to know of a host.
+// What schedulers need to know about a host to place work on it.
 struct HostView {
   config::Host host;
   std::string pool;
   HostState state = HostState::kInService;
-  // When a wave means to drain the host, as far as is known. Nothing longer
-  // should be placed on it.
+  // When a wave is expected to drain the host, if known. Work that would run
+  // longer should not be placed on it.
   std::optional<base::TimePoint> drain_expected;
 };
 
-// The hosts of a pool as the table says they are. Safe for use by several
-// threads.
+// The hosts of a pool according to the table. Thread-safe.
 class PoolView {
  public:
   virtual ~PoolView() = default;
   virtual std::vector<HostView> Hosts(const std::string& pool) const = 0;
 };
 
-// What runs on a host, as those who place work know it.
+// The work on a host, as known to the scheduler.
 struct HostWork {
   std::uint32_t running = 0;
-  std::uint32_t without_checkpoint = 0;  // Of these, not to be stopped.
-  base::Duration longest_remaining{};    // Learnt, not declared.
+  // Of the running tasks, those that can't be checkpointed and so should not be
+  // stopped.
+  std::uint32_t without_checkpoint = 0;
+  // Estimated from past runs, not declared.
+  base::Duration longest_remaining{};
 };
 
-// Tells waves what a host is busy with, and asks for checkpoints before a stop.
-// Safe for use by several threads.
+// Tells waves what runs on a host, and requests checkpoints before the host is
+// stopped. Thread-safe.
 class HostWorkSource {
  public:
   virtual ~HostWorkSource() = default;
   virtual HostWork WorkOn(const std::string& host) const = 0;
-  // Asks that tasks which can be checkpointed leave the host.
+  // Requests that the tasks that can be checkpointed leave the host.
   virtual void RequestEvacuation(const std::string& host) = 0;
 };
 
--- a/include/cassiastile/fleet/schedule.hpp
+++ b/include/cassiastile/fleet/schedule.hpp
@@ -10,40 +10,43 @@
 
 namespace cassiastile::fleet {
 
+// The maintenance cycle.
 struct ScheduleOptions {
-  std::chrono::hours cycle{24 * 35};  // Each host is maintained once in it.
-  std::chrono::seconds service{900};  // What one host takes.
+  // Every host is maintained once per cycle.
+  std::chrono::hours cycle{24 * 35};
+  std::chrono::seconds service{900};  // Maintenance time of one host.
 };
 
 // When one pool is maintained within the cycle.
 struct PoolSchedule {
   std::string pool;
   std::uint32_t hosts = 0;
-  std::uint32_t concurrent_hosts = 0;  // Hosts out at once.
+  std::uint32_t concurrent_hosts = 0;  // Hosts under maintenance at once.
   base::WallTime start{};
   base::WallTime finish{};
-  bool in_cycle = true;  // Whether all hosts are done within the cycle.
-  std::string note;      // Where not: what stands against it.
+  bool in_cycle = true;  // Whether all hosts are maintained within the cycle.
+  std::string note;      // If not, why.
 };
 
-// A schedule for all pools, and the capacity that it costs.
+// A schedule for all pools, and the capacity that it takes out of service.
 struct Schedule {
   std::vector<PoolSchedule> pools;
   std::uint32_t hosts = 0;
-  std::uint32_t peak_out = 0;  // Most hosts out at once, by the hour.
-  double mean_out = 0;         // Hosts out on average over the cycle.
+  std::uint32_t peak_out = 0;  // Most hosts out in any hour.
+  double mean_out = 0;         // Mean number of hosts out over the cycle.
 };
 
-// Plans one maintenance of every host within the cycle: each pool with the
-// fewest hosts out at once that make it in time, pools one after another where
-// there is room. A pool whose window, budget and parallelism can't make it is
-// given the date that they can.
+// Plans one maintenance of every host within the cycle. Each pool has as few
+// hosts out at once as finish in time, and pools are spread over the cycle to
+// lower the peak. A pool whose window, budget and parallelism don't suffice
+// gets `in_cycle` = false and the date by which it would finish.
 Schedule PlanSchedule(const config::Fleet& fleet,
                       base::WallTime start,
                       const ScheduleOptions& options);
 
-// What an operator should know of a wave before it starts: pools that its
-// window and budget can't finish within the cycle, with the date that they can.
+// Describes the pools that the wave can't finish within the cycle with its
+// window and budgets, each with the date by which it would finish. Shown to
+// operators before they start the wave.
 std::vector<std::string> FindWaveObstacles(const config::Fleet& fleet,
                                            const config::Wave& wave,
                                            base::WallTime start,
--- a/include/cassiastile/fleet/wave_plan.hpp
+++ b/include/cassiastile/fleet/wave_plan.hpp
@@ -14,7 +14,7 @@
 
 namespace cassiastile::fleet {
 
-// A member of a pool as a wave sees it.
+// What a wave knows about one host of a pool.
 struct WaveHost {
   config::Host host;
   HostRecord record;
@@ -22,71 +22,77 @@
   bool known_up = true;
 };
 
-// A rack by its zone and name; a host without one stands alone.
+// Identifies a rack by its zone and name. A host without a rack counts as a
+// rack of its own.
 std::string RackKey(const config::Host& host);
 
-// What one wave's next step in one pool is decided from.
+// What the next step of a wave in one pool is decided from.
 struct WaveInput {
   const config::Wave* wave = nullptr;
   const WaveRecord* record = nullptr;
-  std::vector<WaveHost> hosts;  // The pool's members in the document's order.
+  std::vector<WaveHost> hosts;  // The pool's hosts in the document's order.
   BudgetCount budget;
-  // Hosts out in each rack, of all pools and for any cause.
+  // Hosts out of service in each rack, of all pools and for any cause.
   std::map<std::string, std::uint32_t> rack_out;
   base::WallTime wall{};
 };
 
-// Why a host is not taken now.
+// A host that is not drained now, and why.
 struct SkippedHost {
   std::string host;
   std::string why;
 };
 
-// The hosts to take now, in order, with what held the others back.
+// The hosts to drain now, in order, and why the others have to wait.
 struct WaveStep {
   std::vector<std::string> take;
-  bool canary = false;  // What is taken is a canary.
-  std::string why;      // The rule that set the number.
+  bool canary = false;  // Whether the host to drain is a canary.
+  std::string why;      // The rule that limits the number.
   std::vector<SkippedHost> skipped;
 };
 
-// Whether the wave's present run has maintained the host.
+// Whether the wave's current run has maintained the host.
 bool IsDone(const WaveRecord& wave, const HostRecord& host);
 
-// The hosts that the wave has yet to do, those to be done first in front: the
-// least disturbed tasks, then the shortest wait, then the zone and rack with
-// the fewest out; or as the document lists them.
+// The hosts that the wave has yet to maintain, in the order to drain them:
+// those with the fewest tasks that can't be checkpointed, then with the fewest
+// running tasks, then with the shortest remaining run time, then in the zone
+// and rack with the fewest hosts out. With WaveOrder::kAsListed, in the
+// document's order.
 std::vector<const WaveHost*> OrderHosts(const WaveInput& input);
 
-// Which hosts the wave takes now. Never more than the budget, the wave's own
-// parallelism and its limit per rack allow; canaries one at a time.
+// Decides which hosts the wave drains now: never more than the budget, the
+// wave's parallelism and its limit per rack allow, and canaries one at a time.
 WaveStep PlanWaveStep(const WaveInput& input);
 
-// Whether one more failure halts the wave, and any failure of a canary does.
+// Whether the failure of `host` halts a running wave: that of a canary always
+// does; any other does if with it `halt_after` failures have not been accepted
+// by an operator.
 bool HaltsOnFailure(const config::Wave& wave,
                     const WaveRecord& record,
                     const std::string& host);
 
-// What one pool has left of a wave.
+// How far a wave has progressed in one pool.
 struct PoolWaveProgress {
   std::uint32_t total = 0;
   std::uint32_t done = 0;
-  std::uint32_t left_out = 0;  // Failed or held by an operator.
+  std::uint32_t left_out = 0;  // Failed or drained by an operator.
   std::uint32_t max_out = 0;
-  std::uint32_t failed = 0;  // Failures that take from the budget now.
+  std::uint32_t failed = 0;  // Failed hosts that use up the budget now.
 };
 
+// The progress of a wave and its estimated finish.
 struct WaveForecast {
   std::uint32_t total = 0;
   std::uint32_t done = 0;
   std::uint32_t left_out = 0;
-  // Nothing when no host can be taken until others return.
+  // Absent if no host can be drained until others return to service.
   std::optional<base::WallTime> finish;
-  std::string basis;  // What the forecast rests on.
+  std::string basis;  // The assumptions, for operators.
 };
 
-// When the wave ends if all goes on as it is, at `service` a host; `measured`
-// says whether that time was learnt in this run.
+// Estimates when the wave finishes if nothing changes and each host takes
+// `service`. `measured` says whether that time was measured or assumed.
 WaveForecast ForecastWave(const config::Wave& wave,
                           const std::vector<PoolWaveProgress>& pools,
                           std::chrono::seconds service,
--- a/include/cassiastile/fleet/window.hpp
+++ b/include/cassiastile/fleet/window.hpp
@@ -8,20 +8,20 @@
 
 namespace cassiastile::fleet {
 
-// Minutes of UTC since midnight.
+// Minutes since midnight UTC.
 std::uint32_t MinuteOfDay(base::WallTime time);
 
-// Whether a wave may take hosts at the time.
+// Whether a wave may drain hosts at the given time.
 bool IsOpen(const config::Window& window, base::WallTime time);
 
-// The time itself when the window is open, else when it opens next.
+// The given time if the window is open then, else the next opening.
 base::WallTime NextOpening(const config::Window& window, base::WallTime time);
 
 // How long the window is open each day.
 std::chrono::minutes OpenTimePerDay(const config::Window& window);
 
-// When the last of `batches` has ended, each taking `service` and starting in
-// the window, one after another.
+// When the last of `batches` consecutive batches ends, if each takes `service`
+// and starts while the window is open.
 base::WallTime FinishOfBatches(const config::Window& window,
                                base::WallTime start,
                                std::uint64_t batches,
--- a/src/cassiastile/fleet/budget.cpp
+++ b/src/cassiastile/fleet/budget.cpp
@@ -18,7 +18,7 @@
          !unresponsive.contains(entry.replaced_by);
 }
 
-bool MayGiveBack(const UndrainCandidate& candidate) {
+bool CanUndrain(const UndrainCandidate& candidate) {
   const HostRecord& record = candidate.record;
   return record.state == HostState::kDraining &&
          (record.reason == OutReason::kWave ||
@@ -58,7 +58,7 @@
 std::vector<std::string> ChooseHostsToUndrain(
     const BudgetCount& count,
     std::vector<UndrainCandidate> candidates) {
-  std::erase_if(candidates, [](const auto& it) { return !MayGiveBack(it); });
+  std::erase_if(candidates, [](const auto& it) { return !CanUndrain(it); });
   std::sort(candidates.begin(), candidates.end(),
             [](const auto& left, const auto& right) {
               return std::tuple(right.work.longest_remaining,
--- a/src/cassiastile/fleet/buffer.cpp
+++ b/src/cassiastile/fleet/buffer.cpp
@@ -10,12 +10,13 @@
 
 namespace {
 
-// How seldom more hosts may be failed at once than are held for it.
-constexpr double kMoreFailures = 0.001;
+// Acceptable probability that more hosts are failed at once than the buffer
+// covers.
+constexpr double kFailureTailProbability = 0.001;
 constexpr double kSecondsPerDay = 86400;
 
-// The smallest count that a Poisson variable exceeds with a probability of at
-// most `tail`.
+// The smallest count that a Poisson variable exceeds with probability at most
+// `tail`.
 std::uint32_t PoissonQuantile(double mean, double tail) {
   double term = std::exp(-mean);
   double sum = term;
@@ -33,7 +34,7 @@
   const double mean_failed = hosts * options.failures_per_host_day *
                              static_cast<double>(options.repair_time.count()) /
                              kSecondsPerDay;
-  return PoissonQuantile(mean_failed, kMoreFailures);
+  return PoissonQuantile(mean_failed, kFailureTailProbability);
 }
 
 }  // namespace
@@ -48,8 +49,8 @@
   double missed = 0;
   for (const double sample : demand) {
     const double work = sample * seconds;
-    // Of what arrives evenly over the sample, the part beyond what the
-    // deadline's capacity holds is late.
+    // Work arrives evenly over the sample. What can't be done within the
+    // deadline after the sample's end is late.
     const double end = backlog + work - hosts * seconds;
     const double room = hosts * deadline;
     const double late = std::clamp(end - room, 0.0, work);
--- a/src/cassiastile/fleet/records.cpp
+++ b/src/cassiastile/fleet/records.cpp
@@ -35,14 +35,14 @@
     {WaveState::kAborted, "aborted"},
 }};
 
-// The value of an enumeration that a JSON member names.
+// Reads an enumeration value by its name in a JSON member.
 template <typename Value, typename Find>
-Value ReadName(const nlohmann::json& json, const char* member, Find find) {
+Value ReadEnum(const nlohmann::json& json, const char* member, Find find) {
   const auto name = json.at(member).get<std::string>();
   const std::optional<Value> value = find(name);
   if (!value) {
     throw nlohmann::json::other_error::create(
-        0, std::string(member) + " can't be " + name, &json);
+        0, std::string(member) + " has the unknown value " + name, &json);
   }
   return *value;
 }
@@ -60,9 +60,9 @@
   HostRecord record;
   record.host = json.at("host").get<std::string>();
   record.pool = json.at("pool").get<std::string>();
-  record.state = ReadName<HostState>(json, "state", FindHostState);
+  record.state = ReadEnum<HostState>(json, "state", FindHostState);
   if (json.contains("reason")) {
-    record.reason = ReadName<OutReason>(json, "reason", FindOutReason);
+    record.reason = ReadEnum<OutReason>(json, "reason", FindOutReason);
   }
   if (json.contains("boots")) {
     record.boots = json.at("boots").get<std::uint64_t>();
@@ -87,7 +87,7 @@
   record.last_host = json.value("last_host", "");
   for (const auto& [host, entry] : json.at("out").items()) {
     OutEntry& out = record.out[host];
-    out.reason = ReadName<OutReason>(entry, "reason", FindOutReason);
+    out.reason = ReadEnum<OutReason>(entry, "reason", FindOutReason);
     out.replaced_by = entry.value("replaced_by", "");
   }
   return record;
@@ -96,7 +96,7 @@
 WaveRecord ReadWave(const nlohmann::json& json) {
   WaveRecord record;
   record.wave = json.at("wave").get<std::string>();
-  record.state = ReadName<WaveState>(json, "state", FindWaveState);
+  record.state = ReadEnum<WaveState>(json, "state", FindWaveState);
   record.run = json.at("run").get<std::uint64_t>();
   record.canary = json.value("canary", "");
   record.canaries_done = json.value("canaries_done", 0U);
@@ -111,9 +111,9 @@
   return record;
 }
 
-void SetText(nlohmann::json& json,
-             const char* member,
-             const std::string& text) {
+void SetIfNotEmpty(nlohmann::json& json,
+                   const char* member,
+                   const std::string& text) {
   if (!text.empty()) {
     json[member] = text;
   }
@@ -175,11 +175,11 @@
   if (record.done_run != 0) {
     json["done_run"] = record.done_run;
   }
-  SetText(json, "wave", record.wave);
-  SetText(json, "bound_for", record.bound_for);
-  SetText(json, "stands_in_for", record.stands_in_for);
-  SetText(json, "done_wave", record.done_wave);
-  SetText(json, "detail", record.detail);
+  SetIfNotEmpty(json, "wave", record.wave);
+  SetIfNotEmpty(json, "bound_for", record.bound_for);
+  SetIfNotEmpty(json, "stands_in_for", record.stands_in_for);
+  SetIfNotEmpty(json, "done_wave", record.done_wave);
+  SetIfNotEmpty(json, "detail", record.detail);
   return json.dump();
 }
 
@@ -187,7 +187,7 @@
   nlohmann::json out = nlohmann::json::object();
   for (const auto& [host, entry] : record.out) {
     out[host]["reason"] = NameOf(entry.reason);
-    SetText(out[host], "replaced_by", entry.replaced_by);
+    SetIfNotEmpty(out[host], "replaced_by", entry.replaced_by);
   }
   return nlohmann::json{{"pool", record.pool},
                         {"epoch", record.epoch},
@@ -210,9 +210,9 @@
                       {"failures", failures},
                       {"accepted_failures", record.accepted_failures},
                       {"since_ms", record.since_ms}};
-  SetText(json, "canary", record.canary);
-  SetText(json, "changed_by", record.changed_by);
-  SetText(json, "detail", record.detail);
+  SetIfNotEmpty(json, "canary", record.canary);
+  SetIfNotEmpty(json, "changed_by", record.changed_by);
+  SetIfNotEmpty(json, "detail", record.detail);
   return json.dump();
 }
 
--- a/src/cassiastile/fleet/schedule.cpp
+++ b/src/cassiastile/fleet/schedule.cpp
@@ -13,7 +13,8 @@
 
 using std::chrono::hours;
 
-// The wave that covers a pool; one without a wave has all hours and one lane.
+// The wave that covers a pool. A pool without one gets a default wave: open at
+// all hours, one host at a time.
 config::Wave WaveOf(const config::Fleet& fleet, const std::string& pool) {
   for (const config::Wave& wave : fleet.waves) {
     if (std::find(wave.pools.begin(), wave.pools.end(), pool) !=
@@ -28,8 +29,8 @@
   return (hosts + concurrent_hosts - 1) / concurrent_hosts;
 }
 
-// A pool with the fewest lanes that make it in the cycle, or as many as it may
-// have where none do.
+// Schedules a pool with the fewest concurrent hosts that finish within the
+// cycle, or with the most allowed if none do.
 PoolSchedule FitPool(const config::Pool& pool,
                      const config::Wave& wave,
                      base::WallTime start,
@@ -63,13 +64,13 @@
   return fit;
 }
 
-// Hosts out in each hour of the cycle.
+// The number of hosts out of service in each hour of the cycle.
 class HourlyLoad {
  public:
   HourlyLoad(base::WallTime start, hours cycle)
       : m_start(start), m_out(static_cast<std::size_t>(cycle.count()), 0) {}
 
-  // The most that would be out with the pool added, shifted by some hours.
+  // The peak over the pool's hours if the pool were added, delayed by `shift`.
   std::uint32_t PeakWith(const PoolSchedule& pool, hours shift) const {
     const auto [first, last] = Range(pool, shift);
     std::uint32_t peak = 0;
@@ -104,8 +105,8 @@
   std::vector<std::uint32_t> m_out;
 };
 
-// Puts a pool off by whole days, so that its window stays the same, to where
-// the fewest other hosts are out.
+// Delays a pool to when the fewest other hosts are out, by whole days so that
+// its window stays the same.
 void PlacePool(PoolSchedule& pool, const HourlyLoad& load, base::WallTime end) {
   constexpr hours kDay(24);
   hours best(0);
--- a/src/cassiastile/fleet/wave_plan.cpp
+++ b/src/cassiastile/fleet/wave_plan.cpp
@@ -40,7 +40,7 @@
   return out;
 }
 
-// How many hosts may be taken now, and the rule that says so.
+// How many hosts may be drained now, and the rule that limits the number.
 std::pair<std::uint32_t, std::string> CountAllowed(const WaveInput& input) {
   if (input.record->state != WaveState::kRunning) {
     return {0, "the wave is " + std::string(NameOf(input.record->state))};
@@ -130,9 +130,9 @@
   if (record.state != WaveState::kRunning) {
     return false;
   }
-  const std::size_t fresh =
+  const std::size_t unaccepted =
       record.failures.size() + 1 - record.accepted_failures;
-  return fresh >= wave.halt_after || record.canary == host;
+  return unaccepted >= wave.halt_after || record.canary == host;
 }
 
 WaveForecast ForecastWave(const config::Wave& wave,
@@ -142,7 +142,7 @@
                           base::WallTime now) {
   WaveForecast forecast;
   forecast.finish = now;
-  std::string short_of;
+  std::string shortage;
   for (const PoolWaveProgress& pool : pools) {
     forecast.total += pool.total;
     forecast.done += pool.done;
@@ -153,7 +153,7 @@
     const std::uint32_t concurrent_hosts = std::min(wave.parallel, room);
     if (left > 0 && concurrent_hosts == 0) {
       forecast.finish.reset();
-      short_of = "; failed hosts use up a pool's budget";
+      shortage = "; failed hosts use up a pool's budget";
     }
     if (left > 0 && forecast.finish && concurrent_hosts > 0) {
       const std::uint64_t batches =
@@ -165,7 +165,7 @@
   }
   forecast.basis = fmt::format("{} s a host, {}; window {}{}", service.count(),
                                measured ? "measured in this run" : "assumed",
-                               Describe(wave.window), short_of);
+                               Describe(wave.window), shortage);
   return forecast;
 }
 
--- a/src/cassiastile/fleet/window.cpp
+++ b/src/cassiastile/fleet/window.cpp
@@ -19,7 +19,8 @@
   return std::chrono::floor<std::chrono::days>(time);
 }
 
-// How many batches may start from `start` until the window closes.
+// How many batches can start one after another from `start` until the window
+// closes.
 std::uint64_t BatchesUntilClose(const config::Window& window,
                                 base::WallTime start,
                                 std::chrono::seconds service) {
