--- a/include/cassiastile/fleet/change.hpp
+++ b/include/cassiastile/fleet/change.hpp
@@ -15,21 +15,22 @@
 
 namespace cassiastile::fleet {
 
-// Who changes the fleet, when, and by which document.
+// Who changes the fleet, when, and under which document version.
 struct ChangeContext {
   std::string actor;
   base::WallTime wall{};
   std::uint64_t document_version = 0;
-  // The row of the accepted document: a change that takes capacity names its
-  // version, so that it does not apply once a newer document is accepted.
+  // The row of the accepted document. A change that removes capacity names its
+  // version, so that it conflicts once a newer document has been accepted.
   platform::Precondition head;
-  // The fence of the shard's owner; nothing for an operator's act on another
-  // control host, which the versions of the rows alone keep safe.
+  // The fencing token of the shard's owner. Absent for an operator's action,
+  // which any control host may make; there, the row versions alone prevent
+  // conflicting changes.
   std::optional<platform::Precondition> fence;
 };
 
-// One transaction to be: the rows it was decided from and what they become. A
-// stored record stands for its new value at the version it was read at.
+// A planned transaction: the rows that the decision is based on and their new
+// values. Each `Stored` holds the new record with the version that was read.
 struct Change {
   std::vector<platform::Precondition> preconditions;  // Read and not written.
   std::vector<Stored<PoolRecord>> pools;
@@ -40,30 +41,33 @@
   base::Decision decision;
 };
 
+// Builds the table transaction that commits the change.
 platform::Transaction MakeTransaction(const Change& change, std::string nonce);
 
-// Brings a state up to what it is once the change has been applied. A row that
-// the change made has an unknown version then; the state must be read again
-// before that row is changed.
+// Updates a state as the committed change does. The version of a row that the
+// change creates is unknown, so the state must be read again before that row is
+// changed.
 void ApplyChange(const Change& change, FleetState& state);
 
-// What takes a host out of service and by what right.
+// Why a host is taken out of service, and what the drain depends on.
 struct DrainRequest {
   OutReason reason = OutReason::kWave;
-  std::string bound_for;      // For moves.
-  std::string stands_in_for;  // For moves that replace a failed host.
+  std::string bound_for;      // For moves: the destination pool.
+  std::string stands_in_for;  // For moves: the failed host that it replaces.
   std::string detail;         // Why this host now.
-  // The wave; the take names its row and, for a canary, writes it.
+  // The wave that drains the host, if any. The change names the version of its
+  // row and, for a canary, writes the row.
   std::optional<Stored<WaveRecord>> wave;
   bool canary = false;
-  // Rows of the other hosts in the rack: two pools' owners that take from one
-  // rack at once can't both succeed.
+  // The rows of the other hosts in the rack, so that the owners of two pools
+  // can't both drain a host of one rack from the same state.
   std::vector<platform::Precondition> rack_rows;
 };
 
-// Takes a host that is in service, if its pool's budget has room: the one way
-// by which planned work takes capacity. kConflict when the host is not in
-// service in this pool, kOverloaded when the budget has no room.
+// Takes a host out of service and starts its drain if its pool's budget allows
+// it. All planned removal of capacity goes through this function. Errors:
+// kConflict if the host is not in service in this pool; kOverloaded if the
+// budget does not allow another host out.
 base::Result<Change> StartHostDrain(const ChangeContext& context,
                                     const config::Pool* pool,
                                     const Stored<PoolRecord>& pool_record,
@@ -71,54 +75,55 @@
                                     const std::set<std::string>& unresponsive,
                                     const DrainRequest& order);
 
-// Adds a host that the document names and no row has yet.
+// Creates the row of a host that the document declares and that has no row yet.
 Change RegisterHost(const ChangeContext& context,
                     const Stored<PoolRecord>& pool_record,
                     const std::string& host);
 
-// Notes that a host failed by itself, with what was seen. A host that a wave
-// had in hand is noted in the wave's row as well, which halts the wave when
-// `halt` says so.
+// What was observed of a failed host. The failure is added to the row of
+// `wave`, if any, and halts the wave if `halt` is set.
 struct HostFailure {
   std::string evidence;
   std::optional<Stored<WaveRecord>> wave;
   bool halt = false;
 };
+// Marks a host as failed.
 Change FailHost(const ChangeContext& context,
                 const Stored<PoolRecord>& pool_record,
                 const Stored<HostRecord>& host,
                 const HostFailure& order);
 
-// Puts a drained host into its reboot, which has happened once the machine
-// counts more than `boots`. The wave that took it must not have changed, so
-// that nothing is rebooted once a halt has committed.
+// Marks a drained host as rebooting. The reboot is complete once the machine's
+// boot count exceeds `boots`. The change names the version of the wave's row,
+// so that no host is rebooted after a halt has committed.
 Change StartReboot(const ChangeContext& context,
                    const Stored<PoolRecord>& pool_record,
                    const Stored<HostRecord>& host,
                    const std::optional<Stored<WaveRecord>>& wave,
                    std::uint64_t boots);
 
-// Starts to probe a host that is back up.
+// Starts probing a host that is up again.
 Change StartProbe(const ChangeContext& context,
                   const Stored<PoolRecord>& pool_record,
                   const Stored<HostRecord>& host);
 
-// Puts a host back into service, whether given back undrained or probed. Where
-// it is its wave's canary, the wave's row goes along.
+// Returns a host to service, after its probe or by undraining it. If it is its
+// wave's canary, the wave's row is updated too.
 Change ReturnHost(const ChangeContext& context,
                   const Stored<PoolRecord>& pool_record,
                   const Stored<HostRecord>& host,
                   const std::optional<Stored<WaveRecord>>& wave,
                   std::string detail);
 
-// Moves a drained or failed host to the pool that it is bound for: both pools'
-// rows and the host's in one.
+// Moves a drained or failed host to its destination pool. Both pools' rows and
+// the host's row change in one transaction.
 Change MoveHost(const ChangeContext& context,
                 const Stored<PoolRecord>& from,
                 const Stored<PoolRecord>& to,
                 const Stored<HostRecord>& host);
 
-// Deletes the row of a drained or failed host that the document no longer has.
+// Deletes the row of a drained or failed host that is no longer in the
+// document.
 Change RemoveHost(const ChangeContext& context,
                   const Stored<PoolRecord>& pool_record,
                   const Stored<HostRecord>& host);
--- a/include/cassiastile/fleet/host_observer.hpp
+++ b/include/cassiastile/fleet/host_observer.hpp
@@ -10,28 +10,30 @@
 
 namespace cassiastile::fleet {
 
-// Watches machines and counts, on this process's steady clock, for how long
-// hosts have been in their state. After a takeover the count starts anew, so
-// that no deadline comes too early. Not safe for use by several threads.
+// Polls machines and measures, on this process's steady clock, how long hosts
+// have been in their state. A new owner's measurement starts at zero, so that
+// no deadline expires too early after a takeover. Not thread-safe.
 class HostObserver {
  public:
-  // All that is passed in outlives the observer. The machine of a host in
-  // service is asked about once in `interval`, that of another each time.
+  // All references must outlive the observer. The machine of a host in service
+  // is polled once per `interval`, that of any other host at every call.
   HostObserver(platform::Machines& machines,
                const HostWorkSource& work,
                const base::Clock& clock,
                base::Duration interval);
 
+  // Returns the machine's status as of the last poll, the host's work now and
+  // its time in the current state.
   HostObservation Observe(const HostRecord& host);
 
-  // How long the host has been out of service; zero when it is in service.
+  // How long the host has been out of service; zero if it is in service.
   base::Duration TimeOutOfService(const std::string& host) const;
 
-  // Asks the machine again at the next look.
+  // Makes the next Observe poll the machine.
   void Forget(const std::string& host);
 
  private:
-  struct Watched {
+  struct WatchedHost {
     HostState state = HostState::kInService;
     std::string pool;
     base::TimePoint state_since;
@@ -41,13 +43,15 @@
     HostObservation last;
   };
 
-  void Ask(const std::string& host, Watched& watched, base::TimePoint now);
+  void QueryMachine(const std::string& host,
+                    WatchedHost& watched,
+                    base::TimePoint now);
 
   platform::Machines& m_machines;
   const HostWorkSource& m_work;
   const base::Clock& m_clock;
   base::Duration m_interval;
-  std::map<std::string, Watched> m_watched;
+  std::map<std::string, WatchedHost> m_watched;
 };
 
 }  // namespace cassiastile::fleet
--- a/include/cassiastile/fleet/progress.hpp
+++ b/include/cassiastile/fleet/progress.hpp
@@ -13,29 +13,30 @@
 
 namespace cassiastile::fleet {
 
-// How long the steps of maintenance may take.
+// Time limits of the maintenance steps.
 struct ProgressOptions {
   std::chrono::seconds reboot_timeout{900};
-  std::chrono::milliseconds probe_time{
-      10000};  // Up all along before it is trusted.
+  // How long a machine must stay up before its host returns to service.
+  std::chrono::milliseconds probe_time{10000};
 };
 
-// What is seen of a host.
+// What is currently known about a host.
 struct HostObservation {
-  // Nothing while the machine service does not answer.
+  // Absent while the machine service does not answer.
   std::optional<platform::MachineStatus> status;
-  bool machine_missing = false;  // The service does not know the machine.
+  bool machine_missing = false;  // The machine service does not know it.
   HostWork work;
-  base::Duration in_state{};  // On this process's clock.
+  // Time in the current state, on this process's clock.
+  base::Duration in_state{};
 };
 
-// What to do with a host next.
+// The actions that a host may need next.
 struct NoAction {};
-struct BeginReboot {  // Commit that it reboots, then ask for it.
+struct BeginReboot {  // Commit the rebooting state, then request the reboot.
   std::uint64_t boots = 0;
-  std::string cut;  // The work that is cut, where the document says so.
+  std::string cut;  // The work stopped at the drain deadline, if any.
 };
-struct RetryReboot {  // Repeat the request for the reboot.
+struct RetryReboot {  // Request the reboot again.
   std::uint64_t boots = 0;
 };
 struct BeginProbe {};
@@ -47,7 +48,7 @@
 struct MarkFailed {
   std::string evidence;
 };
-struct ReportOverdue {  // Work runs past the drain deadline and goes on.
+struct ReportOverdue {  // Work runs past the drain deadline; let it run.
   std::string evidence;
 };
 
@@ -61,20 +62,20 @@
                                 MarkFailed,
                                 ReportOverdue>;
 
-// The drain deadline that holds for a host, and whether work past it is cut.
+// The drain deadline of a host, and whether work that runs past it is stopped.
 struct DrainPolicy {
   std::chrono::seconds deadline{3600};
   bool cut_at_deadline = false;
 };
 
-// The next step of one host. A host rebooted by a wave counts as back only once
-// its machine has booted again; one that an operator holds is left alone.
+// Decides the next action for one host. A host rebooted by a wave is probed
+// only once its boot count has increased; an operator's drain is left alone.
 HostAction NextAction(const HostRecord& host,
                       const HostObservation& seen,
                       const DrainPolicy& drain,
                       const ProgressOptions& options);
 
-// Whether a host that its row says is in service can be counted on.
+// Whether the host's machine is confirmed to be up.
 bool IsKnownUp(const HostObservation& seen);
 
 }  // namespace cassiastile::fleet
--- a/include/cassiastile/fleet/state.hpp
+++ b/include/cassiastile/fleet/state.hpp
@@ -11,17 +11,17 @@
 
 namespace cassiastile::fleet {
 
-// A record with the version of the row that it was read from; zero where there
-// is no row yet.
+// A record with the version of the row that it was read from; version zero
+// means that there is no row yet.
 template <typename Record>
 struct Stored {
   Record record;
   std::uint64_t version = 0;
 };
 
-// The rows of all pools, hosts and waves, as read one after another. Nothing
-// holds between rows; a change names the version of each row that it was
-// decided from.
+// The rows of all pools, hosts and waves. They are read one after another, not
+// as one snapshot, so that rows may be inconsistent with each other; a change
+// names the version of each row that it was decided from.
 struct FleetState {
   std::map<std::string, Stored<PoolRecord>> pools;
   std::map<std::string, Stored<HostRecord>> hosts;
@@ -30,25 +30,24 @@
   std::uint64_t document_version = 0;
 };
 
-// The stored pool or wave, or an empty record at version zero.
+// Returns the stored pool or wave, or an empty record at version zero.
 Stored<PoolRecord> FindPoolRecord(const FleetState& state,
                                   const std::string& pool);
 Stored<WaveRecord> FindWaveRecord(const FleetState& state,
                                   const std::string& wave);
 
-// Reads the state and keeps reads small: every change to a host writes its
-// pool's row, so that only the hosts of pools whose row has changed are read
-// again. Not safe for use by several threads.
+// Reads the state incrementally: every change to a host writes its pool's row,
+// so only hosts that a changed pool row names are read again. Not thread-safe.
 class StateReader {
  public:
   explicit StateReader(platform::Table& table);
 
-  // Brings a state up to date; it may hold what the caller itself has changed
-  // since. Fails, leaving the state as it is, when the table does not answer or
-  // a row can't be read.
+  // Updates a state, which may include the caller's own changes since the last
+  // read. Fails and leaves the state unchanged if the table does not answer or
+  // a row can't be parsed.
   base::Result<void> Read(FleetState& state);
 
-  // Reads everything at the next read.
+  // Makes the next Read read all hosts.
   void Forget();
 
  private:
@@ -56,7 +55,7 @@
   base::Result<bool> ReadChangedHosts(FleetState& next, const FleetState& last);
 
   platform::Table& m_table;
-  bool m_whole = false;  // Whether the state has all hosts.
+  bool m_has_all_hosts = false;  // Whether the state has the rows of all hosts.
 };
 
 }  // namespace cassiastile::fleet
--- a/include/cassiastile/fleet/wave_change.hpp
+++ b/include/cassiastile/fleet/wave_change.hpp
@@ -10,24 +10,24 @@
 
 namespace cassiastile::fleet {
 
-// What an operator does to a wave.
+// An operator's action on a wave.
 enum class WaveAction : std::uint8_t {
-  kStart,   // Begins a new run over all hosts.
-  kPause,   // Takes no more; what is out is finished.
-  kResume,  // Goes on after a pause or a halt, accepting the failures so far.
-  kAbort,   // Ends the run; hosts that still drain are given back.
+  kStart,   // Starts a new run over all hosts.
+  kPause,   // Drains no more hosts; those already out are finished.
+  kResume,  // Continues after a pause or halt and accepts the failures so far.
+  kAbort,   // Ends the run; hosts that still drain are undrained.
 };
 
-std::string_view NameOf(WaveAction act);
+std::string_view NameOf(WaveAction action);
 std::optional<WaveAction> FindWaveAction(std::string_view name);
 
-// The change of a wave's row by an operator. kConflict when the wave is in no
-// state for the act; the sentence says what would be.
+// The change to a wave's row that applies an operator's action. kConflict if
+// the wave's state does not allow the action; the message names that state.
 base::Result<Change> TransitionWave(const ChangeContext& context,
                                     const Stored<WaveRecord>& wave,
-                                    WaveAction act);
+                                    WaveAction action);
 
-// Ends a running wave whose hosts are all done or left out.
+// Finishes a running wave whose hosts are all maintained or left out.
 Change FinishWave(const ChangeContext& context,
                   const Stored<WaveRecord>& wave,
                   std::string detail);
--- a/src/cassiastile/fleet/change.cpp
+++ b/src/cassiastile/fleet/change.cpp
@@ -27,7 +27,7 @@
   return host;
 }
 
-// A host in service with nothing left over from what it was out for.
+// Puts a host in service and clears what its time out of service left behind.
 Stored<HostRecord> NextInService(const ChangeContext& context,
                                  Stored<HostRecord> host,
                                  std::string detail) {
@@ -54,11 +54,11 @@
   return change;
 }
 
-void Explain(Change& change,
-             const ChangeContext& context,
-             std::string rule,
-             std::string section,
-             std::string observation) {
+void AddReason(Change& change,
+               const ChangeContext& context,
+               std::string rule,
+               std::string section,
+               std::string observation) {
   change.decision.reasons.push_back({std::move(rule), std::move(section),
                                      context.document_version,
                                      std::move(observation)});
@@ -93,7 +93,7 @@
   change.waves.push_back(std::move(next));
 }
 
-// Whether the host has been through the reboot that its wave asked for.
+// Whether the host has been through the reboot that its wave requested.
 bool IsMaintained(const HostRecord& host) {
   return !host.wave.empty() && host.boots.has_value();
 }
@@ -113,22 +113,23 @@
                       "The host " + name + " is not in service.");
   }
   const BudgetCount count = CountBudget(pool, pool_record.record, unresponsive);
-  // Counted with the host out: a stand-in that goes leaves the failed host
-  // that it replaces uncovered.
+  // Counts with the host already out: draining a replacement makes the failed
+  // host that it replaces count against the budget again.
   PoolRecord after = pool_record.record;
   after.out[name] = {order.reason, {}};
   if (CountBudget(pool, after, unresponsive).Excess() > 0) {
     return base::Fail(base::ErrorCode::kOverloaded,
                       "The budget of the pool " + host.record.pool +
-                          " has no room: " + Describe(count) + ".");
+                          " does not allow another host out of service: " +
+                          Describe(count) + ".");
   }
   Change change = StartChange(context, name, "draining");
   change.preconditions.push_back(context.head);
   change.preconditions.insert(change.preconditions.end(),
                               order.rack_rows.begin(), order.rack_rows.end());
-  Explain(change, context, "budget", "pools", Describe(count));
-  Explain(change, context, std::string(NameOf(order.reason)), "waves",
-          order.detail);
+  AddReason(change, context, "budget", "pools", Describe(count));
+  AddReason(change, context, std::string(NameOf(order.reason)), "waves",
+            order.detail);
   Stored<PoolRecord> next_pool = NextPool(context, pool_record, name);
   next_pool.record.out[name] = {order.reason, {}};
   Stored<HostRecord> next =
@@ -149,8 +150,8 @@
                     const std::string& host) {
   Change change = StartChange(context, host, "in service");
   change.preconditions.push_back(context.head);
-  Explain(change, context, "pool membership", "pools",
-          "the document places it in " + pool_record.record.pool);
+  AddReason(change, context, "pool membership", "pools",
+            "the document places it in " + pool_record.record.pool);
   Stored<HostRecord> stored;
   stored.record.host = host;
   stored.record.pool = pool_record.record.pool;
@@ -167,7 +168,7 @@
                 const HostFailure& order) {
   const std::string& name = host.record.host;
   Change change = StartChange(context, name, "failed");
-  Explain(change, context, "failure", "", order.evidence);
+  AddReason(change, context, "failure", "", order.evidence);
   Stored<PoolRecord> next_pool = NextPool(context, pool_record, name);
   next_pool.record.out[name].reason = OutReason::kFailed;
   Stored<HostRecord> next =
@@ -188,7 +189,7 @@
       wave.record.detail = "halted by failures; the last is " + name;
       wave.record.changed_by = context.actor;
       wave.record.since_ms = WallMilliseconds(context.wall);
-      Explain(change, context, "halt rule", "waves", wave.record.detail);
+      AddReason(change, context, "halt rule", "waves", wave.record.detail);
     }
     change.waves.push_back(std::move(wave));
   }
@@ -203,7 +204,7 @@
                    const std::optional<Stored<WaveRecord>>& wave,
                    std::uint64_t boots) {
   Change change = StartChange(context, host.record.host, "rebooting");
-  Explain(change, context, "drained", "waves", host.record.detail);
+  AddReason(change, context, "drained", "waves", host.record.detail);
   if (wave) {
     change.preconditions.push_back({WaveKey(wave->record.wave), wave->version});
   }
@@ -219,7 +220,7 @@
                   const Stored<PoolRecord>& pool_record,
                   const Stored<HostRecord>& host) {
   Change change = StartChange(context, host.record.host, "probing");
-  Explain(change, context, "probe", "", "the machine is up");
+  AddReason(change, context, "probe", "", "the machine is up");
   change.hosts.push_back(
       NextHost(context, host, HostState::kProbing, "up again; being probed"));
   change.pools.push_back(NextPool(context, pool_record, host.record.host));
@@ -233,7 +234,7 @@
                   std::string detail) {
   const std::string& name = host.record.host;
   Change change = StartChange(context, name, "in service");
-  Explain(change, context, "return", "", detail);
+  AddReason(change, context, "return", "", detail);
   Stored<PoolRecord> next_pool = NextPool(context, pool_record, name);
   next_pool.record.out.erase(name);
   const bool maintained = IsMaintained(host.record);
@@ -256,7 +257,7 @@
   const bool failed = host.record.state == HostState::kFailed;
   Change change = StartChange(context, name, "moved to " + to.record.pool);
   change.preconditions.push_back(context.head);
-  Explain(change, context, "move", "pools", host.record.detail);
+  AddReason(change, context, "move", "pools", host.record.detail);
   Stored<PoolRecord> next_from = NextPool(context, from, name);
   next_from.record.out.erase(name);
   for (auto& [other, entry] : next_from.record.out) {
@@ -289,8 +290,8 @@
   const std::string& name = host.record.host;
   Change change = StartChange(context, name, "removed");
   change.preconditions.push_back(context.head);
-  Explain(change, context, "pool membership", "pools",
-          "the document no longer has it");
+  AddReason(change, context, "pool membership", "pools",
+            "the document no longer has it");
   Stored<PoolRecord> next_pool = NextPool(context, pool_record, name);
   next_pool.record.out.erase(name);
   change.pools.push_back(std::move(next_pool));
--- a/src/cassiastile/fleet/host_observer.cpp
+++ b/src/cassiastile/fleet/host_observer.cpp
@@ -14,7 +14,7 @@
 HostObservation HostObserver::Observe(const HostRecord& host) {
   const base::TimePoint now = m_clock.Now();
   const auto [found, added] = m_watched.try_emplace(host.host);
-  Watched& watched = found->second;
+  WatchedHost& watched = found->second;
   const bool moved = added || watched.pool != host.pool;
   if (added || watched.state == HostState::kInService) {
     watched.out_since = now;
@@ -28,7 +28,7 @@
   const bool due = !watched.known || host.state != HostState::kInService ||
                    now - watched.asked >= m_interval;
   if (due) {
-    Ask(host.host, watched, now);
+    QueryMachine(host.host, watched, now);
   }
   HostObservation seen = watched.last;
   seen.work = m_work.WorkOn(host.host);
@@ -52,9 +52,9 @@
   }
 }
 
-void HostObserver::Ask(const std::string& host,
-                       Watched& watched,
-                       base::TimePoint now) {
+void HostObserver::QueryMachine(const std::string& host,
+                                WatchedHost& watched,
+                                base::TimePoint now) {
   const auto status = m_machines.Status(host);
   watched.last = {};
   watched.asked = now;
--- a/src/cassiastile/fleet/state.cpp
+++ b/src/cassiastile/fleet/state.cpp
@@ -33,7 +33,7 @@
     if (!parsed) {
       return base::Fail(
           base::ErrorCode::kInternal,
-          "The row " + row.key + " can't be read: " + parsed.error().message);
+          "The row " + row.key + " can't be parsed: " + parsed.error().message);
     }
     records.emplace_hint(records.end(), name,
                          Stored<Record>{std::move(*parsed), row.version});
@@ -53,8 +53,10 @@
   const auto json = nlohmann::json::parse((*row)->value, nullptr, false);
   if (!json.is_object() || !json.contains("version") ||
       !json["version"].is_number_unsigned()) {
-    return base::Fail(base::ErrorCode::kInternal,
-                      "The row config/head can't be read.");
+    return base::Fail(
+        base::ErrorCode::kInternal,
+        "The row config/head is not a JSON object with an unsigned "
+        "version.");
   }
   state.head.version = (*row)->version;
   state.document_version = json["version"].get<std::uint64_t>();
@@ -107,7 +109,7 @@
   if (!hosts) {
     return hosts;
   }
-  if (m_whole) {
+  if (m_has_all_hosts) {
     for (auto& [host, stored] : next.hosts) {
       state.hosts[host] = std::move(stored);
     }
@@ -116,26 +118,26 @@
   state = std::move(next);
   std::erase_if(state.hosts,
                 [](const auto& entry) { return entry.second.version == 0; });
-  m_whole = true;
+  m_has_all_hosts = true;
   return {};
 }
 
 void StateReader::Forget() {
-  m_whole = false;
+  m_has_all_hosts = false;
 }
 
-// Fills in all hosts, or, while m_whole holds, only those that have changed; a
-// deleted one is at version zero.
+// Reads all hosts, or, while m_has_all_hosts is set, only those that changed. A
+// deleted host is returned with version zero.
 base::Result<void> StateReader::ReadHosts(FleetState& next,
                                           const FleetState& last) {
-  if (m_whole) {
+  if (m_has_all_hosts) {
     const base::Result<bool> changed = ReadChangedHosts(next, last);
     if (!changed) {
       return tl::unexpected(changed.error());
     }
-    m_whole = *changed;
+    m_has_all_hosts = *changed;
   }
-  if (m_whole) {
+  if (m_has_all_hosts) {
     return {};
   }
   auto hosts = ReadRecords(m_table, "host/", last.hosts, ParseHostRecord);
@@ -146,8 +148,8 @@
   return {};
 }
 
-// False when more than one change to a pool was missed, so that it can't be
-// told which hosts to read.
+// Returns false if a pool changed more than once since the last read, because
+// its row names only the host of the last change.
 base::Result<bool> StateReader::ReadChangedHosts(FleetState& next,
                                                  const FleetState& last) {
   std::set<std::string> changed;
--- a/src/cassiastile/fleet/wave_change.cpp
+++ b/src/cassiastile/fleet/wave_change.cpp
@@ -10,22 +10,22 @@
 
 namespace {
 
-constexpr std::array<base::EnumName<WaveAction>, 4> kActNames{{
+constexpr std::array<base::EnumName<WaveAction>, 4> kWaveActionNames{{
     {WaveAction::kStart, "start"},
     {WaveAction::kPause, "pause"},
     {WaveAction::kResume, "resume"},
     {WaveAction::kAbort, "abort"},
 }};
 
-// The states from which an act is possible, and where it leads.
+// The states in which an action is allowed, and the state that it leads to.
 struct Transition {
   std::vector<WaveState> from;
   WaveState to;
 };
 
-Transition TransitionOf(WaveAction act) {
+Transition TransitionOf(WaveAction action) {
   using enum WaveState;
-  switch (act) {
+  switch (action) {
     case WaveAction::kStart:
       return {{kPlanned, kFinished, kAborted}, kRunning};
     case WaveAction::kPause:
@@ -67,35 +67,36 @@
 
 }  // namespace
 
-std::string_view NameOf(WaveAction act) {
-  return base::FindName(kActNames, act);
+std::string_view NameOf(WaveAction action) {
+  return base::FindName(kWaveActionNames, action);
 }
 
 std::optional<WaveAction> FindWaveAction(std::string_view name) {
-  return base::FindValue(kActNames, name);
+  return base::FindValue(kWaveActionNames, name);
 }
 
 base::Result<Change> TransitionWave(const ChangeContext& context,
                                     const Stored<WaveRecord>& wave,
-                                    WaveAction act) {
-  const Transition transition = TransitionOf(act);
+                                    WaveAction action) {
+  const Transition transition = TransitionOf(action);
   if (std::find(transition.from.begin(), transition.from.end(),
                 wave.record.state) == transition.from.end()) {
     return base::Fail(base::ErrorCode::kConflict,
                       "The wave " + wave.record.wave + " is " +
                           std::string(NameOf(wave.record.state)) +
-                          "; it can't " + std::string(NameOf(act)) + " now.");
+                          "; the action " + std::string(NameOf(action)) +
+                          " is not allowed in this state.");
   }
   Stored<WaveRecord> next = wave;
-  if (act == WaveAction::kStart) {
+  if (action == WaveAction::kStart) {
     BeginRun(next.record);
   }
-  if (act == WaveAction::kResume) {
+  if (action == WaveAction::kResume) {
     next.record.accepted_failures =
         static_cast<std::uint32_t>(next.record.failures.size());
   }
   return SetState(context, std::move(next), transition.to,
-                  std::string(NameOf(act)) + " by " + context.actor);
+                  std::string(NameOf(action)) + " by " + context.actor);
 }
 
 Change FinishWave(const ChangeContext& context,
