--- a/include/cassiastile/fleet/reconciler.hpp
+++ b/include/cassiastile/fleet/reconciler.hpp
@@ -31,57 +31,60 @@
 struct ReconcilerOptions {
   ProgressOptions progress;
   DemandOptions demand;
-  // How often the machine of a host in service is asked about.
+  // How often the machine of a host in service is polled.
   std::chrono::seconds observe_interval{5};
-  // How long a host stays failed before the spare stands in for it; one that
-  // did not come back from its reboot is replaced at once.
+  // How long a host stays failed before a host of the spare pool replaces it. A
+  // host that did not come back from its reboot is replaced at once.
   std::chrono::seconds replace_after{300};
-  // A host that fails within this time of its return counts as its wave's.
+  // A host that fails within this time after its return to service counts as a
+  // failure of the wave that maintained it.
   std::chrono::seconds correlation_time{1800};
-  // New hosts that one round of a pool writes down; the others wait for the
-  // next, so that waves, acts and stops don't wait for thousands of them.
+  // The most new hosts that one round of a pool registers. The others wait for
+  // the next round, so that waves, operators' actions and shutdown aren't
+  // delayed by thousands of registrations.
   std::size_t registrations_per_round = 32;
-  // What a wave's host takes until it has been measured.
+  // Maintenance time per host of a wave until one has been measured.
   std::chrono::seconds assumed_maintenance_time{900};
-  // The drain of a host that moves or goes for good.
+  // For hosts that move to another pool or leave the fleet.
   DrainPolicy default_drain;
 };
 
-// What a reconciler works with; all of it outlives the reconciler.
+// The services that a reconciler uses; all must outlive it.
 struct ReconcilerPorts {
   platform::Table& table;
   platform::Machines& machines;
   HostWorkSource& work;
-  const DemandSource* demand = nullptr;  // Null where none is measured.
+  const DemandSource* demand = nullptr;  // Null if demand is not measured.
   const base::Clock& clock;
   base::DecisionSink& decisions;
 };
 
-// Brings pools towards what the document and the waves ask for, one step at a
-// time: reads the rows, looks at the machines, decides, and commits each change
-// by itself. Every call starts from what it reads, so that it may follow a
-// crash, a takeover or another process's change at any point. Not safe for use
-// by several threads.
+// Brings pools towards the state that the document and the waves require, one
+// step at a time: reads the rows, polls the machines, decides, and commits each
+// change in its own transaction. Every call starts from the state that was
+// read, so it may follow a crash, a takeover or another process's change at any
+// point. Not thread-safe.
 class Reconciler {
  public:
-  // `name` is the process's, `seed` the source of its nonces.
+  // `name` is the name of this process; `seed` seeds its transaction nonces.
   Reconciler(std::string name,
              ReconcilerPorts ports,
              std::uint64_t seed,
              ReconcilerOptions options = {});
 
-  // Reads the rows under the document that is in force. Must succeed before
-  // each round of Tick or an operator's act.
+  // Reads the rows and adopts the document in force. Must succeed before each
+  // round of Tick calls and before each operator's action.
   base::Result<void> Refresh(
       std::shared_ptr<const config::AcceptedFleet> document);
 
-  // Brings one pool a step further, as its shard's owner. Stops early when a
-  // change conflicts or its answer is lost: the next round reads again.
+  // Advances one pool by a step, as the owner of its shard. Stops early if a
+  // change conflicts or its result is unknown; the next round reads again.
   void Tick(const std::string& pool,
             const std::optional<platform::Precondition>& fence);
 
-  // An operator's acts, made on any control host: they carry no fence but the
-  // versions of the rows. The audit entry goes into the same transaction.
+  // Operators' actions, which any control host may make. They carry no fencing
+  // token; the row versions prevent conflicting changes. The audit entry is
+  // part of the same transaction.
   base::Result<void> DrainHost(const std::string& host,
                                const std::string& actor,
                                const AuditAddition& audit);
@@ -90,43 +93,44 @@
                                  const AuditAddition& audit);
   base::Result<void> ApplyWaveAction(const std::string& wave,
                                      const std::string& actor,
-                                     WaveAction act,
+                                     WaveAction action,
                                      const AuditAddition& audit);
 
+  // The state as of the last Refresh and the changes made since.
   const FleetState& State() const { return m_state; }
 
-  // Progress and forecast of a wave of the document.
+  // The progress of a wave of the document and when it should finish.
   WaveForecast Forecast(const config::Wave& wave) const;
 
-  // When running waves mean to drain hosts, as far as is known.
+  // When running waves are expected to drain hosts, by host.
   const std::map<std::string, base::TimePoint>& ExpectedDrainTimes() const {
-    return m_drain_times;
+    return m_expected_drain_times;
   }
 
-  // The rule that set how many hosts each wave took last, by wave and pool.
+  // The rule that last limited how many hosts a wave drains, by wave and pool.
   const std::map<std::string, std::map<std::string, std::string>>&
   LimitingRules() const {
-    return m_limits;
+    return m_limiting_rules;
   }
 
-  // The hosts whose work runs past their drain deadline, and what runs.
+  // The hosts with work past their drain deadline, and a description of it.
   const std::map<std::string, std::string>& OverdueDrains() const {
-    return m_overdue;
+    return m_overdue_drains;
   }
 
  private:
-  // Since when this process has seen a host failed by one version of its row.
+  // When this process first read a host's row of this version as failed.
   struct FailedSince {
     std::uint64_t version = 0;
     base::TimePoint time;
   };
-  // The reboots that a wave has had.
+  // How many reboots a wave has made, and the longest time one took.
   struct RebootTimes {
     std::uint32_t count = 0;
     std::chrono::seconds longest{0};
   };
-  struct Round;     // What one tick of one pool works on.
-  class StepTaker;  // Visits the step of one host.
+  struct Round;          // The working state of one Tick of one pool.
+  class ActionExecutor;  // Carries out the next action of one host.
 
   ChangeContext Context(
       const std::string& actor,
@@ -134,46 +138,47 @@
   Round StartRound(const std::string& pool,
                    const std::optional<platform::Precondition>& fence);
   base::Result<void> Commit(Change change);
-  base::Result<void> CommitWith(Change change, const AuditAddition& audit);
-  base::Result<void> CheckDocument() const;
-  bool CommitIn(Round& round, Change change);
-
-  // Each returns false when the round must stop.
-  bool StepHosts(Round& round);
-  bool StepHost(Round& round, const std::string& host);
-  bool GiveBackFromWave(Round& round, const Stored<HostRecord>& host);
-  bool GiveBackExcess(Round& round);
+  base::Result<void> CommitWithAudit(Change change, const AuditAddition& audit);
+  base::Result<void> CheckDocumentIsLatest() const;
+  bool CommitInRound(Round& round, Change change);
+
+  // Each returns false if the round must stop.
+  bool AdvanceHosts(Round& round);
+  bool AdvanceHost(Round& round, const std::string& host);
+  bool UndrainFromEndedWave(Round& round, const Stored<HostRecord>& host);
+  bool UndrainExcessHosts(Round& round);
   bool RegisterHosts(Round& round);
-  bool DrainLeavers(Round& round);
-  bool DrainLeaver(Round& round, const Stored<HostRecord>& host);
-  bool TakeForWaves(Round& round);
-  bool TakeForWave(Round& round, const config::Wave& wave);
+  bool DrainDepartingHosts(Round& round);
+  bool DrainDepartingHost(Round& round, const Stored<HostRecord>& host);
+  bool DrainForWaves(Round& round);
+  bool DrainForWave(Round& round, const config::Wave& wave);
   bool FinishWaveIfDone(Round& round, const config::Wave& wave);
-  bool LendFromSpare(Round& round);
-  bool LendTo(Round& round, const config::Pool& pool);
-  bool LendHost(Round& round, const DrainRequest& order);
-  bool SendHome(Round& round);
+  bool MoveFromSparePool(Round& round);
+  bool MoveSpareHostsTo(Round& round, const config::Pool& pool);
+  bool MoveSpareHost(Round& round, const DrainRequest& order);
+  bool ReturnHostsToSparePool(Round& round);
   void SetDraining(const Round& round);
 
-  base::Result<Change> PlanTake(const Round& round,
-                                const std::string& host,
-                                const DrainRequest& order) const;
-  std::optional<Stored<WaveRecord>> WaveInHand(const HostRecord& host) const;
-  std::optional<Stored<WaveRecord>> WaveToBlame(const HostRecord& host,
-                                                base::Duration in_state) const;
-  std::vector<platform::Precondition> Neighbours(const std::string& host) const;
+  base::Result<Change> PlanDrain(const Round& round,
+                                 const std::string& host,
+                                 const DrainRequest& order) const;
+  std::optional<Stored<WaveRecord>> CurrentWaveOf(const HostRecord& host) const;
+  std::optional<Stored<WaveRecord>> WaveForFailure(
+      const HostRecord& host,
+      base::Duration in_state) const;
+  std::vector<platform::Precondition> RackRows(const std::string& host) const;
   WaveInput MakeWaveInput(const Round& round, const config::Wave& wave) const;
-  std::map<std::string, PoolWaveProgress> Remainders(
+  std::map<std::string, PoolWaveProgress> ProgressByPool(
       const config::Wave& wave) const;
-  void NoteDrainTimes(const Round& round, const WaveInput& input);
-  void NoteService(const HostRecord& host);
-  void NoteReboot(const HostRecord& host, base::Duration took);
-  ProgressOptions ProgressFor(const HostRecord& host) const;
-  std::chrono::seconds ServiceTime(const std::string& wave) const;
-  std::set<std::string> NeededStandIns(const config::Pool& pool);
-  bool HasWaited(const Stored<HostRecord>& host);
-  base::Duration FailedFor(const std::string& host, std::uint64_t version);
-  std::int32_t ShiftOf(const std::string& pool);
+  void UpdateExpectedDrainTimes(const Round& round, const WaveInput& input);
+  void RecordMaintenanceTime(const HostRecord& host);
+  void RecordRebootTime(const HostRecord& host, base::Duration took);
+  ProgressOptions ProgressOptionsFor(const HostRecord& host) const;
+  std::chrono::seconds MaintenanceTime(const std::string& wave) const;
+  std::set<std::string> HostsToReplace(const config::Pool& pool);
+  bool IsDueForReplacement(const Stored<HostRecord>& host);
+  base::Duration TimeFailed(const std::string& host, std::uint64_t version);
+  std::int32_t DemandDrivenSizeChange(const std::string& pool);
 
   std::string m_name;
   ReconcilerPorts m_ports;
@@ -184,11 +189,12 @@
   std::shared_ptr<const config::AcceptedFleet> m_document;
   FleetIndex m_index;
   FleetState m_state;
-  std::map<std::string, std::chrono::seconds> m_service;  // By wave, learnt.
-  std::map<std::string, RebootTimes> m_reboots;           // By wave, learnt.
-  std::map<std::string, base::TimePoint> m_drain_times;
-  std::map<std::string, std::string> m_overdue;
-  std::map<std::string, std::map<std::string, std::string>> m_limits;
+  // Measured, by wave.
+  std::map<std::string, std::chrono::seconds> m_maintenance_times;
+  std::map<std::string, RebootTimes> m_reboot_times;
+  std::map<std::string, base::TimePoint> m_expected_drain_times;
+  std::map<std::string, std::string> m_overdue_drains;
+  std::map<std::string, std::map<std::string, std::string>> m_limiting_rules;
   std::map<std::string, DemandHistory> m_demand;  // By pool.
   std::map<std::string, FailedSince> m_failed_since;
 };
--- a/src/cassiastile/fleet/reconciler.cpp
+++ b/src/cassiastile/fleet/reconciler.cpp
@@ -7,7 +7,8 @@
 
 namespace cassiastile::fleet {
 
-std::set<std::string> Reconciler::Round::Unseen(const FleetState& state) const {
+std::set<std::string> Reconciler::Round::UnresponsiveHosts(
+    const FleetState& state) const {
   std::set<std::string> unresponsive;
   for (const auto& [host, observation] : seen) {
     const auto found = state.hosts.find(host);
@@ -60,11 +61,11 @@
 void Reconciler::Tick(const std::string& pool,
                       const std::optional<platform::Precondition>& fence) {
   Round round = StartRound(pool, fence);
-  const bool whole = StepHosts(round) && GiveBackExcess(round) &&
-                     RegisterHosts(round) && DrainLeavers(round) &&
-                     LendFromSpare(round) && SendHome(round) &&
-                     TakeForWaves(round);
-  // A row that was not read back says nothing sure about its host.
+  const bool whole = AdvanceHosts(round) && UndrainExcessHosts(round) &&
+                     RegisterHosts(round) && DrainDepartingHosts(round) &&
+                     MoveFromSparePool(round) &&
+                     ReturnHostsToSparePool(round) && DrainForWaves(round);
+  // If the round stopped early, the state may not match the rows.
   if (whole) {
     SetDraining(round);
   }
@@ -89,7 +90,7 @@
   round.pool = pool;
   round.declared = FindPool(m_index, pool);
   round.context = Context(m_name, fence);
-  round.may_take = m_state.document_version == m_document->version;
+  round.has_latest_document = m_state.document_version == m_document->version;
   for (const std::string& host : round.Members(m_state)) {
     round.seen[host] = m_observer.Observe(m_state.hosts.at(host).record);
   }
@@ -109,7 +110,7 @@
   return {};
 }
 
-bool Reconciler::CommitIn(Round& round, Change change) {
+bool Reconciler::CommitInRound(Round& round, Change change) {
   round.members.reset();
   for (const auto& host : change.hosts) {
     m_observer.Forget(host.record.host);
@@ -118,7 +119,7 @@
   return Commit(std::move(change)).has_value();
 }
 
-bool Reconciler::GiveBackExcess(Round& round) {
+bool Reconciler::UndrainExcessHosts(Round& round) {
   const Stored<PoolRecord> pool = FindPoolRecord(m_state, round.pool);
   const BudgetCount count = CountBudget(round.declared, pool.record, {});
   if (count.Excess() == 0) {
@@ -134,9 +135,9 @@
     const Stored<HostRecord>& stored = m_state.hosts.at(host);
     Change change = ReturnHost(
         round.context, FindPoolRecord(m_state, round.pool), stored,
-        WaveInHand(stored.record),
+        CurrentWaveOf(stored.record),
         "given back undrained; the pool is short: " + Describe(count));
-    if (!CommitIn(round, std::move(change))) {
+    if (!CommitInRound(round, std::move(change))) {
       return false;
     }
   }
--- a/src/cassiastile/fleet/reconciler_hosts.cpp
+++ b/src/cassiastile/fleet/reconciler_hosts.cpp
@@ -5,19 +5,19 @@
 
 namespace cassiastile::fleet {
 
-// Turns the step of one host into a commit or a call. Each returns false when
-// the round must stop.
-class Reconciler::StepTaker {
+// Carries out the next action of one host by a commit or a call to the machine
+// service. Each operator returns false if the round must stop.
+class Reconciler::ActionExecutor {
  public:
-  StepTaker(Reconciler& reconciler,
-            Round& round,
-            const Stored<HostRecord>& host)
+  ActionExecutor(Reconciler& reconciler,
+                 Round& round,
+                 const Stored<HostRecord>& host)
       : m_reconciler(reconciler), m_round(round), m_host(host) {}
 
   bool operator()(const NoAction& /*step*/) const { return true; }
 
   bool operator()(const ReportOverdue& step) const {
-    m_reconciler.m_overdue[m_host.record.host] = step.evidence;
+    m_reconciler.m_overdue_drains[m_host.record.host] = step.evidence;
     return true;
   }
 
@@ -29,29 +29,30 @@
                                          m_round.context.document_version,
                                          step.cut});
     }
-    if (!m_reconciler.CommitIn(m_round, std::move(change))) {
+    if (!m_reconciler.CommitInRound(m_round, std::move(change))) {
       return false;
     }
     return (*this)(RetryReboot{step.boots});
   }
 
   bool operator()(const RetryReboot& step) const {
-    // A conflict means that it has booted since, which the next look shows.
+    // A conflict means that the machine has booted since, which the next
+    // observation shows. Any other error is retried in the next round.
     static_cast<void>(
         m_reconciler.m_ports.machines.Reboot(m_host.record.host, step.boots));
     return true;
   }
 
   bool operator()(const BeginProbe& /*step*/) const {
-    m_reconciler.NoteReboot(m_host.record,
-                            m_round.seen[m_host.record.host].in_state);
-    return m_reconciler.CommitIn(m_round,
-                                 StartProbe(m_round.context, Pool(), m_host));
+    m_reconciler.RecordRebootTime(m_host.record,
+                                  m_round.seen[m_host.record.host].in_state);
+    return m_reconciler.CommitInRound(
+        m_round, StartProbe(m_round.context, Pool(), m_host));
   }
 
   bool operator()(const ReturnToService& step) const {
-    m_reconciler.NoteService(m_host.record);
-    return m_reconciler.CommitIn(
+    m_reconciler.RecordMaintenanceTime(m_host.record);
+    return m_reconciler.CommitInRound(
         m_round, ReturnHost(m_round.context, Pool(), m_host, Wave(), step.why));
   }
 
@@ -65,26 +66,26 @@
     if (gone || needless) {
       return (*this)(ReturnToService{"its move is no longer needed"});
     }
-    if (!m_round.may_take) {
+    if (!m_round.has_latest_document) {
       return true;
     }
-    return m_reconciler.CommitIn(m_round,
-                                 MoveHost(m_round.context, Pool(), to, m_host));
+    return m_reconciler.CommitInRound(
+        m_round, MoveHost(m_round.context, Pool(), to, m_host));
   }
 
   bool operator()(const RemoveFromFleet& /*step*/) const {
     if (FindHost(m_reconciler.m_index, m_host.record.host) != nullptr) {
       return (*this)(ReturnToService{"the document has it again"});
     }
-    return !m_round.may_take ||
-           m_reconciler.CommitIn(m_round,
-                                 RemoveHost(m_round.context, Pool(), m_host));
+    return !m_round.has_latest_document ||
+           m_reconciler.CommitInRound(
+               m_round, RemoveHost(m_round.context, Pool(), m_host));
   }
 
   bool operator()(const MarkFailed& step) const {
     HostFailure order;
     order.evidence = step.evidence;
-    order.wave = m_reconciler.WaveToBlame(
+    order.wave = m_reconciler.WaveForFailure(
         m_host.record, m_round.seen[m_host.record.host].in_state);
     if (order.wave) {
       const config::Wave* wave = config::FindWave(
@@ -92,7 +93,7 @@
       order.halt = wave != nullptr && HaltsOnFailure(*wave, order.wave->record,
                                                      m_host.record.host);
     }
-    return m_reconciler.CommitIn(
+    return m_reconciler.CommitInRound(
         m_round, FailHost(m_round.context, Pool(), m_host, order));
   }
 
@@ -102,7 +103,7 @@
   }
 
   std::optional<Stored<WaveRecord>> Wave() const {
-    return m_reconciler.WaveInHand(m_host.record);
+    return m_reconciler.CurrentWaveOf(m_host.record);
   }
 
   Reconciler& m_reconciler;
@@ -110,25 +111,25 @@
   Stored<HostRecord> m_host;
 };
 
-bool Reconciler::StepHosts(Round& round) {
+bool Reconciler::AdvanceHosts(Round& round) {
   const std::vector<std::string> members = round.Members(m_state);
   for (const std::string& host : members) {
-    m_overdue.erase(host);
-    if (!StepHost(round, host)) {
+    m_overdue_drains.erase(host);
+    if (!AdvanceHost(round, host)) {
       return false;
     }
   }
   return true;
 }
 
-bool Reconciler::StepHost(Round& round, const std::string& host) {
+bool Reconciler::AdvanceHost(Round& round, const std::string& host) {
   const Stored<HostRecord> stored = m_state.hosts.at(host);
-  const std::optional<Stored<WaveRecord>> wave = WaveInHand(stored.record);
+  const std::optional<Stored<WaveRecord>> wave = CurrentWaveOf(stored.record);
   const bool ended = stored.record.reason == OutReason::kWave &&
                      (!wave || wave->record.state == WaveState::kHalted ||
                       wave->record.state == WaveState::kAborted);
   if (stored.record.state == HostState::kDraining && ended) {
-    return GiveBackFromWave(round, stored);
+    return UndrainFromEndedWave(round, stored);
   }
   DrainPolicy drain = m_options.default_drain;
   if (const config::Wave* declared =
@@ -137,19 +138,19 @@
   }
   const HostAction step =
       NextAction(stored.record, round.seen[host], drain, m_options.progress);
-  return std::visit(StepTaker(*this, round, stored), step);
+  return std::visit(ActionExecutor(*this, round, stored), step);
 }
 
-bool Reconciler::GiveBackFromWave(Round& round,
-                                  const Stored<HostRecord>& host) {
-  return CommitIn(round,
-                  ReturnHost(round.context, FindPoolRecord(m_state, round.pool),
-                             host, WaveInHand(host.record),
-                             "given back undrained; its wave goes on no more"));
+bool Reconciler::UndrainFromEndedWave(Round& round,
+                                      const Stored<HostRecord>& host) {
+  return CommitInRound(
+      round, ReturnHost(round.context, FindPoolRecord(m_state, round.pool),
+                        host, CurrentWaveOf(host.record),
+                        "given back undrained; its wave goes on no more"));
 }
 
 bool Reconciler::RegisterHosts(Round& round) {
-  if (round.declared == nullptr || !round.may_take) {
+  if (round.declared == nullptr || !round.has_latest_document) {
     return true;
   }
   std::size_t registered = 0;
@@ -160,17 +161,17 @@
     if (++registered > m_options.registrations_per_round) {
       return true;
     }
-    if (!CommitIn(round, RegisterHost(round.context,
-                                      FindPoolRecord(m_state, round.pool),
-                                      host.name))) {
+    if (!CommitInRound(round, RegisterHost(round.context,
+                                           FindPoolRecord(m_state, round.pool),
+                                           host.name))) {
       return false;
     }
   }
   return true;
 }
 
-bool Reconciler::DrainLeavers(Round& round) {
-  if (!round.may_take) {
+bool Reconciler::DrainDepartingHosts(Round& round) {
+  if (!round.has_latest_document) {
     return true;
   }
   const std::vector<std::string> members = round.Members(m_state);
@@ -178,23 +179,24 @@
     const Stored<HostRecord> stored = m_state.hosts.at(host);
     const DeclaredHost* declared = FindHost(m_index, host);
     const bool here = declared != nullptr && declared->pool->name == round.pool;
-    // What the spare lends stays until its pool sends it home.
-    const bool lent = declared != nullptr && declared->pool->spare;
-    if (!here && !lent && !DrainLeaver(round, stored)) {
+    // A host of the spare pool stays until ReturnHostsToSparePool returns it.
+    const bool from_spare = declared != nullptr && declared->pool->spare;
+    if (!here && !from_spare && !DrainDepartingHost(round, stored)) {
       return false;
     }
   }
   return true;
 }
 
-bool Reconciler::DrainLeaver(Round& round, const Stored<HostRecord>& host) {
+bool Reconciler::DrainDepartingHost(Round& round,
+                                    const Stored<HostRecord>& host) {
   const DeclaredHost* declared = FindHost(m_index, host.record.host);
   if (host.record.state == HostState::kFailed) {
-    // Nothing runs there, so that there is nothing to drain.
+    // Nothing runs on a failed host, so there is nothing to drain.
     Stored<HostRecord> leaver = host;
     leaver.record.bound_for = declared != nullptr ? declared->pool->name : "";
     const Stored<PoolRecord> from = FindPoolRecord(m_state, round.pool);
-    return CommitIn(
+    return CommitInRound(
         round,
         declared != nullptr
             ? MoveHost(round.context, from,
@@ -211,16 +213,16 @@
   order.detail = declared != nullptr
                      ? "the document places it in " + order.bound_for
                      : "the document no longer has it";
-  base::Result<Change> change = PlanTake(round, host.record.host, order);
-  return !change || CommitIn(round, std::move(*change));
+  base::Result<Change> change = PlanDrain(round, host.record.host, order);
+  return !change || CommitInRound(round, std::move(*change));
 }
 
-base::Result<Change> Reconciler::PlanTake(const Round& round,
-                                          const std::string& host,
-                                          const DrainRequest& order) const {
-  return StartHostDrain(round.context, round.declared,
-                        FindPoolRecord(m_state, round.pool),
-                        m_state.hosts.at(host), round.Unseen(m_state), order);
+base::Result<Change> Reconciler::PlanDrain(const Round& round,
+                                           const std::string& host,
+                                           const DrainRequest& order) const {
+  return StartHostDrain(
+      round.context, round.declared, FindPoolRecord(m_state, round.pool),
+      m_state.hosts.at(host), round.UnresponsiveHosts(m_state), order);
 }
 
 }  // namespace cassiastile::fleet
--- a/src/cassiastile/fleet/reconciler_moves.cpp
+++ b/src/cassiastile/fleet/reconciler_moves.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// The spare's hosts that are on their way to a pool, or there, for a shift of
-// its demand.
-std::int32_t CountLentForDemand(const FleetState& state,
-                                const FleetIndex& index,
-                                const std::string& pool) {
+// Counts the spare pool's hosts that are moving to a pool because of its
+// demand. Replacements of failed hosts don't count.
+std::int32_t CountSpareHostsMovingIn(const FleetState& state,
+                                     const FleetIndex& index,
+                                     const std::string& pool) {
   return static_cast<std::int32_t>(std::count_if(
       state.hosts.begin(), state.hosts.end(), [&](const auto& entry) {
         const HostRecord& host = entry.second.record;
@@ -41,8 +41,8 @@
 
 }  // namespace
 
-base::Duration Reconciler::FailedFor(const std::string& host,
-                                     std::uint64_t version) {
+base::Duration Reconciler::TimeFailed(const std::string& host,
+                                      std::uint64_t version) {
   const base::TimePoint now = m_ports.clock.Now();
   const auto [found, added] =
       m_failed_since.try_emplace(host, FailedSince{version, now});
@@ -52,13 +52,13 @@
   return now - found->second.time;
 }
 
-bool Reconciler::HasWaited(const Stored<HostRecord>& host) {
-  // A host that did not come back from its reboot was waited for already.
+bool Reconciler::IsDueForReplacement(const Stored<HostRecord>& host) {
+  // The wait for a host that did not come back from its reboot is already over.
   return host.record.boots.has_value() ||
-         FailedFor(host.record.host, host.version) >= m_options.replace_after;
+         TimeFailed(host.record.host, host.version) >= m_options.replace_after;
 }
 
-std::set<std::string> Reconciler::NeededStandIns(const config::Pool& pool) {
+std::set<std::string> Reconciler::HostsToReplace(const config::Pool& pool) {
   std::set<std::string> needed;
   const PoolRecord record = FindPoolRecord(m_state, pool.name).record;
   for (const auto& [host, entry] : record.out) {
@@ -66,7 +66,7 @@
     if (entry.reason == OutReason::kFailed && entry.replaced_by.empty() &&
         found != m_state.hosts.end() &&
         found->second.record.state == HostState::kFailed &&
-        HasWaited(found->second)) {
+        IsDueForReplacement(found->second)) {
       needed.insert(host);
     }
   }
@@ -78,7 +78,7 @@
   return needed;
 }
 
-std::int32_t Reconciler::ShiftOf(const std::string& pool) {
+std::int32_t Reconciler::DemandDrivenSizeChange(const std::string& pool) {
   if (m_ports.demand == nullptr) {
     return 0;
   }
@@ -92,62 +92,64 @@
   return PoolSizeChange(history, CountMembers(m_state, pool), m_options.demand);
 }
 
-bool Reconciler::LendFromSpare(Round& round) {
-  if (round.declared == nullptr || !round.declared->spare || !round.may_take) {
+bool Reconciler::MoveFromSparePool(Round& round) {
+  if (round.declared == nullptr || !round.declared->spare ||
+      !round.has_latest_document) {
     return true;
   }
   for (const config::Pool& pool : m_document->fleet.pools) {
-    if (!pool.spare && !LendTo(round, pool)) {
+    if (!pool.spare && !MoveSpareHostsTo(round, pool)) {
       return false;
     }
   }
   return true;
 }
 
-bool Reconciler::LendTo(Round& round, const config::Pool& pool) {
-  for (const std::string& failed : NeededStandIns(pool)) {
+bool Reconciler::MoveSpareHostsTo(Round& round, const config::Pool& pool) {
+  for (const std::string& failed : HostsToReplace(pool)) {
     DrainRequest order;
     order.reason = OutReason::kMoving;
     order.bound_for = pool.name;
     order.stands_in_for = failed;
     order.detail = fmt::format("stands in for {} in {}", failed, pool.name);
-    if (!LendHost(round, order)) {
+    if (!MoveSpareHost(round, order)) {
       return false;
     }
   }
-  const std::int32_t shift = ShiftOf(pool.name);
-  const std::int32_t under_way =
-      CountLentForDemand(m_state, m_index, pool.name);
-  for (std::int32_t i = under_way; i < shift; ++i) {
+  const std::int32_t shift = DemandDrivenSizeChange(pool.name);
+  const std::int32_t moving_in =
+      CountSpareHostsMovingIn(m_state, m_index, pool.name);
+  for (std::int32_t i = moving_in; i < shift; ++i) {
     DrainRequest order;
     order.reason = OutReason::kMoving;
     order.bound_for = pool.name;
     order.detail = fmt::format("the demand on {} has grown to stay", pool.name);
-    if (!LendHost(round, order)) {
+    if (!MoveSpareHost(round, order)) {
       return false;
     }
   }
   return true;
 }
 
-bool Reconciler::LendHost(Round& round, const DrainRequest& order) {
+bool Reconciler::MoveSpareHost(Round& round, const DrainRequest& order) {
   const std::vector<std::string> members = round.Members(m_state);
   for (const std::string& host : members) {
     if (m_state.hosts.at(host).record.state != HostState::kInService ||
         !IsKnownUp(round.seen[host])) {
       continue;
     }
-    base::Result<Change> change = PlanTake(round, host, order);
-    return !change || CommitIn(round, std::move(*change));
+    base::Result<Change> change = PlanDrain(round, host, order);
+    return !change || CommitInRound(round, std::move(*change));
   }
   return true;
 }
 
-bool Reconciler::SendHome(Round& round) {
-  if (round.declared == nullptr || round.declared->spare || !round.may_take) {
+bool Reconciler::ReturnHostsToSparePool(Round& round) {
+  if (round.declared == nullptr || round.declared->spare ||
+      !round.has_latest_document) {
     return true;
   }
-  const std::int32_t shift = ShiftOf(round.pool);
+  const std::int32_t shift = DemandDrivenSizeChange(round.pool);
   const bool measured = m_ports.demand != nullptr &&
                         m_ports.demand->Demand(round.pool).has_value();
   const auto size =
@@ -159,11 +161,11 @@
   for (const std::string& host : members) {
     const HostRecord& stored = m_state.hosts.at(host).record;
     const DeclaredHost* declared = FindHost(m_index, host);
-    const bool lent = declared != nullptr && declared->pool->spare &&
-                      stored.state == HostState::kInService;
+    const bool from_spare = declared != nullptr && declared->pool->spare &&
+                            stored.state == HostState::kInService;
     const bool stands_in = record.out.contains(stored.stands_in_for);
     const bool ended = !stored.stands_in_for.empty() && !stands_in;
-    if (!lent || stands_in || (!ended && surplus <= 0)) {
+    if (!from_spare || stands_in || (!ended && surplus <= 0)) {
       continue;
     }
     surplus -= ended ? 0 : 1;
@@ -171,8 +173,8 @@
     order.reason = OutReason::kMoving;
     order.bound_for = declared->pool->name;
     order.detail = "no longer needed here; it goes back to the spare";
-    base::Result<Change> change = PlanTake(round, host, order);
-    if (change && !CommitIn(round, std::move(*change))) {
+    base::Result<Change> change = PlanDrain(round, host, order);
+    if (change && !CommitInRound(round, std::move(*change))) {
       return false;
     }
   }
--- a/src/cassiastile/fleet/reconciler_operator_actions.cpp
+++ b/src/cassiastile/fleet/reconciler_operator_actions.cpp
@@ -5,10 +5,12 @@
 
 namespace cassiastile::fleet {
 
-base::Result<void> Reconciler::CheckDocument() const {
+base::Result<void> Reconciler::CheckDocumentIsLatest() const {
   if (m_state.document_version != m_document->version) {
-    return base::Fail(base::ErrorCode::kConflict,
-                      "A newer document was accepted than is in force here.");
+    return base::Fail(
+        base::ErrorCode::kConflict,
+        "A newer document has been accepted than the one in force on this "
+        "control host.");
   }
   return {};
 }
@@ -20,7 +22,7 @@
   if (found == m_state.hosts.end()) {
     return base::Fail(base::ErrorCode::kNotFound, "No such host: " + host);
   }
-  base::Result<void> current = CheckDocument();
+  base::Result<void> current = CheckDocumentIsLatest();
   if (!current) {
     return current;
   }
@@ -29,11 +31,11 @@
   DrainRequest order;
   order.reason = OutReason::kOperator;
   order.detail = "drained by " + actor;
-  base::Result<Change> change = PlanTake(round, host, order);
+  base::Result<Change> change = PlanDrain(round, host, order);
   if (!change) {
     return tl::unexpected(change.error());
   }
-  return CommitWith(std::move(*change), audit);
+  return CommitWithAudit(std::move(*change), audit);
 }
 
 base::Result<void> Reconciler::UndrainHost(const std::string& host,
@@ -48,32 +50,32 @@
     return base::Fail(base::ErrorCode::kConflict,
                       "The host " + host + " is " +
                           std::string(NameOf(stored.record.state)) +
-                          "; only one that drains can be returned.");
+                          "; only a draining host can be returned to service.");
   }
-  return CommitWith(
+  return CommitWithAudit(
       ReturnHost(Context(actor, std::nullopt),
                  FindPoolRecord(m_state, stored.record.pool), stored,
-                 WaveInHand(stored.record), "returned by " + actor),
+                 CurrentWaveOf(stored.record), "returned by " + actor),
       audit);
 }
 
 base::Result<void> Reconciler::ApplyWaveAction(const std::string& wave,
                                                const std::string& actor,
-                                               WaveAction act,
+                                               WaveAction action,
                                                const AuditAddition& audit) {
   if (config::FindWave(m_document->fleet, wave) == nullptr) {
     return base::Fail(base::ErrorCode::kNotFound, "No such wave: " + wave);
   }
   base::Result<Change> change = TransitionWave(
-      Context(actor, std::nullopt), FindWaveRecord(m_state, wave), act);
+      Context(actor, std::nullopt), FindWaveRecord(m_state, wave), action);
   if (!change) {
     return tl::unexpected(change.error());
   }
-  return CommitWith(std::move(*change), audit);
+  return CommitWithAudit(std::move(*change), audit);
 }
 
-base::Result<void> Reconciler::CommitWith(Change change,
-                                          const AuditAddition& audit) {
+base::Result<void> Reconciler::CommitWithAudit(Change change,
+                                               const AuditAddition& audit) {
   change.preconditions.insert(change.preconditions.end(),
                               audit.preconditions.begin(),
                               audit.preconditions.end());
--- a/src/cassiastile/fleet/reconciler_waves.cpp
+++ b/src/cassiastile/fleet/reconciler_waves.cpp
@@ -11,12 +11,13 @@
 
 namespace {
 
-// The weight of the latest host in the learnt service time, as a divisor.
-constexpr int kServiceSmoothing = 4;
+// The smoothed maintenance time moves by 1/kMaintenanceTimeSmoothing of the
+// difference with each host.
+constexpr int kMaintenanceTimeSmoothing = 4;
 
-constexpr std::uint32_t kRebootsToLearn = 3;
-constexpr int kRebootPatience = 2;  // Times the longest reboot seen.
-constexpr std::chrono::seconds kShortestRebootTimeout(120);
+constexpr std::uint32_t kMinRebootsToLearn = 3;
+constexpr int kRebootTimeoutFactor = 2;  // Times the longest reboot.
+constexpr std::chrono::seconds kMinRebootTimeout(120);
 
 bool IsLeftOut(const HostRecord& host) {
   return host.state == HostState::kFailed ||
@@ -31,7 +32,7 @@
 
 }  // namespace
 
-std::optional<Stored<WaveRecord>> Reconciler::WaveInHand(
+std::optional<Stored<WaveRecord>> Reconciler::CurrentWaveOf(
     const HostRecord& host) const {
   const auto found = m_state.waves.find(host.wave);
   if (host.wave.empty() || found == m_state.waves.end() ||
@@ -41,10 +42,10 @@
   return found->second;
 }
 
-std::optional<Stored<WaveRecord>> Reconciler::WaveToBlame(
+std::optional<Stored<WaveRecord>> Reconciler::WaveForFailure(
     const HostRecord& host,
     base::Duration in_state) const {
-  if (auto wave = WaveInHand(host)) {
+  if (auto wave = CurrentWaveOf(host)) {
     return wave;
   }
   const auto found = m_state.waves.find(host.done_wave);
@@ -57,7 +58,7 @@
   return found->second;
 }
 
-std::vector<platform::Precondition> Reconciler::Neighbours(
+std::vector<platform::Precondition> Reconciler::RackRows(
     const std::string& host) const {
   std::vector<platform::Precondition> rows;
   const DeclaredHost* declared = FindHost(m_index, host);
@@ -80,7 +81,7 @@
   input.record = &m_state.waves.at(wave.name).record;
   input.budget =
       CountBudget(round.declared, FindPoolRecord(m_state, round.pool).record,
-                  round.Unseen(m_state));
+                  round.UnresponsiveHosts(m_state));
   input.wall = round.context.wall;
   for (const auto& [host, stored] : m_state.hosts) {
     if (stored.record.state == HostState::kInService) {
@@ -107,35 +108,35 @@
   return input;
 }
 
-bool Reconciler::TakeForWaves(Round& round) {
+bool Reconciler::DrainForWaves(Round& round) {
   for (const config::Wave& wave : m_document->fleet.waves) {
     const auto found = m_state.waves.find(wave.name);
     if (!Covers(wave, round.pool) || found == m_state.waves.end() ||
         found->second.record.state != WaveState::kRunning) {
       continue;
     }
-    if (!TakeForWave(round, wave) || !FinishWaveIfDone(round, wave)) {
+    if (!DrainForWave(round, wave) || !FinishWaveIfDone(round, wave)) {
       return false;
     }
   }
   return true;
 }
 
-bool Reconciler::TakeForWave(Round& round, const config::Wave& wave) {
+bool Reconciler::DrainForWave(Round& round, const config::Wave& wave) {
   const WaveInput input = MakeWaveInput(round, wave);
-  NoteDrainTimes(round, input);
-  if (!round.may_take) {
+  UpdateExpectedDrainTimes(round, input);
+  if (!round.has_latest_document) {
     return true;
   }
   const WaveStep step = PlanWaveStep(input);
-  m_limits[wave.name][round.pool] = step.why;
+  m_limiting_rules[wave.name][round.pool] = step.why;
   for (const std::string& host : step.take) {
     DrainRequest order;
     order.wave = m_state.waves.at(wave.name);
     order.canary = step.canary;
-    order.rack_rows = Neighbours(host);
+    order.rack_rows = RackRows(host);
     order.detail = fmt::format("next of the wave {}; {}", wave.name, step.why);
-    base::Result<Change> change = PlanTake(round, host, order);
+    base::Result<Change> change = PlanDrain(round, host, order);
     if (!change) {
       continue;
     }
@@ -144,7 +145,7 @@
                                           round.context.document_version,
                                           skipped.why});
     }
-    if (!CommitIn(round, std::move(*change))) {
+    if (!CommitInRound(round, std::move(*change))) {
       return false;
     }
   }
@@ -152,7 +153,7 @@
 }
 
 bool Reconciler::FinishWaveIfDone(Round& round, const config::Wave& wave) {
-  if (wave.pools.front() != round.pool || !round.may_take) {
+  if (wave.pools.front() != round.pool || !round.has_latest_document) {
     return true;
   }
   const WaveForecast forecast = Forecast(wave);
@@ -160,26 +161,26 @@
       forecast.done + forecast.left_out < forecast.total) {
     return true;
   }
-  return CommitIn(
+  return CommitInRound(
       round,
       FinishWave(round.context, m_state.waves.at(wave.name),
                  fmt::format("{} of {} hosts done, {} left out", forecast.done,
                              forecast.total, forecast.left_out)));
 }
 
-std::map<std::string, PoolWaveProgress> Reconciler::Remainders(
+std::map<std::string, PoolWaveProgress> Reconciler::ProgressByPool(
     const config::Wave& wave) const {
-  std::map<std::string, PoolWaveProgress> remainders;
+  std::map<std::string, PoolWaveProgress> progress_by_pool;
   for (const std::string& pool : wave.pools) {
     const BudgetCount count = CountBudget(
         FindPool(m_index, pool), FindPoolRecord(m_state, pool).record, {});
-    remainders[pool].max_out = count.max_out;
-    remainders[pool].failed = count.failed;
+    progress_by_pool[pool].max_out = count.max_out;
+    progress_by_pool[pool].failed = count.failed;
   }
   const WaveRecord record = FindWaveRecord(m_state, wave.name).record;
   for (const auto& [host, stored] : m_state.hosts) {
-    const auto found = remainders.find(stored.record.pool);
-    if (found == remainders.end()) {
+    const auto found = progress_by_pool.find(stored.record.pool);
+    if (found == progress_by_pool.end()) {
       continue;
     }
     ++found->second.total;
@@ -189,73 +190,77 @@
       ++found->second.left_out;
     }
   }
-  return remainders;
+  return progress_by_pool;
 }
 
 WaveForecast Reconciler::Forecast(const config::Wave& wave) const {
   std::vector<PoolWaveProgress> pools;
-  for (const auto& [pool, remainder] : Remainders(wave)) {
-    pools.push_back(remainder);
+  for (const auto& [pool, pool_progress] : ProgressByPool(wave)) {
+    pools.push_back(pool_progress);
   }
-  return ForecastWave(wave, pools, ServiceTime(wave.name),
-                      m_service.contains(wave.name), m_ports.clock.WallNow());
+  return ForecastWave(wave, pools, MaintenanceTime(wave.name),
+                      m_maintenance_times.contains(wave.name),
+                      m_ports.clock.WallNow());
 }
 
-void Reconciler::NoteDrainTimes(const Round& round, const WaveInput& input) {
+void Reconciler::UpdateExpectedDrainTimes(const Round& round,
+                                          const WaveInput& input) {
   for (const std::string& host : round.Members(m_state)) {
-    m_drain_times.erase(host);
+    m_expected_drain_times.erase(host);
   }
   const std::size_t concurrent_hosts = std::max<std::size_t>(
       std::min(input.wave->parallel, input.budget.max_out), 1);
   std::size_t position = 0;
   for (const WaveHost* host : OrderHosts(input)) {
-    m_drain_times[host->host.name] =
+    m_expected_drain_times[host->host.name] =
         m_ports.clock.Now() +
-        ServiceTime(input.wave->name) * (position / concurrent_hosts);
+        MaintenanceTime(input.wave->name) * (position / concurrent_hosts);
     ++position;
   }
 }
 
-void Reconciler::NoteService(const HostRecord& host) {
+void Reconciler::RecordMaintenanceTime(const HostRecord& host) {
   if (host.wave.empty() || !host.boots) {
     return;
   }
   const auto took = std::chrono::duration_cast<std::chrono::seconds>(
       m_observer.TimeOutOfService(host.host));
-  const auto [found, added] = m_service.try_emplace(host.wave, took);
+  const auto [found, added] = m_maintenance_times.try_emplace(host.wave, took);
   if (!added) {
-    found->second += (took - found->second) / kServiceSmoothing;
+    found->second += (took - found->second) / kMaintenanceTimeSmoothing;
   }
 }
 
-void Reconciler::NoteReboot(const HostRecord& host, base::Duration took) {
+void Reconciler::RecordRebootTime(const HostRecord& host, base::Duration took) {
   if (host.state != HostState::kRebooting || host.wave.empty()) {
     return;
   }
-  RebootTimes& times = m_reboots[host.wave];
+  RebootTimes& times = m_reboot_times[host.wave];
   ++times.count;
   times.longest =
       std::max(times.longest, std::chrono::ceil<std::chrono::seconds>(took));
 }
 
-// Once a wave has had a few reboots, one that takes much longer than the
-// longest of them is given up before the general timeout.
-ProgressOptions Reconciler::ProgressFor(const HostRecord& host) const {
+// After a few reboots of a wave, a reboot that takes much longer than the
+// longest of them is given up before the configured timeout.
+ProgressOptions Reconciler::ProgressOptionsFor(const HostRecord& host) const {
   ProgressOptions options = m_options.progress;
-  const auto found = m_reboots.find(host.wave);
-  if (found != m_reboots.end() && found->second.count >= kRebootsToLearn) {
+  const auto found = m_reboot_times.find(host.wave);
+  if (found != m_reboot_times.end() &&
+      found->second.count >= kMinRebootsToLearn) {
     options.reboot_timeout =
         std::min(options.reboot_timeout,
-                 std::max(kRebootPatience * found->second.longest,
-                          kShortestRebootTimeout));
+                 std::max(kRebootTimeoutFactor * found->second.longest,
+                          kMinRebootTimeout));
   }
   return options;
 }
 
-std::chrono::seconds Reconciler::ServiceTime(const std::string& wave) const {
-  const auto found = m_service.find(wave);
-  return found == m_service.end() ? m_options.assumed_maintenance_time
-                                  : found->second;
+std::chrono::seconds Reconciler::MaintenanceTime(
+    const std::string& wave) const {
+  const auto found = m_maintenance_times.find(wave);
+  return found == m_maintenance_times.end() ? m_options.assumed_maintenance_time
+                                            : found->second;
 }
 
 }  // namespace cassiastile::fleet
