--- a/src/cassiastile/fleet/fake_fleet.hpp
+++ b/src/cassiastile/fleet/fake_fleet.hpp
@@ -17,13 +17,13 @@
 #include "cassiastile/fleet/reconciler.hpp"
 #include "cassiastile/platform/memory_platform.hpp"
 
-// Stand-ins for what a reconciler works with, for tests and measurements in
-// virtual time.
+// Fakes of a reconciler's dependencies, for tests and measurements in virtual
+// time.
 namespace cassiastile::fleet::fake {
 
 // A document of pools `p0`, `p1`... with hosts `p0-h0`..., two to a rack over
-// three zones; the last pool is the spare when asked for. One wave, `wave`,
-// covers all pools but the spare.
+// three zones. With `spare`, the last pool is the spare pool. One wave, `wave`,
+// covers all pools but the spare pool.
 struct DocumentOptions {
   std::uint32_t pools = 1;
   std::uint32_t hosts = 6;
@@ -63,13 +63,13 @@
   return document;
 }
 
-// A table that loses and delays answers and checks the promises at every
-// committed state, whatever its callers are told.
+// A table that loses answers and delays transactions, and checks the invariants
+// at every commit, including those whose callers get no answer.
 class CheckedTable final : public platform::Table {
  public:
   explicit CheckedTable(std::uint64_t seed) : m_random(seed) {}
 
-  // Accepts a document as the member module would.
+  // Accepts a document as the member module does.
   void Accept(std::shared_ptr<const config::AcceptedFleet> document) {
     m_document = std::move(document);
     const std::string head =
@@ -102,12 +102,12 @@
     if (down) {
       return Unavailable();
     }
-    if (Strikes(delay_apply)) {
+    if (InjectFault(delay_apply)) {
       m_delayed.push_back(transaction);
       return base::Fail(base::ErrorCode::kUnknown, "lost");
     }
     auto commit = ApplyAndCheck(transaction);
-    if (Strikes(lose_answer)) {
+    if (InjectFault(lose_answer)) {
       return base::Fail(base::ErrorCode::kUnknown, "lost");
     }
     return commit;
@@ -138,7 +138,7 @@
     return base::Fail(base::ErrorCode::kUnavailable, "down");
   }
 
-  bool Strikes(double probability) {
+  bool InjectFault(double probability) {
     return probability > 0 &&
            std::bernoulli_distribution(probability)(m_random);
   }
@@ -166,8 +166,8 @@
     return commit;
   }
 
-  // A host that was not out before and now is by plan is a planned take: with
-  // it the pool must not miss more than its budget.
+  // A planned drain, one of a host that was in service and has not failed, must
+  // leave the pool within its budget.
   void CheckPool(const PoolRecord& now) {
     PoolRecord& before = m_pools[now.pool];
     bool taken = false;
@@ -181,32 +181,33 @@
       ++planned_takes;
       if (count.Excess() > 0) {
         ++budget_violations;
-        Note(now.pool + " has " + Describe(count));
+        RecordViolation(now.pool + " has " + Describe(count));
       }
     }
     for (const auto& [host, entry] : now.out) {
       const auto row = m_table.Get(HostKey(host));
       if (!*row || ParseHostRecord((*row)->value)->pool != now.pool) {
         ++pool_violations;
-        Note(host + " is out of " + now.pool + " and not in it");
+        RecordViolation(host + " is out of service in the row of " + now.pool +
+                        " but is not one of its hosts");
       }
     }
     before = now;
   }
 
-  // A host is out of service by its own row exactly when its pool's row says
-  // so.
+  // A host's own row and its pool's row must agree on whether the host is out
+  // of service.
   void CheckHost(const HostRecord& host) {
     const auto row = m_table.Get(PoolKey(host.pool));
     const bool out =
         *row && ParsePoolRecord((*row)->value)->out.contains(host.host);
     if (out != (host.state != HostState::kInService)) {
       ++pool_violations;
-      Note(host.host + " disagrees with the row of " + host.pool);
+      RecordViolation(host.host + " disagrees with the row of " + host.pool);
     }
   }
 
-  void Note(const std::string& what) {
+  void RecordViolation(const std::string& what) {
     if (first_violation.empty()) {
       first_violation = what;
     }
@@ -220,7 +221,7 @@
   std::uint64_t m_accepts = 0;
 };
 
-// Machines whose reboots take a while of virtual time.
+// Machines whose reboots take `reboot_time` of virtual time.
 class FakeMachines final : public platform::Machines {
  public:
   FakeMachines(const base::Clock& clock, base::Duration reboot_time)
@@ -282,8 +283,8 @@
   }
 
   bool down = false;
-  std::set<std::string> silent;  // Nothing is told of them.
-  std::set<std::string> stuck;   // They never come back from a reboot.
+  std::set<std::string> silent;  // Hosts whose status is unavailable.
+  std::set<std::string> stuck;   // Hosts that never come back from a reboot.
   std::map<std::string, std::uint32_t> reboots;
 
  private:
@@ -351,8 +352,8 @@
     return {name, ports, seed, options};
   }
 
-  // One round of all pools, without a fence: nothing but the versions of the
-  // rows keeps two of these apart.
+  // One round over all pools without a fencing token: only the row versions
+  // prevent two reconcilers from making conflicting changes.
   void Round(Reconciler& reconciler) {
     if (!reconciler.Refresh(document)) {
       return;
@@ -362,7 +363,8 @@
     }
   }
 
-  // Rounds a second apart until the wave is over or the time is.
+  // Runs rounds one second apart until the wave is finished or the limit is
+  // reached; returns the time taken.
   std::chrono::seconds RunWave(Reconciler& reconciler,
                                std::chrono::seconds limit) {
     std::chrono::seconds time{0};
@@ -376,7 +378,7 @@
     return time;
   }
 
-  // Makes the rows of all hosts and starts the wave.
+  // Registers all hosts and starts the wave.
   void Start(Reconciler& reconciler) {
     Round(reconciler);
     static_cast<void>(reconciler.Refresh(document));
--- a/src/cassiastile/fleet/fake_race.hpp
+++ b/src/cassiastile/fleet/fake_race.hpp
@@ -11,7 +11,8 @@
 
 namespace cassiastile::fleet::fake {
 
-// What may happen to a fleet while two control processes race over it.
+// What may happen to a fleet while two control processes change it
+// concurrently.
 enum class Event : std::uint8_t {
   kFirstReads,
   kSecondReads,
@@ -29,18 +30,20 @@
   kWaveStarts,
   kWavePauses,
   kWaveAborts,
-  kStoreGoes,
-  kStoreComes,
-  kWorkComes,
+  kStoreFails,
+  kStoreRecovers,
+  kWorkStarts,
   kWorkEnds,
 };
 
 inline constexpr int kEvents = static_cast<int>(Event::kWorkEnds) + 1;
 
-// One event and the host or pool that it strikes.
+// An event, as its number, and a number that selects the host or pool
+// concerned.
 using Step = std::tuple<int, std::uint32_t>;
 
-// Two control processes that race over everything, with no fence to help them.
+// Two control processes that change the same fleet concurrently, without
+// fencing tokens.
 class Race {
  public:
   Race(std::uint64_t seed, double faults)
@@ -57,8 +60,8 @@
   void Take(const Step& step) {
     const std::uint32_t pick = std::get<1>(step);
     const auto event = static_cast<Event>(std::get<0>(step));
-    if (!TakeEdit(event, pick) && !TakeFault(event, pick)) {
-      TakeAct(event, pick);
+    if (!ApplyEdit(event, pick) && !ApplyFault(event, pick)) {
+      ApplyAction(event, pick);
     }
   }
 
@@ -80,7 +83,7 @@
     static_cast<void>(reconciler.Refresh(m_world.document));
   }
 
-  bool TakeEdit(Event event, std::uint32_t pick) {
+  bool ApplyEdit(Event event, std::uint32_t pick) {
     auto next = std::make_shared<config::AcceptedFleet>(*m_world.document);
     ++next->version;
     config::Pool& pool = next->fleet.pools[pick % kPools];
@@ -99,7 +102,7 @@
     return true;
   }
 
-  bool TakeFault(Event event, std::uint32_t pick) {
+  bool ApplyFault(Event event, std::uint32_t pick) {
     switch (event) {
       case Event::kTimePasses:
         m_world.clock.Advance(std::chrono::seconds(pick % 30));
@@ -112,11 +115,11 @@
           m_world.machines.Repair(HostName(i));
         }
         return true;
-      case Event::kStoreGoes:
-      case Event::kStoreComes:
-        m_world.table.down = event == Event::kStoreGoes;
+      case Event::kStoreFails:
+      case Event::kStoreRecovers:
+        m_world.table.down = event == Event::kStoreFails;
         return true;
-      case Event::kWorkComes:
+      case Event::kWorkStarts:
         m_world.work.work[HostName(pick)].running = 1;
         return true;
       case Event::kWorkEnds:
@@ -127,7 +130,7 @@
     }
   }
 
-  void TakeAct(Event event, std::uint32_t pick) {
+  void ApplyAction(Event event, std::uint32_t pick) {
     switch (event) {
       case Event::kFirstReads:
         return Read(m_first);
--- a/src/cassiastile/fleet/moves_test.cpp
+++ b/src/cassiastile/fleet/moves_test.cpp
@@ -29,11 +29,11 @@
   Reconciler m_reconciler = m_world.MakeReconciler("control-1", 1);
 };
 
-TEST_F(MovesTest, SpareStandsInForAHostThatStaysFailedAndGoesHome) {
+TEST_F(MovesTest, SpareHostReplacesAFailedHostAndReturnsAfterItsRepair) {
   Run(1);
   m_world.machines.Fail("p0-h0");
   Run(250);
-  EXPECT_EQ(Members("p0"), 4U) << "moved before the patience was over";
+  EXPECT_EQ(Members("p0"), 4U) << "replaced before replace_after had passed";
   Run(100);
   EXPECT_EQ(Members("p0"), 5U);
   EXPECT_EQ(m_world.Pool("p0").out.at("p0-h0").replaced_by, "p1-h0");
@@ -48,7 +48,7 @@
   EXPECT_EQ(m_world.table.pool_violations, 0U) << m_world.table.first_violation;
 }
 
-TEST_F(MovesTest, StandInThatFailsCountsAgain) {
+TEST_F(MovesTest, FailedReplacementCountsAgainstTheBudget) {
   Run(1);
   m_world.machines.Fail("p0-h0");
   Run(350);
@@ -59,7 +59,7 @@
   EXPECT_EQ(count.failed, 2U);
 }
 
-TEST_F(MovesTest, StandInIsNotTakenWhenThatUncoversTheHostItReplaces) {
+TEST_F(MovesTest, ReplacementIsNotDrainedWhileTheBudgetNeedsIt) {
   m_world.document->fleet.pools[0].budget.max_out = 1;
   Run(1);
   m_world.machines.Fail("p0-h0");
@@ -72,7 +72,7 @@
       << m_world.table.first_violation;
 }
 
-TEST_F(MovesTest, BurstOfSecondsMovesNobody) {
+TEST_F(MovesTest, ShortBurstsMoveNoHost) {
   for (int round = 0; round < 30; ++round) {
     m_world.demand.demand["p0"] = 5 * 2.0;
     Run(10);
@@ -82,7 +82,7 @@
   EXPECT_EQ(Members("p0"), 4U);
 }
 
-TEST_F(MovesTest, LastingShiftMovesJustEnoughAndBack) {
+TEST_F(MovesTest, LastingDemandChangeMovesAsManyHostsAsNeededAndBack) {
   m_world.demand.demand["p0"] = 4.4;
   Run(1000);
   EXPECT_EQ(Members("p0"), 6U);
--- a/src/cassiastile/fleet/planning_test.cpp
+++ b/src/cassiastile/fleet/planning_test.cpp
@@ -12,8 +12,8 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-// Ten hosts' worth of mean demand: a burst of ten seconds to five times the
-// mean, then a twentieth of it.
+// A mean demand of ten hosts: a burst of ten seconds at five times the mean,
+// then a twentieth of the mean.
 std::vector<double> MakeBursts(int rounds) {
   constexpr int kBurstSeconds = 10;
   constexpr int kRoundSeconds = 52;
@@ -24,7 +24,7 @@
   return demand;
 }
 
-TEST(WindowTest, RunsOverMidnight) {
+TEST(WindowTest, MayCrossMidnight) {
   const config::Window night{22 * 60, 4 * 60};
   const base::WallTime midnight{};
   EXPECT_TRUE(IsOpen(night, midnight));
@@ -33,7 +33,7 @@
   EXPECT_EQ(OpenTimePerDay(night), hours(6));
 }
 
-TEST(WindowTest, BatchesStopAtTheCloseAndGoOnTheNextDay) {
+TEST(WindowTest, BatchesPauseAtTheCloseAndContinueTheNextDay) {
   const config::Window hour{60, 120};
   const base::WallTime midnight{};
   EXPECT_EQ(FinishOfBatches(hour, midnight, 3, minutes(30)),
@@ -42,7 +42,7 @@
             midnight + minutes(90));
 }
 
-TEST(BufferTest, QueuesBurstsInPlaceOfHoldingHostsForThem) {
+TEST(BufferTest, QueuesBurstsInsteadOfHoldingHostsForThem) {
   const std::vector<double> demand = MakeBursts(60);
   const std::uint32_t hosts = HostsForDemand(demand, {});
   EXPECT_GT(hosts, 10U);
@@ -52,7 +52,7 @@
             BufferOptions().miss_target);
 }
 
-TEST(BufferTest, TighterDeadlineNeedsMore) {
+TEST(BufferTest, ShorterDeadlineNeedsMoreHosts) {
   const std::vector<double> demand = MakeBursts(60);
   EXPECT_GT(HostsForDemand(demand, {.deadline = seconds(2)}),
             HostsForDemand(demand, {.deadline = seconds(30)}));
@@ -68,7 +68,7 @@
   EXPECT_GT(slow.for_failures, quick.for_failures);
 }
 
-TEST(BufferTest, ZoneLossIsCarriedWhereAskedFor) {
+TEST(BufferTest, ZoneLossAddsHostsOnlyWhenConfigured) {
   const std::vector<double> demand(600, 20.0);
   const BufferPlan plan = PlanBuffer(demand, {.survive_zone_loss = true});
   EXPECT_GE(plan.Total() * 2.0 / 3, 20.0);
@@ -85,12 +85,12 @@
     EXPECT_TRUE(pool.in_cycle) << pool.pool << " " << pool.note;
     EXPECT_LE(pool.finish, base::WallTime() + ScheduleOptions().cycle);
   }
-  // One host out in each of the pools that are under way, and no more than
-  // a third of the pools at once.
+  // One host out in each pool under maintenance, and no more than about a third
+  // of the 25 pools at once.
   EXPECT_LE(schedule.peak_out, 9U);
 }
 
-TEST(ScheduleTest, WindowThatCannotBeMetIsToldWithTheDateThatCan) {
+TEST(ScheduleTest, TooShortWindowIsReportedWithTheFinishDate) {
   auto document =
       fake::MakeDocument({.hosts = 128, .max_out = 1, .parallel = 1});
   document->fleet.waves[0].window = {60, 61};
@@ -98,13 +98,13 @@
   const auto obstacles =
       FindWaveObstacles(document->fleet, document->fleet.waves[0], start, {});
   ASSERT_EQ(obstacles.size(), 1U);
-  // One host a night.
+  // One host per night.
   const base::WallTime last = start + hours(24 * 127 + 1) + seconds(900);
   EXPECT_NE(obstacles[0].find(base::FormatWallTime(last)), std::string::npos)
       << obstacles[0];
 }
 
-TEST(ScheduleTest, BudgetOfNoneIsNamed) {
+TEST(ScheduleTest, BudgetOfZeroIsReported) {
   const auto document = fake::MakeDocument({.hosts = 4, .max_out = 0});
   const Schedule schedule = PlanSchedule(document->fleet, {}, {});
   EXPECT_FALSE(schedule.pools[0].in_cycle);
--- a/src/cassiastile/fleet/property_test.cpp
+++ b/src/cassiastile/fleet/property_test.cpp
@@ -14,7 +14,7 @@
 using fake::Race;
 using fake::Step;
 
-// The same cases on every run, unless RC_PARAMS is set from outside.
+// Runs the same cases every time, unless RC_PARAMS is set in the environment.
 [[maybe_unused]] const bool kSeeded =
     setenv("RC_PARAMS", "seed=20261203 max_success=300 max_size=120", 0) == 0;
 
@@ -29,7 +29,7 @@
   Race race(seed, faults);
   for (const Step& step : steps) {
     race.Take(step);
-    // Rounds between the events let waves and moves get under way.
+    // Rounds between the events let waves and moves start.
     race.Take({static_cast<int>(Event::kBothRound), 0});
     race.Take({static_cast<int>(Event::kTimePasses), 3});
   }
--- a/src/cassiastile/fleet/race_test.cpp
+++ b/src/cassiastile/fleet/race_test.cpp
@@ -8,14 +8,14 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-void ExpectPromisesKept(const fake::World& world) {
+void ExpectInvariantsHold(const fake::World& world) {
   EXPECT_EQ(world.table.budget_violations, 0U) << world.table.first_violation;
   EXPECT_EQ(world.table.pool_violations, 0U) << world.table.first_violation;
 }
 
-// Pools whose hosts share no rack, so that no limit per rack stands in for the
-// budget.
-std::shared_ptr<config::AcceptedFleet> MakeRackless() {
+// Pools whose hosts share no rack, so that only the budget limits drains, not
+// the limit per rack.
+std::shared_ptr<config::AcceptedFleet> MakeDocumentWithoutRacks() {
   auto document = fake::MakeDocument({.pools = 2, .hosts = 6, .max_out = 1});
   for (config::Pool& pool : document->fleet.pools) {
     for (config::Host& host : pool.hosts) {
@@ -25,7 +25,7 @@
   return document;
 }
 
-// Two processes that have read the same rows, with the wave started.
+// Two processes that have read the same rows after the wave was started.
 class RaceTest : public testing::Test {
  protected:
   void SetUp() override {
@@ -54,29 +54,29 @@
     return out;
   }
 
-  fake::World m_world{MakeRackless()};
+  fake::World m_world{MakeDocumentWithoutRacks()};
   Reconciler m_first = m_world.MakeReconciler("control-1", 1);
   Reconciler m_second = m_world.MakeReconciler("control-2", 2);
 };
 
-TEST_F(RaceTest, TwoOwnersTakeNoMoreThanOne) {
-  // To the second one another host is the least disturbed.
+TEST_F(RaceTest, TwoOwnersDrainNoMoreThanOneHost) {
+  // Makes the second process choose another host.
   m_first.Tick("p0", std::nullopt);
   m_world.work.work["p0-h0"].running = 1;
   m_second.Tick("p0", std::nullopt);
   EXPECT_EQ(CountOut("p0"), 1U);
-  ExpectPromisesKept(m_world);
+  ExpectInvariantsHold(m_world);
 }
 
-TEST_F(RaceTest, OperatorsDrainAgainstTheWave) {
+TEST_F(RaceTest, OperatorsDrainThatCommitsFirstStopsTheWaves) {
   ASSERT_TRUE(m_second.DrainHost("p0-h5", "anna", {}));
   m_first.Tick("p0", std::nullopt);
   EXPECT_EQ(CountOut("p0"), 1U);
   EXPECT_EQ(m_world.Host("p0-h5").reason, OutReason::kOperator);
-  ExpectPromisesKept(m_world);
+  ExpectInvariantsHold(m_world);
 }
 
-TEST_F(RaceTest, WaveAgainstTheOperatorsDrain) {
+TEST_F(RaceTest, WavesDrainThatCommitsFirstStopsTheOperators) {
   m_first.Tick("p0", std::nullopt);
   const auto drained = m_second.DrainHost("p0-h5", "anna", {});
   ASSERT_FALSE(drained);
@@ -84,17 +84,17 @@
   ASSERT_TRUE(m_second.Refresh(m_world.document));
   EXPECT_EQ(m_second.DrainHost("p0-h5", "anna", {}).error().code,
             base::ErrorCode::kOverloaded);
-  ExpectPromisesKept(m_world);
+  ExpectInvariantsHold(m_world);
 }
 
-TEST_F(RaceTest, BudgetEditedMidWaveStopsATakeDecidedBefore) {
+TEST_F(RaceTest, BudgetEditStopsADrainDecidedBeforeIt) {
   m_world.Accept(fake::MakeDocument({.pools = 2, .hosts = 6, .max_out = 0}, 2));
   m_first.Tick("p0", std::nullopt);
   EXPECT_TRUE(m_world.Pool("p0").out.empty());
-  ExpectPromisesKept(m_world);
+  ExpectInvariantsHold(m_world);
 }
 
-TEST_F(RaceTest, OldDocumentTakesNothingOnceANewerOneIsAccepted) {
+TEST_F(RaceTest, OutdatedDocumentDrainsNothing) {
   const auto old = m_world.document;
   m_world.Accept(fake::MakeDocument({.pools = 2, .hosts = 6, .max_out = 0}, 2));
   ASSERT_TRUE(m_first.Refresh(old));
@@ -103,24 +103,24 @@
   EXPECT_FALSE(m_first.DrainHost("p0-h0", "anna", {}));
 }
 
-TEST_F(RaceTest, FailureThatCommitsFirstComesOffTheBudget) {
+TEST_F(RaceTest, FailureThatCommitsFirstUsesTheBudget) {
   m_world.machines.Fail("p0-h3");
   m_world.clock.Advance(seconds(10));
-  m_second.Tick("p0", std::nullopt);  // Notes the failure.
-  m_first.Tick("p0", std::nullopt);   // Decided from the rows before it.
+  m_second.Tick("p0", std::nullopt);  // Records the failure.
+  m_first.Tick("p0", std::nullopt);   // Decides from the rows before that.
   EXPECT_EQ(CountOut("p0"), 1U);
   EXPECT_EQ(m_world.Host("p0-h3").state, HostState::kFailed);
-  ExpectPromisesKept(m_world);
+  ExpectInvariantsHold(m_world);
 }
 
-TEST_F(RaceTest, HostThatIsNotKnownToBeUpComesOffTheBudget) {
+TEST_F(RaceTest, UnresponsiveHostUsesTheBudget) {
   m_world.machines.silent = {"p0-h5"};
   m_world.clock.Advance(seconds(10));
   m_first.Tick("p0", std::nullopt);
   EXPECT_TRUE(m_world.Pool("p0").out.empty());
 }
 
-TEST_F(RaceTest, FailureAfterTheTakeGivesTheDrainingHostBack) {
+TEST_F(RaceTest, FailureDuringADrainUndrainsTheHost) {
   MakeAllBusy();
   m_first.Tick("p0", std::nullopt);
   ASSERT_EQ(m_world.Pool("p0").out.size(), 1U);
@@ -147,10 +147,10 @@
   m_world.RunWave(m_first, seconds(3000));
   EXPECT_EQ(m_world.Host("p0-h5").pool, "p1");
   EXPECT_EQ(m_world.Wave().state, WaveState::kFinished);
-  ExpectPromisesKept(m_world);
+  ExpectInvariantsHold(m_world);
 }
 
-TEST_F(RaceTest, PausedOwnerWritesNothingPastItsFence) {
+TEST_F(RaceTest, PausedOwnerIsRejectedByItsFencingToken) {
   auto& rows = m_world.table.Rows();
   ASSERT_TRUE(rows.Apply({"lease-1", {}, {{"lease/p0", "control-1"}}}));
   const platform::Precondition fence{"lease/p0", 1};
@@ -161,7 +161,7 @@
   EXPECT_EQ(m_world.Pool("p0").out.size(), 1U);
 }
 
-TEST_F(RaceTest, HaltStopsARebootDecidedBefore) {
+TEST_F(RaceTest, PauseStopsARebootDecidedBeforeIt) {
   MakeAllBusy();
   m_first.Tick("p0", std::nullopt);
   ASSERT_EQ(m_world.Host("p0-h0").state, HostState::kDraining);
@@ -172,7 +172,7 @@
   EXPECT_TRUE(m_world.machines.reboots.empty());
 }
 
-TEST_F(RaceTest, PauseStopsATakeDecidedBefore) {
+TEST_F(RaceTest, PauseStopsADrainDecidedBeforeIt) {
   ASSERT_TRUE(m_second.ApplyWaveAction("wave", "anna", WaveAction::kPause, {}));
   m_first.Tick("p0", std::nullopt);
   EXPECT_EQ(CountOut("p0"), 0U);
@@ -185,13 +185,13 @@
   EXPECT_EQ(m_world.machines.reboots["p0-h0"], 1U);
 }
 
-TEST(MembershipTest, EditListAndMoveAtOnceLeaveAHostInOnePool) {
+TEST(MembershipTest, ConcurrentEditAndMoveLeaveAHostInOnePool) {
   fake::World world(
       fake::MakeDocument({.pools = 3, .hosts = 4, .spare = true}));
   Reconciler first = world.MakeReconciler("control-1", 1);
   Reconciler second = world.MakeReconciler("control-2", 2);
   world.Round(first);
-  // The spare lends a host to p0 while the document gives that host to p1.
+  // The spare pool's host replaces one of p0 while the document moves it to p1.
   world.machines.Fail("p0-h0");
   for (int i = 0; i < 320; ++i) {
     world.Round(first);
@@ -215,7 +215,7 @@
   for (int host = 0; host < 4; ++host) {
     EXPECT_EQ(world.Host(fmt::format("p2-h{}", host)).pool, "p1");
   }
-  ExpectPromisesKept(world);
+  ExpectInvariantsHold(world);
 }
 
 TEST(MembershipTest, TwoOwnersWithDifferentDocumentsAddAHostOnce) {
@@ -229,7 +229,7 @@
   first.Tick("p0", std::nullopt);
   second.Tick("p1", std::nullopt);
   EXPECT_EQ(world.Host("p0-h0").pool, "p0");
-  ExpectPromisesKept(world);
+  ExpectInvariantsHold(world);
 }
 
 TEST(MembershipTest, HostThatLeftTheDocumentIsDrainedBeforeItsRowGoes) {
@@ -262,7 +262,7 @@
   EXPECT_TRUE(world.Pool("p0").out.empty());
 }
 
-TEST(OutageTest, StoreOutageMidWaveStopsAndGoesOn) {
+TEST(OutageTest, StoreOutagePausesAWaveThatThenFinishes) {
   fake::World world(fake::MakeDocument({.pools = 2, .hosts = 6}));
   Reconciler reconciler = world.MakeReconciler("control-1", 1);
   world.Start(reconciler);
@@ -277,10 +277,10 @@
   world.table.down = false;
   world.RunWave(reconciler, seconds(3000));
   EXPECT_EQ(world.Wave().state, WaveState::kFinished);
-  ExpectPromisesKept(world);
+  ExpectInvariantsHold(world);
 }
 
-TEST(OutageTest, MachineServiceOutageTakesAndFailsNothing) {
+TEST(OutageTest, MachineServiceOutageDrainsAndFailsNothing) {
   fake::World world(fake::MakeDocument({.hosts = 6}));
   Reconciler reconciler = world.MakeReconciler("control-1", 1);
   world.Start(reconciler);
--- a/src/cassiastile/fleet/wave_test.cpp
+++ b/src/cassiastile/fleet/wave_test.cpp
@@ -63,7 +63,7 @@
   EXPECT_EQ(world.machines.reboots.size(), 1U);
 }
 
-TEST(WaveTest, CorrelatedFailuresHaltItWithEvidence) {
+TEST(WaveTest, CorrelatedFailuresHaltTheWaveWithEvidence) {
   fake::World world(fake::MakeDocument({.hosts = 9, .max_out = 3}));
   world.machines.stuck = {"p0-h0", "p0-h1"};
   Reconciler reconciler = world.MakeReconciler("control-1", 1);
@@ -73,13 +73,13 @@
   EXPECT_EQ(wave.state, WaveState::kHalted);
   ASSERT_EQ(wave.failures.size(), 2U);
   EXPECT_NE(wave.failures[0].evidence.find("not back"), std::string::npos);
-  // Nothing that still drained when it halted was rebooted.
+  // Hosts that were still draining at the halt were undrained, not rebooted.
   for (const auto& [host, stored] : world.table.State().hosts) {
     EXPECT_NE(stored.record.state, HostState::kDraining) << host;
   }
 }
 
-TEST(WaveTest, HostsThatFailSoonAfterTheirReturnHaltItToo) {
+TEST(WaveTest, HostsThatFailSoonAfterTheirReturnHaltTheWave) {
   fake::World world(fake::MakeDocument({.hosts = 9, .max_out = 3}));
   Reconciler reconciler = world.MakeReconciler("control-1", 1);
   world.Start(reconciler);
@@ -110,7 +110,7 @@
   EXPECT_EQ(world.Wave().detail, "7 of 9 hosts done, 2 left out");
 }
 
-TEST(WaveTest, AbortGivesBackWhatStillDrains) {
+TEST(WaveTest, AbortUndrainsDrainingHosts) {
   fake::World world(fake::MakeDocument({.hosts = 6}));
   for (int host = 0; host < 6; ++host) {
     world.work.work[fmt::format("p0-h{}", host)].running = 1;
@@ -127,7 +127,7 @@
   EXPECT_TRUE(world.machines.reboots.empty());
 }
 
-TEST(WaveTest, PauseTakesNoMoreAndFinishesWhatIsOut) {
+TEST(WaveTest, PauseDrainsNoMoreHostsAndFinishesThoseOut) {
   fake::World world(fake::MakeDocument({.hosts = 6}));
   Reconciler reconciler = world.MakeReconciler("control-1", 1);
   world.Start(reconciler);
@@ -140,7 +140,7 @@
   EXPECT_TRUE(world.Pool("p0").out.empty());
 }
 
-TEST(WaveTest, WorkPastTheDeadlineIsNamedAndNotCut) {
+TEST(WaveTest, WorkPastTheDeadlineIsReportedAndNotStopped) {
   fake::World world(fake::MakeDocument({.hosts = 2, .max_out = 1}));
   world.document->fleet.waves[0].drain_deadline = seconds(30);
   world.work.work["p0-h0"] = {2, 1, minutes(5)};
@@ -156,7 +156,7 @@
   EXPECT_TRUE(world.work.asked.contains("p0-h0"));
 }
 
-TEST(WaveTest, WorkPastTheDeadlineIsCutWhereTheDocumentSaysSo) {
+TEST(WaveTest, WorkPastTheDeadlineIsStoppedWhenConfigured) {
   fake::World world(fake::MakeDocument({.hosts = 2, .max_out = 1}));
   world.document->fleet.waves[0].drain_deadline = seconds(30);
   world.document->fleet.waves[0].cut_at_deadline = true;
@@ -173,7 +173,7 @@
   EXPECT_TRUE(told);
 }
 
-TEST(WaveTest, LeastDisturbedHostsGoFirst) {
+TEST(WaveTest, HostsWithTheLeastWorkGoFirst) {
   fake::World world(fake::MakeDocument({.hosts = 3, .parallel = 1}));
   world.work.work["p0-h0"] = {3, 3, minutes(9)};
   world.work.work["p0-h1"] = {1, 0, minutes(1)};
@@ -196,7 +196,7 @@
   Reconciler first = world.MakeReconciler("control-1", 1);
   Reconciler second = world.MakeReconciler("control-2", 2);
   world.Start(first);
-  // Each owns one pool, and both decide from the same rows.
+  // Each process owns one pool, and both decide from the same rows.
   ASSERT_TRUE(first.Refresh(world.document));
   ASSERT_TRUE(second.Refresh(world.document));
   first.Tick("p0", std::nullopt);
@@ -204,7 +204,7 @@
   EXPECT_EQ(world.Pool("p0").out.size() + world.Pool("p1").out.size(), 1U);
 }
 
-TEST(WaveTest, ClosedWindowTakesNothing) {
+TEST(WaveTest, ClosedWindowDrainsNothing) {
   fake::World world(fake::MakeDocument({.hosts = 3}));
   world.document->fleet.waves[0].window = {60, 120};
   Reconciler reconciler = world.MakeReconciler("control-1", 1);
@@ -216,7 +216,7 @@
   EXPECT_EQ(world.Pool("p0").out.size(), 2U);
 }
 
-TEST(WaveTest, TakeSaysWhyThisHostAndWhyNotTheOthers) {
+TEST(WaveTest, DecisionExplainsWhyThisHostAndNotTheOthers) {
   fake::World world(fake::MakeDocument({.hosts = 3, .max_out = 1}));
   Reconciler reconciler = world.MakeReconciler("control-1", 1);
   world.Start(reconciler);
@@ -245,7 +245,7 @@
   EXPECT_GT(world.clock.WallNow(), *forecast.finish - seconds(90));
 }
 
-TEST(WaveTest, ForecastNamesNoDateWhileTheBudgetIsUsedUp) {
+TEST(WaveTest, ForecastHasNoDateWhileTheBudgetIsUsedUp) {
   const PoolWaveProgress pool{.total = 5, .max_out = 1, .failed = 1};
   const WaveForecast forecast =
       ForecastWave({}, {pool}, seconds(60), true, base::WallTime{});
