--- a/include/cassiastile/work/admission.hpp
+++ b/include/cassiastile/work/admission.hpp
@@ -16,93 +16,100 @@
 
 namespace cassiastile::work {
 
+// Settings of an AdmissionQueue.
 struct AdmissionOptions {
   std::size_t queue_limit = 512;
-  // How many requests a team's urgent ones may go ahead of its share.
+  // By how many requests a team's urgent ones may run ahead of its fair share.
   double urgent_lead = 16;
-  // How long a request may wait when nothing can be started at all.
+  // How long after its arrival a request may wait while no slot or team grant
+  // is available at all.
   std::chrono::milliseconds patience{1000};
-  // The part of a request's remaining time that its wait may be put at when it
-  // arrives, and while it waits.
+  // The fraction of a request's remaining time, less the service time, that its
+  // expected wait may take: on arrival, and while it is queued.
   double admit_fraction = 0.5;
   double keep_fraction = 0.9;
   std::chrono::milliseconds min_retry_after{1000};
   std::chrono::milliseconds max_retry_after{30000};
 };
 
-// What a team may take of this host.
+// A team's weight and concurrency limit on this host.
 struct TeamQuota {
   std::uint32_t weight = 1;
-  // Requests that may run at once; nothing where the team has no limit.
+  // The most requests that may run at once; unset when the team has no limit.
   std::optional<std::uint32_t> granted;
 };
 
-// How fast this host can start requests at present.
+// The rate at which this host can currently start requests.
 struct ServiceRate {
   std::uint32_t slots = 0;  // Granted to this host on usable runners.
   base::Duration service_time{};
 };
 
+// A request that was refused, and why.
 struct Refusal {
   RequestTicket ticket;
   NotRun not_run;
 };
 
-// The requests that wait on this host for one service: bounded, urgent first,
-// fair among teams by weight (start-time fair queuing), refusing early what
-// would be answered too late.
+// The queue of one service on this host: bounded, urgent requests first,
+// weighted fair among teams (start-time fair queuing). Refuses early what would
+// miss its deadline.
 class AdmissionQueue {
  public:
   explicit AdmissionQueue(AdmissionOptions options);
 
-  void SetQuota(const std::string& team, TeamQuota terms);
-  // A team that no terms were set for has weight one and no limit.
+  void SetQuota(const std::string& team, TeamQuota quota);
+  // A team without a quota has weight one and no limit.
   const TeamQuota& QuotaOf(const std::string& team) const;
 
-  // Takes in a request. The refusals are of this one or, when the queue is
-  // full, of one from the team that takes up most of it.
+  // Queues a request. Returns the refusals this caused: of the request itself
+  // or, when the queue is full, of the newest normal request of the team with
+  // the most queued per weight.
   std::vector<Refusal> Offer(const RequestTicket& ticket,
                              const ServiceRate& rate,
                              base::TimePoint now,
                              base::Random& random);
 
-  // Why a request offered now would be refused, or nothing.
+  // The reason why a request offered now would be refused, or nothing.
   std::optional<RefusalReason> Preview(const RequestTicket& ticket,
                                        const ServiceRate& rate,
                                        base::TimePoint now) const;
 
-  // Takes out the request that is next by its team's share, and counts it as
-  // running; nothing when none may start.
+  // Removes the next request in fair-share order and counts it as running.
+  // Nothing when no request may start.
   std::optional<RequestTicket> TakeNext();
 
-  // Counts one more try of a request already taken out, if its team may run
-  // one more.
+  // Counts one more try of a dequeued request as running.
+  // Returns false when its team is at its limit.
   bool StartRetry(const std::string& team);
 
-  // A try counted as running has ended after `cost` times the usual service
-  // time, which its team is charged.
+  // Ends a try that was counted as running. `cost` is its duration in units of
+  // the average service time; its team is charged for it.
   void Release(const std::string& team, double cost);
 
-  // Takes out and refuses what can't be answered before its deadline any more.
+  // Removes and refuses queued requests that can no longer be answered before
+  // their deadline.
   std::vector<Refusal> RefuseLate(const ServiceRate& rate,
                                   base::TimePoint now,
                                   base::Random& random);
 
-  // Takes out and refuses what fits the condition.
+  // Removes and refuses the queued requests that satisfy the condition.
   using Condition = std::function<bool(const RequestTicket&)>;
   std::vector<Refusal> RefuseMatching(const Condition& condition,
                                       RefusalReason reason,
                                       const ServiceRate& rate,
                                       base::Random& random);
 
-  // When a caller that is refused should come back: after the queue has
-  // drained, spread so that callers don't come back together.
+  // Draws the time after which a refused caller should retry: about when the
+  // queue has drained, with jitter so that callers don't retry at the same
+  // time.
   base::Duration DrawRetryAfter(const ServiceRate& rate,
                                 base::Random& random) const;
 
   std::size_t Size() const { return m_size; }
   std::uint32_t Running() const { return m_running; }
 
+  // A team's queued and running requests.
   struct TeamCount {
     std::uint32_t queued = 0;
     std::uint32_t running = 0;
@@ -112,7 +119,7 @@
 
  private:
   struct TeamQueue {
-    TeamQuota terms;
+    TeamQuota quota;
     std::deque<RequestTicket> urgent;
     std::deque<RequestTicket> normal;
     std::uint32_t running = 0;
@@ -128,19 +135,19 @@
   double ExpectedWait(const TeamQueue& team,
                       std::size_t ahead,
                       const ServiceRate& rate) const;
-  std::optional<RefusalReason> FindObjection(const TeamQueue& team,
-                                             std::size_t ahead,
-                                             const RequestTicket& ticket,
-                                             const ServiceRate& rate,
-                                             base::TimePoint now,
-                                             double part) const;
+  std::optional<RefusalReason> FindRefusalReason(const TeamQueue& team,
+                                                 std::size_t ahead,
+                                                 const RequestTicket& ticket,
+                                                 const ServiceRate& rate,
+                                                 base::TimePoint now,
+                                                 double part) const;
   Refusal Refuse(const RequestTicket& ticket,
                  RefusalReason reason,
                  const ServiceRate& rate,
                  base::Random& random) const;
-  Refusal PushOut(TeamQueue& team,
-                  const ServiceRate& rate,
-                  base::Random& random);
+  Refusal EvictNewest(TeamQueue& team,
+                      const ServiceRate& rate,
+                      base::Random& random);
 
   AdmissionOptions m_options;
   std::map<std::string, TeamQueue> m_teams;
@@ -149,20 +156,21 @@
   double m_virtual_time = 0;
 };
 
-// Keeps retries to a part of what is answered.
+// Token bucket that limits retries to a fraction of the answers.
 class RetryBudget {
  public:
-  // Each answer earns `part` of a retry, up to `most` of them.
+  // Each answer adds `part` of a token, up to `most` tokens. The bucket starts
+  // full.
   RetryBudget(double part, double most);
 
   void Earn();
   bool HasToken() const { return m_tokens >= 1; }
-  // Spends one retry; false when there is none.
+  // Spends one token; returns false when there is none.
   bool Spend();
 
  private:
-  double m_part;
-  double m_most;
+  double m_tokens_per_answer;
+  double m_max_tokens;
   double m_tokens;
 };
 
--- a/include/cassiastile/work/claim.hpp
+++ b/include/cassiastile/work/claim.hpp
@@ -13,49 +13,52 @@
 
 namespace cassiastile::work {
 
-// How far a request with an idempotency key has come.
+// State of a request that carries an idempotency key.
 enum class ClaimState : std::uint8_t {
   kClaimed,   // It may be running.
-  kAnswered,  // Its answer is kept.
-  kRan,       // It ran to its end; the answer was too large to be kept.
-  kUnknown,   // It may have run; nobody works on it any more.
+  kAnswered,  // Its answer is stored.
+  kRan,       // It ran to completion; its answer was too large to store.
+  kUnknown,   // It may have run; no host works on it any more.
 };
 
 std::string_view NameOf(ClaimState state);
 
-// The row that a request with an idempotency key leaves in the table before it
-// is sent, so that a retry at any host finds it.
+// The row that is written for an idempotency key before its request is sent, so
+// that a retry at any host finds it.
 struct Claim {
-  std::string fingerprint;  // Of the request's content.
-  std::string holder;       // The host that runs it.
+  std::string fingerprint;  // Digest of the request's content.
+  std::string holder;       // The host that sends it to a runner.
   std::string nonce;        // Tells this claim from others for the same key.
   ClaimState state = ClaimState::kClaimed;
   base::WallTime claimed_at{};
-  wire::HttpResponse answer;  // Where it is kept.
+  wire::HttpResponse answer;  // Only in state kAnswered.
 };
 
-// The longest body of an answer that is kept for retries.
+// The largest answer body, in bytes, that is stored for retries.
 inline constexpr std::size_t kMaxKeptAnswerBytes = 64U << 10U;
 
-// Whether a caller's key may name a claim: 1 to 128 letters, digits or any of
-// "._:-".
+// Whether a caller's idempotency key is valid: 1 to 128 characters, each a
+// letter, a digit or one of "._:-".
 bool IsValidIdempotencyKey(std::string_view key);
 
-// The row's key in the table.
+// The claim's row key in the table.
 std::string ClaimKey(const std::string& team, const std::string& key);
 
-// A digest of what makes two requests the same.
+// A digest over the service and the request's method, path, query and body.
+// Requests with the same digest are treated as the same request.
 std::string FingerprintOf(const std::string& service,
                           const wire::HttpRequest& request);
 
 std::string FormatClaim(const Claim& claim);
+// kInvalid when the text is not a claim.
 base::Result<Claim> ParseClaim(const std::string& text);
 
-// How a retry ends that found this claim.
+// The outcome of a retry that found this claim. kKeyReused when the
+// fingerprints differ.
 Outcome OutcomeOfRetry(const Claim& claim, const std::string& fingerprint);
 
-// The claim after its request has ended, or nothing when the request did not
-// run and the key is free again.
+// The claim to store once its request has ended. Nothing when the request did
+// not run and the claim is to be deleted.
 std::optional<Claim> EndClaim(const Claim& claim, const Outcome& outcome);
 
 }  // namespace cassiastile::work
--- a/include/cassiastile/work/credit_rows.hpp
+++ b/include/cassiastile/work/credit_rows.hpp
@@ -10,8 +10,8 @@
 
 namespace cassiastile::work {
 
-// What a row of the table under "ledger/" holds: a ledger for each resource,
-// by the name of a runner or a team.
+// The content of a table row under "ledger/": one ledger per resource, keyed by
+// the name of a runner or a team.
 using LedgerRow = std::map<std::string, Ledger>;
 
 void to_json(nlohmann::json& json, const Holding& holding);
@@ -19,19 +19,19 @@
 void to_json(nlohmann::json& json, const Ledger& ledger);
 void from_json(const nlohmann::json& json, Ledger& ledger);
 
-// The row's value as text.
+// Serializes a row's value.
 std::string FormatLedgerRow(const LedgerRow& row);
 
-// Reads a row's value; kInvalid when it does not hold ledgers.
+// Parses a row's value. kInvalid when the text is not a map of ledgers.
 base::Result<LedgerRow> ParseLedgerRow(const std::string& text);
 
-// The key of the row for the slots of a service's runners.
+// The row key of the ledgers for the slots of a service's runners.
 std::string SlotsLedgerKey(const std::string& service);
 
-// The key of the row for the teams' limits on requests.
+// The row key of the ledgers for the teams' limits on running requests.
 std::string RequestsLedgerKey();
 
-// The key of the row for the teams' limits on tasks.
+// The row key of the ledgers for the teams' limits on running tasks.
 std::string TasksLedgerKey();
 
 }  // namespace cassiastile::work
--- a/include/cassiastile/work/request.hpp
+++ b/include/cassiastile/work/request.hpp
@@ -13,73 +13,74 @@
 
 using RequestId = std::uint64_t;
 
-// What routing and admission need to know of a caller's request.
+// The properties of a caller's request that routing and admission need.
 struct RequestTicket {
   RequestId id = 0;
-  std::string team;         // Empty where no key came with it.
-  std::string key_id;       // The key it came with; empty where none did.
-  bool urgent = false;      // Goes before the others, within bounds.
-  bool idempotent = false;  // May be sent again after it may have run.
+  std::string team;         // Empty when the request has no API key.
+  std::string key_id;       // Its API key; empty when it has none.
+  bool urgent = false;      // Served before others, within bounds.
+  bool idempotent = false;  // May be sent again although it may have run.
   base::TimePoint arrived{};
   base::TimePoint deadline{};
 };
 
-// Why a request was refused before its work began.
+// Why a request was refused without being run.
 enum class RefusalReason : std::uint8_t {
-  kQueueFull,           // The queue's bound is reached.
-  kWaitTooLong,         // It would not be answered before its deadline.
-  kTeamLimit,           // The team runs as much as it may.
-  kNoRunner,            // No runner can take it.
+  kQueueFull,           // The queue's limit is reached.
+  kWaitTooLong,         // It would miss its deadline.
+  kTeamLimit,           // The team is at its concurrency limit.
+  kNoRunner,            // No runner is available.
   kUnreachable,         // The runner could not be connected to.
   kClaimFailed,         // Its idempotency key could not be claimed.
-  kStaleConfiguration,  // This host can't tell which keys are in force.
-  kUnknownKey,          // No such key, or it was withdrawn.
-  kNoSuchService,       // The document has no such service.
-  kTooLarge,            // A limit on the request's size is broken.
-  kMalformed,           // A header can't be understood.
-  kKeyReused,           // The idempotency key came with another request before.
+  kStaleConfiguration,  // The host's set of valid keys may be outdated.
+  kUnknownKey,          // No such API key, or it was revoked.
+  kNoSuchService,       // The configuration has no such service.
+  kTooLarge,            // It exceeds a size limit.
+  kMalformed,           // A header is malformed.
+  kKeyReused,           // The key was used for a different request.
   kStopping,            // This host is shutting down.
 };
 
 std::string_view NameOf(RefusalReason reason);
 
-// The work did not run and will not.
+// The request did not run and will not.
 struct NotRun {
   RefusalReason reason = RefusalReason::kNoRunner;
-  base::Duration retry_after{};  // Zero where a retry would not help.
+  base::Duration retry_after{};  // Zero when a retry would not help.
   std::string detail;
 };
 
-// Why it is not known whether a request's work was done.
+// Why it is unknown whether a request ran.
 enum class UnknownReason : std::uint8_t {
   kTimeout,      // The deadline passed after it was sent.
-  kBroken,       // The answer was cut, malformed or never came.
+  kBroken,       // The answer was truncated, malformed or missing.
   kCrossed,      // The answer belongs to another request.
-  kStillRunning  // Another host may still be running it under the same key.
+  kStillRunning  // Another host may be running it under the same key.
 };
 
 std::string_view NameOf(UnknownReason reason);
 
-// The work may have run.
+// The request may have run.
 struct MaybeRan {
   UnknownReason reason = UnknownReason::kBroken;
-  std::string runner;  // Where it was last sent; may be empty.
+  std::string runner;  // The last runner tried; may be empty.
 };
 
-// The runner's own whole answer.
+// A complete answer from the runner.
 struct Answered {
   wire::HttpResponse response;
   std::string runner;
 };
 
-// How a request ended. The three are never mixed up: each has its own type
-// here, and its own status and `execution` towards the caller.
+// How a request ended. Callers can always tell the three cases apart: each has
+// its own type here, and its own status and `execution` value in the response.
 using Outcome = std::variant<Answered, NotRun, MaybeRan>;
 
-// What the caller is told about the execution.
+// The execution state reported to the caller.
 wire::Execution ExecutionOf(const Outcome& outcome);
 
-// The answer for the caller, with `decision_id` in refusals.
+// The HTTP response for the caller. Refusals and unknown outcomes carry
+// `decision_id`.
 wire::HttpResponse MakeResponse(const Outcome& outcome,
                                 const std::string& decision_id);
 
--- a/include/cassiastile/work/request_dispatcher.hpp
+++ b/include/cassiastile/work/request_dispatcher.hpp
@@ -21,23 +21,23 @@
 
 using TryId = std::uint64_t;
 
-// Send the request to the runner and report how that ended.
+// Send the request to the runner, then report the result with EndTry.
 struct SendTry {
   TryId try_id = 0;
   RequestId request_id = 0;
   std::string runner;
   std::string address;
-  base::Duration timeout{};  // The runner is told that it must stop then.
+  base::Duration timeout{};  // The runner must stop after this time.
   bool fresh_connection = false;
 };
 
-// Ask the runner for its health and report it.
+// Send a health check to the runner, then report the result with EndProbe.
 struct SendProbe {
   std::string runner;
   std::string address;
 };
 
-// Answer the caller. There is exactly one for each request.
+// Answer the caller. Issued exactly once for each request.
 struct FinishRequest {
   RequestTicket ticket;
   Outcome outcome;
@@ -46,23 +46,25 @@
 using RequestAction = std::variant<SendTry, SendProbe, FinishRequest>;
 using RequestActions = std::vector<RequestAction>;
 
+// Settings of a RequestDispatcher.
 struct DispatcherOptions {
   RoutingOptions routing;
   AdmissionOptions admission;
   std::uint32_t max_tries = 3;
-  double retries_per_answer = 0.1;  // Retries earned by an answer.
+  double retries_per_answer = 0.1;  // Retry tokens earned per answer.
   double retry_burst = 10;
-  // After the time that a runner was told to stop by, a slot whose request was
-  // lost is held for this long.
+  // How long a lost request's slot stays occupied after the time at which its
+  // runner was told to stop.
   std::chrono::milliseconds stop_margin{200};
-  // A process that stood still for longer may have lost its slots to others.
+  // After a longer pause of this process its slots may have been granted to
+  // others.
   std::chrono::seconds longest_pause{5};
-  // How long no kept connection to a runner is used after a request to it went
-  // without an answer for too long.
+  // How long connections to a runner are not reused after a request to it
+  // exceeded its silence limit.
   std::chrono::seconds fresh_connection_period{15};
 };
 
-// A runner as it is listed.
+// A runner as it appears in the list of runners.
 struct ListedRunner {
   std::string name;
   std::string address;
@@ -71,15 +73,15 @@
   bool leaving = false;
 };
 
-// The most that was wanted at once since it was last asked for.
+// The highest demand since it was last taken.
 struct Demand {
-  std::uint32_t requests = 0;                    // Running and waiting.
-  std::map<std::string, std::uint32_t> by_team;  // Likewise.
+  std::uint32_t requests = 0;                    // Running and queued.
+  std::map<std::string, std::uint32_t> by_team;  // Running and queued, by team.
 };
 
-// Decides on all requests for one service at one entry host: which may wait,
-// which goes to which runner, which is sent again, and how each ends. Pure:
-// what happens comes in with the time, and what is to be done goes out.
+// Schedules all requests of one service on one entry host: which are queued,
+// which runner each is sent to, which are retried, and how each ends. Does no
+// I/O and reads no clock: events come in with the time, and actions go out.
 class RequestDispatcher {
  public:
   RequestDispatcher(DispatcherOptions options, std::uint64_t seed);
@@ -89,19 +91,21 @@
   RequestActions EndProbe(const std::string& runner,
                           bool healthy,
                           base::TimePoint now);
-  // To be called every few tens of milliseconds.
+  // Handles timeouts, probes and hedging. Must be called every few tens of
+  // milliseconds.
   RequestActions Tick(base::TimePoint now);
 
-  // Takes in the list. Runners that are no longer listed get nothing new.
+  // Updates the list of runners. Runners that are no longer listed get no new
+  // requests.
   RequestActions SetRunners(const std::vector<ListedRunner>& listed,
                             base::TimePoint now);
-  // Sets the slots granted to this host, by runner, as they were read from a
-  // time on. They are used from the next event. After a pause of this process
-  // nothing is sent until slots were read anew.
+  // Sets the slots granted to this host, by runner, as read at `read_at`. They
+  // take effect with the next event. After a pause of this process nothing is
+  // sent until slots were read again.
   void SetSlots(const std::map<std::string, std::uint32_t>& granted,
                 base::TimePoint read_at);
-  void SetQuota(const std::map<std::string, TeamQuota>& terms);
-  // Refuses what waits under a key that is none of these.
+  void SetQuota(const std::map<std::string, TeamQuota>& quota);
+  // Refuses queued requests whose API key is not among the valid ones.
   RequestActions RefuseInvalidKeys(const std::set<std::string>& valid_keys,
                                    RefusalReason reason);
 
@@ -119,26 +123,28 @@
   bool Paused() const { return m_paused; }
 
  private:
+  // One try of a request at one runner.
   struct Try {
     RequestId request_id = 0;
     std::string team;
     std::string runner;
     base::TimePoint sent{};
-    base::TimePoint stop{};  // When the runner must have stopped.
-    bool hedged = false;     // Another try was started for it.
+    base::TimePoint stop{};  // The runner must have stopped by then.
+    // Overdue; a hedge was already considered.
+    bool hedged = false;
   };
 
-  // A request that was taken from the queue and is not answered yet.
+  // A request that was dequeued and is not yet answered.
   struct Flight {
     RequestTicket ticket;
     std::vector<std::string> tried;
-    std::uint32_t active = 0;  // Tries under way.
-    bool waiting = false;      // For a slot to be tried again.
+    std::uint32_t active = 0;  // Tries in progress.
+    bool waiting = false;      // Queued for a retry.
     bool maybe_ran = false;
-    UnknownReason doubt = UnknownReason::kBroken;
+    UnknownReason unknown_reason = UnknownReason::kBroken;
   };
 
-  // A slot whose request may still be running at the runner.
+  // A slot whose lost request may still be running on the runner.
   struct HeldSlot {
     std::string runner;
     std::string team;
@@ -152,23 +158,23 @@
   bool HasFreeSlot() const;
   void Dispatch(base::TimePoint now, RequestActions& actions);
   void DispatchRetries(base::TimePoint now, RequestActions& actions);
-  bool HasUntried(const Flight& flight) const;
+  bool HasUntriedRunner(const Flight& flight) const;
   void Send(Flight& flight,
             std::size_t runner,
             base::TimePoint now,
             RequestActions& actions);
-  void TakeAnswer(const Try& ended,
-                  TryAnswered answer,
+  void HandleAnswer(const Try& ended,
+                    TryAnswered answer,
+                    base::TimePoint now,
+                    RequestActions& actions);
+  void HandleNotSent(const Try& ended,
+                     base::TimePoint now,
+                     RequestActions& actions);
+  void HandleLost(const Try& ended,
+                  const TryLost& loss,
                   base::TimePoint now,
                   RequestActions& actions);
-  void TakeNotSent(const Try& ended,
-                   base::TimePoint now,
-                   RequestActions& actions);
-  void TakeLoss(const Try& ended,
-                const TryLost& loss,
-                base::TimePoint now,
-                RequestActions& actions);
-  bool MayTryAgain(const Flight& flight, base::TimePoint now);
+  bool CanRetry(const Flight& flight, base::TimePoint now);
   void Retry(Flight& flight);
   void Finish(Flights::iterator flight,
               Outcome outcome,
@@ -182,7 +188,7 @@
                    double cost);
   void RecordFailureAt(const std::string& runner, base::TimePoint now);
   void NoteDemand(const std::string& team);
-  void NoteTime(base::TimePoint now);
+  void DetectPause(base::TimePoint now);
   static void Refuse(std::vector<Refusal> refusals, RequestActions& actions);
 
   DispatcherOptions m_options;
@@ -193,12 +199,12 @@
   Flights m_flights;
   std::map<TryId, Try> m_tries;
   std::deque<RequestId> m_retries;
-  std::vector<HeldSlot> m_held;
+  std::vector<HeldSlot> m_held_slots;
   base::Duration m_service_time;
   TryId m_next_try = 1;
-  base::TimePoint m_last_seen{};  // When anything last came in.
-  bool m_paused = false;          // Slots may have been taken away since.
-  base::TimePoint m_paused_at{};  // When that was noticed.
+  base::TimePoint m_last_seen{};  // Time of the latest event.
+  bool m_paused = false;          // Slots may have been revoked since.
+  base::TimePoint m_paused_at{};  // When the pause was detected.
   Demand m_demand;
 };
 
--- a/include/cassiastile/work/request_try.hpp
+++ b/include/cassiastile/work/request_try.hpp
@@ -9,22 +9,22 @@
 
 namespace cassiastile::work {
 
-// Names a request on its way to the runner and back.
+// Identifies a request; the runner echoes it in its answer.
 inline constexpr std::string_view kRequestIdHeader = "X-Request-Id";
 
-// How long, in milliseconds, the caller waits for an answer; towards a runner,
-// after how long it must have stopped working on the request.
+// In milliseconds: how long the caller waits for an answer or, in a request to
+// a runner, after how long the runner must have stopped working on it.
 inline constexpr std::string_view kTimeoutHeader = "Request-Timeout-Ms";
 
-// A whole answer to this very request.
+// A complete answer to this request.
 struct TryAnswered {
   wire::HttpResponse response;
 };
 
-// No byte reached the runner.
+// No byte of the request reached the runner.
 struct TryNotSent {};
 
-// The request may have reached the runner and no whole answer came.
+// The request may have reached the runner, but no complete answer came.
 struct TryLost {
   UnknownReason reason = UnknownReason::kBroken;
 };
@@ -32,8 +32,9 @@
 // How one try at one runner ended.
 using TryResult = std::variant<TryAnswered, TryNotSent, TryLost>;
 
-// Judges what came back: an answer counts only when its end was marked and it
-// names the request that was sent, where it names one.
+// Classifies the result of a try. An answer counts only when its end was framed
+// (by length or chunks) and its request id, where present, is that of the
+// request sent.
 TryResult ClassifyTry(wire::HttpOutcome outcome, const std::string& request_id);
 
 }  // namespace cassiastile::work
--- a/include/cassiastile/work/runner.hpp
+++ b/include/cassiastile/work/runner.hpp
@@ -8,14 +8,14 @@
 
 namespace cassiastile::work {
 
-// Whether a runner is given work.
+// Whether a runner gets requests.
 enum class RunnerHealth : std::uint8_t {
   kHealthy,
-  kEjected,  // Gets nothing until its time is over.
-  kProbing,  // Gets a health check; work once that succeeds.
+  kEjected,  // Gets no requests until ejected_until.
+  kProbing,  // Gets requests once a health check succeeds.
 };
 
-// A backend server as this entry host knows it.
+// A backend server as seen by this entry host.
 struct Runner {
   std::string name;
   std::string address;  // IP:PORT.
@@ -24,17 +24,17 @@
   bool leaving = false;  // Listed as leaving, or no longer listed.
 
   std::uint32_t granted = 0;  // Slots granted to this host.
-  std::uint32_t in_use = 0;   // Of these, taken or still in doubt.
+  std::uint32_t in_use = 0;   // Of these, occupied or possibly occupied.
 
-  base::Duration latency{};    // Moving average over whole answers.
-  std::uint32_t failures = 0;  // In a row.
+  base::Duration latency{};    // Moving average over complete answers.
+  std::uint32_t failures = 0;  // Consecutive.
   base::TimePoint last_answer{};
-  // Until then kept connections to it are not trusted.
+  // Connections to it are not reused before this time.
   base::TimePoint fresh_connections_until{};
 
   RunnerHealth health = RunnerHealth::kHealthy;
   base::TimePoint ejected_until{};
-  std::uint32_t ejections = 0;  // In a row, without an answer between.
+  std::uint32_t ejections = 0;  // Consecutive, without an answer between.
 };
 
 }  // namespace cassiastile::work
--- a/include/cassiastile/work/share_account.hpp
+++ b/include/cassiastile/work/share_account.hpp
@@ -8,20 +8,21 @@
 
 namespace cassiastile::work {
 
-// Whether a team could use more than it has.
+// Whether a team could use more resources than it has.
 enum class Demand : std::uint8_t {
   kNone,     // Nothing runs or waits.
-  kMet,      // All it wants runs, or its own limit holds it back.
-  kWaiting,  // It waits for room.
+  kMet,      // All its tasks run, or its own limit holds them back.
+  kWaiting,  // It waits for resources.
 };
 
-// Keeps what each team of a pool has had, for weighted fairness by dominant
-// share. The account is by team, whatever its queues, kinds and task sizes.
+// Tracks each team's resource usage in a pool for weighted dominant-share
+// fairness. Usage is counted per team, whatever its queues, kinds and task
+// sizes.
 //
-// A team that lacks demand falls behind no further than the team that has had
-// least among those that wait: idle capacity that others used meanwhile is
-// neither owed to it nor held against them, so that each team's entitlement
-// stays its weight's part of the pool.
+// Teams that fall behind are raised to the least-served waiting team. Idle
+// capacity that other teams used is neither owed to a team without demand nor
+// held against the others, so each team's entitlement stays its weight's
+// fraction of the pool.
 class ShareAccount {
  public:
   explicit ShareAccount(base::Duration horizon = std::chrono::seconds(5));
@@ -29,22 +30,22 @@
   void SetCapacity(const Resources& capacity);
   void SetWeight(const std::string& team, double weight);
 
-  // States what a team has from now on.
+  // Sets the resources that a team uses from now on.
   void SetUse(const std::string& team, const Resources& use, Demand demand);
 
   // Accounts for the time since the last call.
   void Advance(base::TimePoint now);
 
-  // Adds resources times seconds that a report showed to have been accounted
-  // wrongly; negative amounts are given back.
+  // Corrects a team's usage, in resources times seconds, after a report showed
+  // that the wrong amount was charged. Negative amounts are credited.
   void Correct(const std::string& team, const Resources& resource_seconds);
 
-  // Who comes next: the team with the lowest standing. Falls with weight, grows
-  // with what a team has had and with what it has now.
+  // The scheduling key: the team with the lowest value comes next. Decreases
+  // with the team's weight, increases with its past and its current usage.
   double ProjectedUsage(const std::string& team) const;
 
-  // The part of the pool that the team is entitled to while all those that have
-  // demand wait, and the part that it has now.
+  // The fraction of the pool that the team is entitled to while all teams with
+  // demand wait, and the dominant share that it has now.
   double Entitlement(const std::string& team) const;
   double CurrentShare(const std::string& team) const;
 
@@ -53,16 +54,16 @@
     double weight = 1;
     Resources use;
     Demand demand = Demand::kNone;
-    // Dominant share times seconds, by weight, up to the last fold.
-    double folded = 0;
-    Resources since_fold;  // Resources times seconds.
-    base::TimePoint fold_at{};
+    // Dominant share times seconds, divided by weight, up to settled_at.
+    double settled_usage = 0;
+    Resources unsettled;  // Resources times seconds since settled_at.
+    base::TimePoint settled_at{};
   };
 
-  double Had(const Account& account) const;
-  void Fold(Account& account, base::TimePoint now) const;
+  double AccruedUsage(const Account& account) const;
+  void Settle(Account& account, base::TimePoint now) const;
 
-  void LiftThoseBehind();
+  void RaiseToFloor();
 
   base::Duration m_horizon;
   Resources m_capacity;
--- a/include/cassiastile/work/size_estimate.hpp
+++ b/include/cassiastile/work/size_estimate.hpp
@@ -8,39 +8,42 @@
 
 namespace cassiastile::work {
 
-// Mean and variance of the logarithm of what was seen, with older values
-// counting less.
+// Mean and variance of the logarithm of the observed values, weighted towards
+// recent ones.
 struct LogMoments {
   double mean = 0;
   double variance = 0;
   std::uint32_t count = 0;
 };
 
+// Adds a value, which must be above zero.
 void Observe(LogMoments& moments, double value);
 
-// What a task is expected to take.
+// The expected size and run time of a task.
 struct SizeEstimate {
   Resources size;
   double seconds = 0;        // Expected run time.
-  double seconds_upper = 0;  // Exceeded by few.
+  double seconds_upper = 0;  // Rarely exceeded.
   bool learned = false;      // False when only the declaration is known.
 };
 
-// What was seen of one quantity: its amount, and its ratio to the declaration.
+// Observations of one quantity: its amount, and its ratio to the declared
+// amount.
 struct LearntQuantity {
   LogMoments amount;
   LogMoments ratio;
 };
 
+// Observations of one kind of task, or of all tasks of a team.
 struct LearntKind {
   LearntQuantity cores;
   LearntQuantity memory;
   LearntQuantity seconds;
 };
 
-// Learns the real sizes and run times of tasks by team and kind. A kind not
-// seen before starts from how far off its team's declarations are in general,
-// so that a new name for old work gains nothing.
+// Learns the actual sizes and run times of tasks by team and kind. An unseen
+// kind starts from the team's overall ratio of actual to declared amounts, so
+// that giving old work a new kind gains nothing.
 class SizeEstimator {
  public:
   SizeEstimate Estimate(const TaskSpec& spec) const;
--- a/include/cassiastile/work/task_index.hpp
+++ b/include/cassiastile/work/task_index.hpp
@@ -15,19 +15,19 @@
 
 namespace cassiastile::work {
 
-// What a worker was asked to do with a run besides running it.
+// What a worker is asked to do with a run besides running it.
 enum class RunRequest : std::uint8_t {
   kNone,
   kCheckpoint,
 };
 
-// A task with what is known of it besides its record.
+// A task's record with the state that is kept in memory only.
 struct TaskEntry {
   Task task;
   std::uint64_t version = 0;  // Of its row; zero when it has none.
-  Resources placed;           // What it takes of its host.
-  Resources charged;          // What its team is charged for.
-  Resources accounted;        // Of that, resources times seconds so far.
+  Resources placed;           // Counted on its host.
+  Resources charged;          // Counted for its team.
+  Resources accounted;        // Charged so far, resources times seconds.
   base::TimePoint accounted_at{};
   base::TimePoint started{};
   bool measured = false;  // Whether its usage was reported.
@@ -36,7 +36,7 @@
   bool unschedulable = false;  // No host of the pool could hold it.
 };
 
-// Tasks in the order in which they were submitted.
+// Tasks in order of submission: sequence and key.
 using TaskOrder = std::set<std::pair<std::uint64_t, std::string>>;
 
 // A team's tasks in a shard.
@@ -52,37 +52,40 @@
 // The runs on a worker.
 struct WorkerTasks {
   std::set<std::string> runs;         // Keys of tasks leased to it.
-  std::set<std::string> unconfirmed;  // Keys of runs given up.
+  std::set<std::string> unconfirmed;  // Keys of abandoned runs.
   Resources placed;
 };
 
-// A row to be written, or deleted where there is no value.
+// A row to write, or to delete when there is no value.
 struct TaskRowChange {
-  std::string key;  // The task's key, not the table's.
+  std::string key;  // The task's key, not the row's.
   std::optional<std::string> value;
-  std::uint64_t version = 0;  // The version it must still have.
+  std::uint64_t version = 0;  // Precondition: the row's current version.
 };
 
-// A shard's tasks with the views that decisions need. Changes are made in a
-// batch, which is then confirmed once its rows are written, or taken back.
+// The tasks of a shard, indexed by team and worker. Changes are collected in a
+// batch, which is confirmed once its rows are written, or rolled back.
 class TaskIndex {
  public:
-  // Takes a record read from the table.
+  // Adds a record that was read from the table.
   void Load(Task task, std::uint64_t version);
   void Clear();
 
   const TaskEntry* Find(const std::string& key) const;
   std::size_t Size() const;
 
-  // Puts an entry in place of the one with its key. With `write` its record is
-  // part of the batch's rows.
+  // Adds or replaces an entry. With `write` its record becomes part of the
+  // batch's rows.
   void Put(TaskEntry entry, bool write);
   void Erase(const std::string& key);
-  // Notes how far a run is; not part of a batch.
+  // Records the progress of a run. Not part of a batch.
   void SetProgress(const std::string& key, double progress);
 
+  // The rows that the batch writes.
   std::vector<TaskRowChange> Rows() const;
+  // Ends the batch after its rows were written.
   void Confirm();
+  // Ends the batch and undoes its changes.
   void RollBack();
 
   const TeamTasks& TeamOf(const std::string& team) const;
@@ -90,7 +93,7 @@
   const std::map<std::string, TeamTasks>& Teams() const;
   const std::map<std::string, WorkerTasks>& Workers() const;
 
-  // Ended tasks with no run unconfirmed, by when they changed.
+  // Ended tasks without unconfirmed runs, by the time of their last change.
   const std::set<std::pair<std::int64_t, std::string>>& Ended() const;
   const std::set<std::string>& InDoubt() const;
   std::uint64_t LastSequence() const;
@@ -111,7 +114,7 @@
   std::uint64_t m_last_sequence = 0;
 };
 
-// Whether a worker may be running the task under its present lease.
+// Whether a worker may be running the task under its current lease.
 bool MayRun(const Task& task);
 
 }  // namespace cassiastile::work
--- a/include/cassiastile/work/task_owner.hpp
+++ b/include/cassiastile/work/task_owner.hpp
@@ -18,46 +18,49 @@
 
 namespace cassiastile::work {
 
+// Settings of a TaskOwner.
 struct TaskOwnerOptions {
   TaskShardOptions shard;
-  // How often credits are fetched that a team waits for, and how often those
-  // not needed are given back.
+  // How often credits are exchanged while a team waits for some, and otherwise,
+  // to return unused ones.
   base::Duration credit_fetch = std::chrono::milliseconds(500);
   base::Duration credit_return = std::chrono::seconds(3);
-  // Waits between tries while the table fails.
+  // Waits between attempts while the table fails.
   base::Duration first_backoff = std::chrono::milliseconds(100);
   base::Duration longest_backoff = std::chrono::seconds(2);
-  // Whether submissions are taken while the table is still being read.
+  // Whether submissions are accepted while the table is still being read.
   bool open_while_reading = true;
 };
 
-// What became of an event.
+// Whether an event took effect.
 enum class Effect : std::uint8_t {
   kCommitted,  // Its rows are written, or it needed none.
-  kNotRun,     // Nothing was written and nothing will be.
-  kUnknown,    // The table's answer was lost; the event may be repeated.
+  kNotRun,     // Nothing was written, and nothing will be.
+  kUnknown,    // The table's answer was lost. The event may be sent again.
 };
 
 std::string_view NameOf(Effect effect);
 
+// The result of one event.
 struct TaskResult {
   Effect effect = Effect::kCommitted;
   TaskReply reply;
   std::optional<PollAnswer> answer;  // For polls.
 };
 
-// Proof of ownership: the shard's epoch and the precondition for its writes.
+// Proof of ownership of a shard: its epoch and the fencing precondition for its
+// writes.
 struct OwnerLease {
   std::uint64_t epoch = 0;
   platform::Precondition fence;
 };
 
-// Runs a shard on its rows: decides, writes, and answers only what is written.
-// Reads everything again when the epoch changes or a precondition failed, a
-// page with each call; meanwhile it takes submissions of ids that the table
-// does not have, renews workers' leases, and refuses the rest as not run. While
-// the table fails it goes on renewing workers' leases. Calls block on the
-// table; one thread at a time.
+// Runs a shard on its rows in the table: decides, writes, and confirms only
+// what is written. Reads all rows again when the epoch changes or a
+// precondition failed, one page per call. While reading, it accepts submissions
+// of ids that the table does not have, renews workers' leases, and rejects
+// other events with kNotRun. While the table fails, it keeps renewing workers'
+// leases. Calls block on the table. Not thread-safe.
 class TaskOwner {
  public:
   TaskOwner(const std::string& pool,
@@ -69,23 +72,24 @@
   void SetFleet(const config::AcceptedFleet& accepted);
   void SetHosts(const std::vector<fleet::HostView>& hosts);
 
-  // Handles the events and what the time brings. Results are in their order.
+  // Handles the events and timeouts. Returns one result per event, in their
+  // order.
   std::vector<TaskResult> Handle(const std::vector<TaskEvent>& events,
                                  Moment moment,
-                                 const OwnerLease& grip);
+                                 const OwnerLease& owner_lease);
 
-  // Whether the shard shows what the table holds: everything was read, and no
-  // write is under way.
+  // Whether the shard reflects the table: everything was read, and no write is
+  // pending.
   bool IsSettled() const;
 
-  // Batches that had rows and were sent to the table.
+  // The number of batches with rows that were sent to the table.
   std::uint64_t BatchesWritten() const;
 
   const TaskShard& Shard() const;
   TaskShard& Shard();
 
  private:
-  bool Prepare(Moment moment, const OwnerLease& grip);
+  bool Prepare(Moment moment, const OwnerLease& owner_lease);
   std::vector<TaskResult> HandleWhileReading(
       const std::vector<TaskEvent>& events,
       Moment moment);
@@ -96,11 +100,11 @@
   std::map<std::string, LimitNeed> LimitNeeds() const;
   bool WaitsForCredit() const;
   Effect WriteBatch(TaskBatch& batch);
-  void NoteFailure(base::TimePoint now);
-  std::vector<TaskResult> AnswerNothing(const std::vector<TaskEvent>& events,
-                                        base::TimePoint now);
+  void StartBackoff(base::TimePoint now);
+  std::vector<TaskResult> RejectAll(const std::vector<TaskEvent>& events,
+                                    base::TimePoint now);
   PollAnswer MakeRenewal() const;
-  // Records those that hold although the batch was taken back.
+  // Records the decisions that hold although the batch was rolled back.
   void RecordRefusals(std::vector<base::Decision> decisions);
   void Record(std::vector<base::Decision> decisions);
 
@@ -110,10 +114,11 @@
   TaskStore m_store;
   std::map<std::string, std::uint32_t> m_limits;
   TeamGrants m_grants;
-  OwnerLease m_grip;
+  OwnerLease m_owner_lease;
   std::vector<base::Decision> m_pending_decisions;
   bool m_must_read = true;
-  std::optional<std::string> m_read_after;  // The last key of a read begun.
+  // The last key of a read in progress.
+  std::optional<std::string> m_read_after;
   std::uint64_t m_batches_written = 0;
   base::TimePoint m_credits_at{};
   base::TimePoint m_retry_at{};
--- a/include/cassiastile/work/task_poll.hpp
+++ b/include/cassiastile/work/task_poll.hpp
@@ -11,9 +11,9 @@
 
 namespace cassiastile::work {
 
-// A task that a worker holds, with its usage as last measured.
+// A run that a worker holds, with its latest measured usage.
 struct HeldTask {
-  std::string key;  // As KeyOf gives it.
+  std::string key;  // As returned by KeyOf.
   std::uint64_t epoch = 0;
   double progress = 0;
   bool measured = false;  // Whether the usage was measured yet.
@@ -24,44 +24,47 @@
 enum class RunEnd : std::uint8_t {
   kSucceeded,
   kFailed,
-  kCheckpointed,  // Stopped at a checkpoint; nothing done is lost.
-  kStopped,       // Stopped part of the way.
+  kCheckpointed,  // Stopped at a checkpoint; no work is lost.
+  kStopped,       // Stopped before it was finished.
   kNotStarted,    // Refused or dropped before it started.
 };
 
 std::string_view NameOf(RunEnd end);
 
+// A run that ended on a worker.
 struct EndedRun {
   std::string key;
   std::uint64_t epoch = 0;
   RunEnd end = RunEnd::kStopped;
   double seconds = 0;  // How long it ran.
-  // Resources times seconds; zero where they were not measured.
+  // Resources times seconds; zero when they were not measured.
   Resources used;
   std::string checkpoint;
   std::string message;
 };
 
-// What a worker says of itself. A worker has one poll under way at a time and
+// A worker's report to a shard. A worker has at most one poll in flight, and
 // reports an ended run until an answer acknowledges it.
 struct WorkerPoll {
   std::string worker;
-  std::uint64_t incarnation = 0;  // Grows each time the worker starts anew.
-  std::uint64_t sequence = 0;     // Grows with every poll of an incarnation.
-  // Whose runs are listed. Empty asks the pool that the host is in and says
-  // nothing of what the worker does not hold.
+  std::uint64_t incarnation = 0;  // Increases with each start of the worker.
+  std::uint64_t sequence = 0;     // Increases with each poll of an incarnation.
+  // The pool whose runs are listed. Empty addresses the pool of the worker's
+  // host; then runs that are not listed may still be held.
   std::string pool;
-  bool leaving = false;  // It wants no new tasks.
+  bool leaving = false;  // It accepts no new tasks.
   std::vector<HeldTask> held;
   std::vector<EndedRun> ended;
 };
 
+// Tells a worker to start a run, from its checkpoint if it has one.
 struct StartOrder {
   TaskSpec spec;
   std::uint64_t epoch = 0;
   std::string checkpoint;
 };
 
+// Identifies a run by its task's key and its epoch.
 struct RunRef {
   std::string key;
   std::uint64_t epoch = 0;
@@ -69,21 +72,21 @@
   bool operator==(const RunRef&) const = default;
 };
 
-// Runs without such an order go at full speed.
+// Slows a run down. Runs without such an order go at full speed.
 struct ThrottleOrder {
   RunRef run;
-  double fraction = 1;  // Of the speed that the run has by itself.
+  double fraction = 1;  // Of the run's unthrottled speed.
 };
 
-// What a worker shall do. A worker obeys an answer only when its shard epoch is
-// not below the highest that it has seen of the pool, starts each run once, and
-// stops all runs of the pool by itself when no answer came for the lease time,
-// counted from when the answered poll was sent. It drops an answer that comes
-// after it gave the poll up. A shard epoch of zero renews the lease and says
-// nothing else: no owner of the shard could be asked.
+// The answer to a poll. A worker obeys an answer only when its shard epoch is
+// not below the highest that it has seen from the pool, starts each run once,
+// and stops all runs of the pool when it received no answer for the lease time,
+// counted from when the answered poll was sent. It ignores an answer that
+// arrives after it abandoned the poll. A shard epoch of zero only renews the
+// lease: no owner of the shard could be asked.
 struct PollAnswer {
   std::string pool;       // The shard that answered.
-  std::string home_pool;  // The pool that the worker's host is in.
+  std::string home_pool;  // The pool of the worker's host.
   std::uint64_t shard_epoch = 0;
   base::Duration lease{};
   base::Duration poll_after{};
@@ -94,6 +97,7 @@
   std::vector<RunRef> acknowledged;
 };
 
+// Polls and answers as JSON. Decoding fails with kInvalid.
 std::string EncodePoll(const WorkerPoll& poll);
 base::Result<WorkerPoll> DecodePoll(const std::string& text);
 std::string EncodePollAnswer(const PollAnswer& answer);
--- a/include/cassiastile/work/task_store.hpp
+++ b/include/cassiastile/work/task_store.hpp
@@ -13,18 +13,20 @@
 
 namespace cassiastile::work {
 
+// A task with the version of its row.
 struct StoredTask {
   Task task;
   std::uint64_t version = 0;
 };
 
+// One page of a shard's rows.
 struct StoredPage {
   std::vector<StoredTask> tasks;
   std::string last_key;
   bool is_last = false;
 };
 
-// What a shard has in use of a team's upper limit, and what it could use.
+// A team's upper limit, and how much of it the shard uses and could use.
 struct LimitNeed {
   std::uint32_t limit = 0;
   std::uint32_t in_use = 0;
@@ -33,28 +35,30 @@
 
 using TeamGrants = std::map<std::string, std::uint32_t>;
 
-// A pool's rows in the table. Every write carries the shard's fence. A write
-// whose answer was lost stays pending until it is found out what became of it;
-// nothing else is written before.
+// A pool's task rows in the table. Every write is fenced by the shard's
+// precondition. A write whose answer was lost stays pending until its fate is
+// known; nothing else is written before.
 class TaskStore {
  public:
   TaskStore(platform::Table& table, std::string pool, base::Random random);
 
-  // Errors are those of Table; after kUnknown the transaction is pending.
+  // Returns the errors of Table. After kUnknown the transaction is pending.
   base::Result<void> Write(const std::vector<TaskRowChange>& rows,
                            const platform::Precondition& fence);
 
   bool IsPending() const;
-  // Applies the pending transaction again, which takes effect once at most.
-  // kConflict: it did not and will not apply. kUnknown: still not known.
+  // Applies the pending transaction again; it takes effect at most once.
+  // kConflict: it did not and will not apply. kUnknown: its fate is still
+  // unknown.
   base::Result<void> Resolve();
 
-  // The tasks whose rows come after the key; an empty one begins.
+  // Reads the tasks whose rows follow the key `after`; an empty key starts at
+  // the first row.
   base::Result<StoredPage> ReadPage(const std::string& after);
 
-  // States the shard's needs in the ledger of upper limits and returns what it
-  // is granted. When the answer is lost it returns, for each team, the lower
-  // of what it had and what it may have now.
+  // Reports the shard's needs to the ledger of upper limits and returns its
+  // grants. When the answer is lost, returns for each team the lower of its
+  // previous and its new grant.
   base::Result<TeamGrants> ExchangeCredits(
       const std::map<std::string, LimitNeed>& needs,
       const TeamGrants& before,
--- a/include/cassiastile/work/worker_health.hpp
+++ b/include/cassiastile/work/worker_health.hpp
@@ -10,16 +10,18 @@
 
 namespace cassiastile::work {
 
+// Whether a worker gets tasks.
 enum class WorkerHealthState : std::uint8_t {
   kHealthy,
   kQuarantined,  // Gets no tasks.
   kProbing,      // Gets one idempotent task at a time.
 };
 
+// When workers are quarantined, and for how long.
 struct WorkerHealthOptions {
-  // Failures in a row of kinds that succeed elsewhere.
+  // Consecutive failures of kinds that succeed on other workers.
   std::uint32_t failures_with_evidence = 3;
-  // Failures in a row whatever the kinds, if they are of several.
+  // Consecutive failures of any kinds, and how many kinds these must be of.
   std::uint32_t failures_without_evidence = 6;
   std::uint32_t kinds_without_evidence = 3;
   base::Duration evidence_age = std::chrono::minutes(10);
@@ -27,13 +29,13 @@
   base::Duration longest_quarantine = std::chrono::minutes(10);
 };
 
-// Tells workers that fail everything they start from tasks that fail
+// Distinguishes workers on which everything fails from tasks that fail
 // everywhere, by what succeeded on other workers.
 class WorkerHealthTracker {
  public:
   explicit WorkerHealthTracker(WorkerHealthOptions options = {});
 
-  // Notes how a run ended. Returns true when the worker is quarantined by it.
+  // Records how a run ended. Returns true when this quarantines the worker.
   bool RecordEnd(const std::string& worker,
                  const std::string& kind,
                  bool succeeded,
@@ -42,7 +44,7 @@
   WorkerHealthState HealthOf(const std::string& worker,
                              base::TimePoint now) const;
 
-  // What a quarantine rests on, for people; empty where there is none.
+  // The reason for a quarantine as text; empty when there is none.
   std::string Evidence(const std::string& worker) const;
 
  private:
@@ -50,7 +52,7 @@
     std::uint32_t failures = 0;
     std::uint32_t failures_with_evidence = 0;
     std::set<std::string> kinds;
-    bool distrusted = false;
+    bool was_quarantined = false;
     base::TimePoint until{};
     base::Duration length{};
     std::string evidence;
@@ -70,7 +72,8 @@
 
   WorkerHealthOptions m_options;
   std::map<std::string, Health> m_workers;
-  // The last success of a kind on each of the last two workers it had.
+  // The latest success of each kind on each of the last two workers where it
+  // succeeded.
   std::map<std::string, std::vector<Success>> m_successes;
 };
 
--- a/src/cassiastile/work/admission.cpp
+++ b/src/cassiastile/work/admission.cpp
@@ -20,29 +20,29 @@
   return std::chrono::duration_cast<base::Duration>(Seconds(seconds));
 }
 
-// Requests that can be started in a second.
+// The number of requests that can be started per second.
 double StartsPerSecond(std::uint32_t slots, const ServiceRate& rate) {
   constexpr double kShortestSeconds = 1e-4;
   return slots / std::max(SecondsOf(rate.service_time), kShortestSeconds);
 }
 
-const TeamQuota kDefaultTerms;
+const TeamQuota kDefaultQuota;
 
 }  // namespace
 
 bool AdmissionQueue::TeamQueue::MayStart() const {
-  return !terms.granted || running < *terms.granted;
+  return !quota.granted || running < *quota.granted;
 }
 
 AdmissionQueue::AdmissionQueue(AdmissionOptions options) : m_options(options) {}
 
-void AdmissionQueue::SetQuota(const std::string& team, TeamQuota terms) {
-  m_teams[team].terms = terms;
+void AdmissionQueue::SetQuota(const std::string& team, TeamQuota quota) {
+  m_teams[team].quota = quota;
 }
 
 const TeamQuota& AdmissionQueue::QuotaOf(const std::string& team) const {
   const auto found = m_teams.find(team);
-  return found == m_teams.end() ? kDefaultTerms : found->second.terms;
+  return found == m_teams.end() ? kDefaultQuota : found->second.quota;
 }
 
 std::vector<Refusal> AdmissionQueue::Offer(const RequestTicket& ticket,
@@ -51,23 +51,23 @@
                                            base::Random& random) {
   TeamQueue& team = m_teams[ticket.team];
   const std::size_t ahead = ticket.urgent ? team.urgent.size() : team.Queued();
-  const auto objection =
-      FindObjection(team, ahead, ticket, rate, now, m_options.admit_fraction);
-  if (objection) {
-    return {Refuse(ticket, *objection, rate, random)};
+  const auto refusal_reason = FindRefusalReason(team, ahead, ticket, rate, now,
+                                                m_options.admit_fraction);
+  if (refusal_reason) {
+    return {Refuse(ticket, *refusal_reason, rate, random)};
   }
   std::vector<Refusal> refusals;
   if (m_size >= m_options.queue_limit) {
     TeamQueue* largest = FindLargest();
     const double part = (static_cast<double>(team.Queued()) + 1) /
-                        std::max(1U, team.terms.weight);
-    const bool makes_room = largest != nullptr && !largest->normal.empty() &&
-                            part < static_cast<double>(largest->Queued()) /
-                                       std::max(1U, largest->terms.weight);
-    if (!makes_room) {
+                        std::max(1U, team.quota.weight);
+    const bool may_evict = largest != nullptr && !largest->normal.empty() &&
+                           part < static_cast<double>(largest->Queued()) /
+                                      std::max(1U, largest->quota.weight);
+    if (!may_evict) {
       return {Refuse(ticket, RefusalReason::kQueueFull, rate, random)};
     }
-    refusals.push_back(PushOut(*largest, rate, random));
+    refusals.push_back(EvictNewest(*largest, rate, random));
   }
   if (team.Queued() == 0) {
     team.virtual_time = std::max(team.virtual_time, m_virtual_time);
@@ -85,8 +85,8 @@
   const auto found = m_teams.find(ticket.team);
   const TeamQueue& team = found == m_teams.end() ? new_team : found->second;
   const std::size_t ahead = ticket.urgent ? team.urgent.size() : team.Queued();
-  return FindObjection(team, ahead, ticket, rate, now,
-                       m_options.admit_fraction);
+  return FindRefusalReason(team, ahead, ticket, rate, now,
+                           m_options.admit_fraction);
 }
 
 std::optional<RequestTicket> AdmissionQueue::TakeNext() {
@@ -101,7 +101,7 @@
   --m_size;
   ++team->running;
   ++m_running;
-  team->virtual_time += 1.0 / std::max(1U, team->terms.weight);
+  team->virtual_time += 1.0 / std::max(1U, team->quota.weight);
   return ticket;
 }
 
@@ -112,17 +112,17 @@
   }
   ++queue.running;
   ++m_running;
-  queue.virtual_time += 1.0 / std::max(1U, queue.terms.weight);
+  queue.virtual_time += 1.0 / std::max(1U, queue.quota.weight);
   return true;
 }
 
 void AdmissionQueue::Release(const std::string& team, double cost) {
-  constexpr double kMostCost = 20;
+  constexpr double kMaxCost = 20;
   TeamQueue& queue = m_teams[team];
   --queue.running;
   --m_running;
-  const double correction = std::clamp(cost, 0.0, kMostCost) - 1;
-  queue.virtual_time += correction / std::max(1U, queue.terms.weight);
+  const double correction = std::clamp(cost, 0.0, kMaxCost) - 1;
+  queue.virtual_time += correction / std::max(1U, queue.quota.weight);
 }
 
 std::vector<Refusal> AdmissionQueue::RefuseLate(const ServiceRate& rate,
@@ -134,10 +134,10 @@
     for (std::deque<RequestTicket>* queue : {&team.urgent, &team.normal}) {
       std::deque<RequestTicket> kept;
       for (RequestTicket& ticket : *queue) {
-        const auto objection = FindObjection(team, ahead, ticket, rate, now,
-                                             m_options.keep_fraction);
-        if (objection) {
-          refusals.push_back(Refuse(ticket, *objection, rate, random));
+        const auto refusal_reason = FindRefusalReason(
+            team, ahead, ticket, rate, now, m_options.keep_fraction);
+        if (refusal_reason) {
+          refusals.push_back(Refuse(ticket, *refusal_reason, rate, random));
           continue;
         }
         ++ahead;
@@ -198,7 +198,8 @@
           found->second.running};
 }
 
-// The virtual time is that of the waiting team furthest behind.
+// Advances the queue's virtual time to that of the waiting team furthest
+// behind.
 void AdmissionQueue::AdvanceVirtualTime() {
   double least = std::numeric_limits<double>::infinity();
   for (const auto& [name, team] : m_teams) {
@@ -211,8 +212,8 @@
   }
 }
 
-// Urgent requests go first while their team is not too far ahead of its share;
-// else the team furthest behind its share is next.
+// Teams with urgent requests go first while they are not too far ahead of their
+// share; otherwise the team furthest behind its share is next.
 AdmissionQueue::TeamQueue* AdmissionQueue::FindNext() {
   TeamQueue* next = nullptr;
   bool next_urgent = false;
@@ -221,7 +222,7 @@
       continue;
     }
     const double lead =
-        (team.virtual_time - m_virtual_time) * std::max(1U, team.terms.weight);
+        (team.virtual_time - m_virtual_time) * std::max(1U, team.quota.weight);
     const bool urgent = !team.urgent.empty() && lead < m_options.urgent_lead;
     const bool better =
         next == nullptr || (urgent && !next_urgent) ||
@@ -239,7 +240,7 @@
   double largest_part = 0;
   for (auto& [name, team] : m_teams) {
     const double part =
-        static_cast<double>(team.Queued()) / std::max(1U, team.terms.weight);
+        static_cast<double>(team.Queued()) / std::max(1U, team.quota.weight);
     if (part > largest_part) {
       largest = &team;
       largest_part = part;
@@ -248,29 +249,29 @@
   return largest;
 }
 
-// Seconds until a team's request with `ahead` of its own before it starts,
-// given that the other teams take their turns by weight.
+// Expected seconds until a request starts that has `ahead` requests of its own
+// team before it, given that the other teams are served by weight.
 double AdmissionQueue::ExpectedWait(const TeamQueue& team,
                                     std::size_t ahead,
                                     const ServiceRate& rate) const {
   const double own = static_cast<double>(ahead);
-  const double rounds = (own + 1) / std::max(1U, team.terms.weight);
+  const double rounds = (own + 1) / std::max(1U, team.quota.weight);
   double before = own;
   for (const auto& [name, other] : m_teams) {
     if (&other != &team && other.MayStart()) {
       before += std::min(static_cast<double>(other.Queued()),
-                         rounds * other.terms.weight);
+                         rounds * other.quota.weight);
     }
   }
   double wait = before / StartsPerSecond(rate.slots, rate);
-  if (team.terms.granted && !team.MayStart()) {
+  if (team.quota.granted && !team.MayStart()) {
     wait =
-        std::max(wait, (own + 1) / StartsPerSecond(*team.terms.granted, rate));
+        std::max(wait, (own + 1) / StartsPerSecond(*team.quota.granted, rate));
   }
   return wait;
 }
 
-std::optional<RefusalReason> AdmissionQueue::FindObjection(
+std::optional<RefusalReason> AdmissionQueue::FindRefusalReason(
     const TeamQueue& team,
     std::size_t ahead,
     const RequestTicket& ticket,
@@ -284,7 +285,7 @@
   if (rate.slots == 0) {
     return patient ? std::nullopt : std::optional(RefusalReason::kNoRunner);
   }
-  if (team.terms.granted && *team.terms.granted == 0) {
+  if (team.quota.granted && *team.quota.granted == 0) {
     return patient ? std::nullopt : std::optional(RefusalReason::kTeamLimit);
   }
   const double left =
@@ -292,7 +293,7 @@
   if (ExpectedWait(team, ahead, rate) <= left) {
     return std::nullopt;
   }
-  const bool at_limit = team.terms.granted && !team.MayStart();
+  const bool at_limit = team.quota.granted && !team.MayStart();
   return at_limit ? RefusalReason::kTeamLimit : RefusalReason::kWaitTooLong;
 }
 
@@ -303,9 +304,9 @@
   return {ticket, NotRun{reason, DrawRetryAfter(rate, random), ""}};
 }
 
-Refusal AdmissionQueue::PushOut(TeamQueue& team,
-                                const ServiceRate& rate,
-                                base::Random& random) {
+Refusal AdmissionQueue::EvictNewest(TeamQueue& team,
+                                    const ServiceRate& rate,
+                                    base::Random& random) {
   const RequestTicket ticket = std::move(team.normal.back());
   team.normal.pop_back();
   --m_size;
@@ -313,10 +314,10 @@
 }
 
 RetryBudget::RetryBudget(double part, double most)
-    : m_part(part), m_most(most), m_tokens(most) {}
+    : m_tokens_per_answer(part), m_max_tokens(most), m_tokens(most) {}
 
 void RetryBudget::Earn() {
-  m_tokens = std::min(m_most, m_tokens + m_part);
+  m_tokens = std::min(m_max_tokens, m_tokens + m_tokens_per_answer);
 }
 
 bool RetryBudget::Spend() {
--- a/src/cassiastile/work/admission_test.cpp
+++ b/src/cassiastile/work/admission_test.cpp
@@ -63,7 +63,7 @@
   EXPECT_NEAR(started["short"], 10 * started["long"], 10);
 }
 
-TEST_F(AdmissionTest, UrgentGoesFirstButNotForEver) {
+TEST_F(AdmissionTest, UrgentLeadOverOtherTeamsIsBounded) {
   for (int i = 0; i < 40; ++i) {
     Offer(MakeTicket("calm"));
     RequestTicket urgent = MakeTicket("pushy");
@@ -81,7 +81,7 @@
   EXPECT_GE(started["calm"], 15);
 }
 
-TEST_F(AdmissionTest, RefusesAtOnceWhatWouldBeTooLate) {
+TEST_F(AdmissionTest, RefusesOnArrivalWhatWouldMissItsDeadline) {
   for (int i = 0; i < 50; ++i) {
     EXPECT_TRUE(Offer(MakeTicket("t")).empty());
   }
@@ -91,25 +91,25 @@
   EXPECT_GT(refusals[0].not_run.retry_after, base::Duration::zero());
 }
 
-TEST_F(AdmissionTest, SmallTeamIsNotRefusedForALargeOnesQueue) {
+TEST_F(AdmissionTest, SmallTeamIsNotRefusedForTheQueueOfALargeOne) {
   for (int i = 0; i < 90; ++i) {
     Offer(MakeTicket("large"));
   }
   EXPECT_TRUE(Offer(MakeTicket("small", std::chrono::seconds(2))).empty());
 }
 
-TEST_F(AdmissionTest, WhatCannotBeMetAnyMoreEndsLongBeforeItsDeadline) {
+TEST_F(AdmissionTest, RefusesQueuedRequestsThatCannotMeetTheirDeadline) {
   for (int i = 0; i < 50; ++i) {
     Offer(MakeTicket("t", std::chrono::seconds(20)));
   }
-  // The runners slow down tenfold.
+  // The runners become ten times slower.
   const ServiceRate slow{1, std::chrono::seconds(1)};
   const auto given_up = m_queue.RefuseLate(slow, kStart, m_random);
   EXPECT_GE(given_up.size(), 30U);
   EXPECT_EQ(given_up.size() + m_queue.Size(), 50U);
 }
 
-TEST_F(AdmissionTest, FullQueueMakesRoomForTheTeamWithLess) {
+TEST_F(AdmissionTest, FullQueueEvictsFromTheTeamWithMost) {
   for (int i = 0; i < 100; ++i) {
     EXPECT_TRUE(Offer(MakeTicket("large")).empty());
   }
@@ -123,7 +123,7 @@
   EXPECT_EQ(m_queue.Size(), 100U);
 }
 
-TEST_F(AdmissionTest, TeamKeepsToItsGrant) {
+TEST_F(AdmissionTest, TeamStaysWithinItsGrant) {
   m_queue.SetQuota("t", {.weight = 1, .granted = 2});
   for (int i = 0; i < 3; ++i) {
     Offer(MakeTicket("t"));
--- a/src/cassiastile/work/claim.cpp
+++ b/src/cassiastile/work/claim.cpp
@@ -39,7 +39,7 @@
   return wire::MakeProblemResponse(problem);
 }
 
-bool IsText(const std::string& body) {
+bool IsValidUtf8(const std::string& body) {
   try {
     static_cast<void>(nlohmann::json(body).dump());
     return true;
@@ -54,7 +54,7 @@
   std::optional<Claim> operator()(const Answered& answered) const {
     Claim ended = claim;
     const std::string& body = answered.response.body;
-    const bool kept = body.size() <= kMaxKeptAnswerBytes && IsText(body);
+    const bool kept = body.size() <= kMaxKeptAnswerBytes && IsValidUtf8(body);
     ended.state = kept ? ClaimState::kAnswered : ClaimState::kRan;
     ended.answer = kept ? answered.response : wire::HttpResponse{};
     return ended;
@@ -128,16 +128,18 @@
     }
     return claim;
   } catch (const nlohmann::json::exception& error) {
-    return base::Fail(base::ErrorCode::kInvalid,
-                      std::string("The row holds no claim: ") + error.what());
+    return base::Fail(
+        base::ErrorCode::kInvalid,
+        std::string("The row does not contain a valid claim: ") + error.what());
   }
 }
 
 Outcome OutcomeOfRetry(const Claim& claim, const std::string& fingerprint) {
   if (claim.fingerprint != fingerprint) {
-    return NotRun{RefusalReason::kKeyReused,
-                  {},
-                  "The idempotency key came with another request before."};
+    return NotRun{
+        RefusalReason::kKeyReused,
+        {},
+        "The idempotency key was used for a different request before."};
   }
   switch (claim.state) {
     case ClaimState::kAnswered:
--- a/src/cassiastile/work/credit_ledger.cpp
+++ b/src/cassiastile/work/credit_ledger.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// The max-min fair split of a capacity: everybody may have `level`, and
-// `remainder` of those that want more may have one above it.
+// The max-min fair split of a capacity: each holder may have `level`, and
+// `remainder` of those that want more may have one unit above it.
 struct FairLevel {
   std::uint32_t level = 0;
   std::uint32_t remainder = 0;
@@ -31,7 +31,7 @@
   return {ledger.capacity, 0};
 }
 
-// Holders other than this one that have one unit above the level.
+// Counts the holders other than this one that have more than `level`.
 std::uint32_t CountAbove(const Ledger& ledger,
                          const HolderName& holder,
                          std::uint32_t level) {
--- a/src/cassiastile/work/credit_ledger_test.cpp
+++ b/src/cassiastile/work/credit_ledger_test.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint32_t kSlots = 8;
 
-// Makes the properties draw the same cases on every run.
+// Makes the property tests generate the same cases in every run.
 [[maybe_unused]] const int kSeeded = setenv("RC_PARAMS", "seed=4", 0);
 
 Ledger MakeLedger(std::uint32_t capacity) {
@@ -54,7 +54,7 @@
   EXPECT_EQ(ledger.holdings.at("e2#1").granted, 7U);
 }
 
-TEST(CreditLedgerTest, LoweredCapacityOnlySinks) {
+TEST(CreditLedgerTest, LoweredCapacityTakesEffectAsWorkEnds) {
   Ledger ledger = Rebalance(MakeLedger(kSlots), "e1#1", 8, 8);
   ledger.capacity = 4;
   ledger = Rebalance(ledger, "e1#1", 6, 8);
@@ -103,7 +103,7 @@
   }
 }
 
-TEST(CreditRowsTest, KeepTheirValues) {
+TEST(CreditRowsTest, RoundTripKeepsValues) {
   const LedgerRow row{{"r1", Rebalance(MakeLedger(kSlots), "e1#1", 0, 3)}};
   const auto read = ParseLedgerRow(FormatLedgerRow(row));
   ASSERT_TRUE(read.has_value());
@@ -111,7 +111,7 @@
   EXPECT_EQ(read->at("r1").holdings.at("e1#1").granted, 3U);
 }
 
-TEST(CreditRowsTest, RefuseOtherText) {
+TEST(CreditRowsTest, ParseRejectsOtherText) {
   EXPECT_EQ(ParseLedgerRow("[1]").error().code, base::ErrorCode::kInvalid);
   EXPECT_EQ(ParseLedgerRow("{").error().code, base::ErrorCode::kInvalid);
 }
--- a/src/cassiastile/work/credit_rows.cpp
+++ b/src/cassiastile/work/credit_rows.cpp
@@ -32,7 +32,7 @@
   } catch (const nlohmann::json::exception& error) {
     return base::Fail(
         base::ErrorCode::kInvalid,
-        std::string("The row does not hold ledgers: ") + error.what());
+        std::string("The row does not contain valid ledgers: ") + error.what());
   }
 }
 
--- a/src/cassiastile/work/placement.cpp
+++ b/src/cassiastile/work/placement.cpp
@@ -44,10 +44,10 @@
   if (!host.open || (host.idempotent_only && !request.idempotent)) {
     return false;
   }
-  const bool kept_from_it =
+  const bool reserved_for_others =
       host.held && (host.reserved_for_team.empty() ||
                     host.reserved_for_team != request.team);
-  if (kept_from_it && !request.urgent) {
+  if (reserved_for_others && !request.urgent) {
     return false;
   }
   const Resources free = host.capacity - host.placed;
--- a/src/cassiastile/work/request.cpp
+++ b/src/cassiastile/work/request.cpp
@@ -24,7 +24,7 @@
     {RefusalReason::kStopping, "stopping"},
 }};
 
-constexpr std::array<base::EnumName<UnknownReason>, 4> kDoubtNames{{
+constexpr std::array<base::EnumName<UnknownReason>, 4> kUnknownReasonNames{{
     {UnknownReason::kTimeout, "timeout"},
     {UnknownReason::kBroken, "answer-broken"},
     {UnknownReason::kCrossed, "answer-crossed"},
@@ -133,7 +133,7 @@
 }
 
 std::string_view NameOf(UnknownReason reason) {
-  return base::FindName(kDoubtNames, reason);
+  return base::FindName(kUnknownReasonNames, reason);
 }
 
 wire::Execution ExecutionOf(const Outcome& outcome) {
--- a/src/cassiastile/work/request_dispatcher.cpp
+++ b/src/cassiastile/work/request_dispatcher.cpp
@@ -30,7 +30,7 @@
 RequestActions RequestDispatcher::Arrive(const RequestTicket& ticket,
                                          base::TimePoint now) {
   RequestActions actions;
-  NoteTime(now);
+  DetectPause(now);
   Refuse(m_queue.Offer(ticket, Rate(), now, m_random), actions);
   NoteDemand(ticket.team);
   Dispatch(now, actions);
@@ -51,7 +51,7 @@
                                          TryResult result,
                                          base::TimePoint now) {
   RequestActions actions;
-  NoteTime(now);
+  DetectPause(now);
   const auto found = m_tries.find(try_id);
   if (found == m_tries.end()) {
     return actions;
@@ -64,10 +64,10 @@
   }
   std::visit(Overloaded{
                  [&](TryAnswered& answer) {
-                   TakeAnswer(ended, std::move(answer), now, actions);
+                   HandleAnswer(ended, std::move(answer), now, actions);
                  },
-                 [&](TryNotSent&) { TakeNotSent(ended, now, actions); },
-                 [&](TryLost& loss) { TakeLoss(ended, loss, now, actions); },
+                 [&](TryNotSent&) { HandleNotSent(ended, now, actions); },
+                 [&](TryLost& loss) { HandleLost(ended, loss, now, actions); },
              },
              result);
   Dispatch(now, actions);
@@ -87,7 +87,7 @@
 
 RequestActions RequestDispatcher::Tick(base::TimePoint now) {
   RequestActions actions;
-  NoteTime(now);
+  DetectPause(now);
   ReleaseHeld(now);
   Hedge(now);
   EjectSlow(m_runners, m_options.routing, now);
@@ -145,9 +145,9 @@
 }
 
 void RequestDispatcher::SetQuota(
-    const std::map<std::string, TeamQuota>& terms) {
-  for (const auto& [team, its_terms] : terms) {
-    m_queue.SetQuota(team, its_terms);
+    const std::map<std::string, TeamQuota>& quota) {
+  for (const auto& [team, team_quota] : quota) {
+    m_queue.SetQuota(team, team_quota);
   }
 }
 
@@ -228,7 +228,7 @@
     Flight& flight = found->second;
     auto runner =
         PickRunner(m_runners, flight.tried, m_options.routing, m_random);
-    if (!runner && !HasUntried(flight)) {
+    if (!runner && !HasUntriedRunner(flight)) {
       runner = PickRunner(m_runners, {}, m_options.routing, m_random);
     }
     if (!runner || !m_queue.StartRetry(flight.ticket.team)) {
@@ -240,8 +240,8 @@
   }
 }
 
-// Whether there is a runner that may be waited for, other than those tried.
-bool RequestDispatcher::HasUntried(const Flight& flight) const {
+// Whether a runner that was not tried yet may become free.
+bool RequestDispatcher::HasUntriedRunner(const Flight& flight) const {
   return std::any_of(
       m_runners.begin(), m_runners.end(), [&flight](const Runner& runner) {
         return IsUsable(runner) && runner.granted > 0 &&
@@ -262,7 +262,8 @@
                                      RequestActions& actions) {
   const Flight& failed = flight->second;
   if (failed.maybe_ran) {
-    Finish(flight, MaybeRan{failed.doubt, failed.tried.back()}, actions);
+    Finish(flight, MaybeRan{failed.unknown_reason, failed.tried.back()},
+           actions);
     return;
   }
   Finish(flight,
@@ -271,8 +272,8 @@
          actions);
 }
 
-// Ends the requests whose deadline passed without a word from any try, and
-// those that no runner is left for.
+// Ends requests that got no answer from any try by their deadline, and requests
+// waiting for a retry that can't be answered in time or have no runner left.
 void RequestDispatcher::FinishOverdue(base::TimePoint now,
                                       RequestActions& actions) {
   for (auto next = m_flights.begin(); next != m_flights.end();) {
@@ -287,7 +288,7 @@
     }
     if (late.active > 0) {
       late.maybe_ran = true;
-      late.doubt = UnknownReason::kTimeout;
+      late.unknown_reason = UnknownReason::kTimeout;
     }
     FinishFailed(flight, actions);
   }
@@ -301,7 +302,7 @@
   m_demand.requests = std::max(m_demand.requests, waiting + m_queue.Running());
 }
 
-void RequestDispatcher::NoteTime(base::TimePoint now) {
+void RequestDispatcher::DetectPause(base::TimePoint now) {
   const bool first = m_last_seen == base::TimePoint{};
   if (!first && now - m_last_seen > m_options.longest_pause) {
     m_paused = true;
--- a/src/cassiastile/work/request_dispatcher_test.cpp
+++ b/src/cassiastile/work/request_dispatcher_test.cpp
@@ -32,7 +32,7 @@
     return m_dispatcher.Arrive(ticket, m_now);
   }
 
-  // The only action, which must be of the given kind.
+  // Returns the only action, which must be of the given type.
   template <typename Action>
   static Action Only(const RequestActions& actions) {
     EXPECT_EQ(actions.size(), 1U);
@@ -60,28 +60,29 @@
   RequestId m_last_id = 0;
 };
 
-TEST_F(RequestDispatcherTest, NonIdempotentGoesOnAFreshConnection) {
+TEST_F(RequestDispatcherTest, NonIdempotentRequestUsesAFreshConnection) {
   EXPECT_TRUE(Only<SendTry>(Arrive(false)).fresh_connection);
   EXPECT_FALSE(Only<SendTry>(Arrive(true)).fresh_connection);
 }
 
-TEST_F(RequestDispatcherTest, LostNonIdempotentIsNotSentAgain) {
+TEST_F(RequestDispatcherTest, LostNonIdempotentRequestIsNotRetried) {
   const auto send = Only<SendTry>(Arrive(false));
   const auto end = Only<FinishRequest>(End(send, TryLost{}));
   EXPECT_TRUE(std::holds_alternative<MaybeRan>(end.outcome));
 }
 
-TEST_F(RequestDispatcherTest, UnsentNonIdempotentGoesElsewhere) {
+TEST_F(RequestDispatcherTest, UnsentNonIdempotentRequestIsRetriedElsewhere) {
   const auto send = Only<SendTry>(Arrive(false));
   const auto again = Only<SendTry>(End(send, TryNotSent{}));
   EXPECT_NE(again.runner, send.runner);
 }
 
-TEST_F(RequestDispatcherTest, LostIdempotentGoesElsewhereThenIsUnknown) {
+TEST_F(RequestDispatcherTest,
+       LostIdempotentRequestIsRetriedElsewhereThenUnknown) {
   auto send = Only<SendTry>(Arrive(true));
   send = Only<SendTry>(End(send, TryLost{}));
   send = Only<SendTry>(End(send, TryLost{}));
-  // The last try did not reach the runner, but those before may have.
+  // The last try did not reach the runner, but the earlier ones may have.
   const auto end = Only<FinishRequest>(End(send, TryNotSent{}));
   EXPECT_TRUE(std::holds_alternative<MaybeRan>(end.outcome));
 }
@@ -102,7 +103,7 @@
   EXPECT_EQ(in_use(), 0U);
 }
 
-TEST_F(RequestDispatcherTest, SilentRunnerIsEjectedAndIdempotentGoesElsewhere) {
+TEST_F(RequestDispatcherTest, SilentRunnerIsEjectedAndIdempotentRequestHedged) {
   const auto send = Only<SendTry>(Arrive(true));
   const auto actions = TickAfter(std::chrono::milliseconds(600));
   const auto again = Only<SendTry>(actions);
@@ -121,7 +122,7 @@
   EXPECT_EQ(m_dispatcher.Waiting(), 1U);
 }
 
-TEST_F(RequestDispatcherTest, WithdrawnKeysRequestIsNotSent) {
+TEST_F(RequestDispatcherTest, RequestOfARevokedKeyIsNotSent) {
   for (int i = 0; i < 4; ++i) {
     Arrive(false, "k1");
   }
@@ -132,12 +133,12 @@
   EXPECT_EQ(m_dispatcher.Waiting(), 0U);
 }
 
-TEST_F(RequestDispatcherTest, NothingIsSentAfterAPauseUntilSlotsAreReadAnew) {
+TEST_F(RequestDispatcherTest, NothingIsSentAfterAPauseUntilSlotsAreReread) {
   const base::TimePoint before = m_now;
   m_dispatcher.Tick(m_now);
   m_now += std::chrono::minutes(2);
   EXPECT_TRUE(Arrive(false).empty());
-  // What was read before the pause does not count.
+  // Slots read before the pause don't count.
   m_dispatcher.SetSlots({{"r0", 1}}, before);
   EXPECT_TRUE(m_dispatcher.Tick(m_now).empty());
   m_now += std::chrono::milliseconds(20);
--- a/src/cassiastile/work/request_dispatcher_tries.cpp
+++ b/src/cassiastile/work/request_dispatcher_tries.cpp
@@ -38,10 +38,10 @@
   actions.emplace_back(std::move(send));
 }
 
-void RequestDispatcher::TakeAnswer(const Try& ended,
-                                   TryAnswered answer,
-                                   base::TimePoint now,
-                                   RequestActions& actions) {
+void RequestDispatcher::HandleAnswer(const Try& ended,
+                                     TryAnswered answer,
+                                     base::TimePoint now,
+                                     RequestActions& actions) {
   const base::Duration took = now - ended.sent;
   const double cost =
       static_cast<double>(took.count()) /
@@ -62,9 +62,9 @@
   }
 }
 
-void RequestDispatcher::TakeNotSent(const Try& ended,
-                                    base::TimePoint now,
-                                    RequestActions& actions) {
+void RequestDispatcher::HandleNotSent(const Try& ended,
+                                      base::TimePoint now,
+                                      RequestActions& actions) {
   ReleaseSlot(ended.runner, ended.team, 0);
   RecordFailureAt(ended.runner, now);
   const auto flight = m_flights.find(ended.request_id);
@@ -72,18 +72,18 @@
       flight->second.waiting) {
     return;
   }
-  if (MayTryAgain(flight->second, now)) {
+  if (CanRetry(flight->second, now)) {
     Retry(flight->second);
   } else {
     FinishFailed(flight, actions);
   }
 }
 
-void RequestDispatcher::TakeLoss(const Try& ended,
-                                 const TryLost& loss,
-                                 base::TimePoint now,
-                                 RequestActions& actions) {
-  m_held.push_back(
+void RequestDispatcher::HandleLost(const Try& ended,
+                                   const TryLost& loss,
+                                   base::TimePoint now,
+                                   RequestActions& actions) {
+  m_held_slots.push_back(
       {ended.runner, ended.team, ended.stop + m_options.stop_margin});
   RecordFailureAt(ended.runner, now);
   const auto found = m_flights.find(ended.request_id);
@@ -92,19 +92,19 @@
   }
   Flight& flight = found->second;
   flight.maybe_ran = true;
-  flight.doubt = loss.reason;
+  flight.unknown_reason = loss.reason;
   if (flight.active > 0 || flight.waiting) {
     return;
   }
-  if (flight.ticket.idempotent && MayTryAgain(flight, now)) {
+  if (flight.ticket.idempotent && CanRetry(flight, now)) {
     Retry(flight);
   } else {
     FinishFailed(found, actions);
   }
 }
 
-// Whether another try is allowed and of use; takes it from the budget.
-bool RequestDispatcher::MayTryAgain(const Flight& flight, base::TimePoint now) {
+// Whether another try is allowed and can still succeed. Spends a retry token.
+bool RequestDispatcher::CanRetry(const Flight& flight, base::TimePoint now) {
   return flight.tried.size() < m_options.max_tries &&
          now + m_service_time < flight.ticket.deadline && m_budget.Spend();
 }
@@ -114,9 +114,9 @@
   m_retries.push_back(flight.ticket.id);
 }
 
-// Looks for tries that are overdue. Kept connections to their runners are not
-// trusted for a while, runners that answer nobody are ejected, and requests
-// that may run twice are tried elsewhere too.
+// Handles overdue tries: connections to their runners are not reused for a
+// while, runners that answer no request are ejected, and idempotent requests
+// are also tried on another runner.
 void RequestDispatcher::Hedge(base::TimePoint now) {
   for (auto& [id, pending] : m_tries) {
     Runner* runner = FindRunner(pending.runner);
@@ -132,7 +132,7 @@
     }
     const auto found = m_flights.find(pending.request_id);
     if (found != m_flights.end() && found->second.ticket.idempotent &&
-        !found->second.waiting && MayTryAgain(found->second, now)) {
+        !found->second.waiting && CanRetry(found->second, now)) {
       Retry(found->second);
     }
   }
@@ -140,14 +140,14 @@
 
 void RequestDispatcher::ReleaseHeld(base::TimePoint now) {
   std::vector<HeldSlot> still_held;
-  for (HeldSlot& held : m_held) {
+  for (HeldSlot& held : m_held_slots) {
     if (now < held.until) {
       still_held.push_back(std::move(held));
     } else {
       ReleaseSlot(held.runner, held.team, 1);
     }
   }
-  m_held = std::move(still_held);
+  m_held_slots = std::move(still_held);
 }
 
 void RequestDispatcher::ReleaseSlot(const std::string& runner,
--- a/src/cassiastile/work/routing.cpp
+++ b/src/cassiastile/work/routing.cpp
@@ -22,16 +22,17 @@
   return IsUsable(runner) && runner.in_use < runner.granted;
 }
 
-// The time that a request would likely take, were it sent to the runner.
+// The expected time until the runner answers one more request, in ticks of
+// base::Duration, with the zone penalty added.
 double ScoreOf(const Runner& runner, const RoutingOptions& options) {
   const double load = (runner.in_use + 1.0) / runner.granted;
   const auto latency =
       static_cast<double>(UsualLatency(runner, options).count());
   const bool near = runner.zone == options.zone;
-  const auto way =
+  const auto zone_cost =
       near ? 0.0
            : static_cast<double>(base::Duration(options.zone_penalty).count());
-  return latency * load + way;
+  return latency * load + zone_cost;
 }
 
 std::size_t DrawOne(const std::vector<std::size_t>& from,
@@ -77,9 +78,9 @@
   std::vector<std::size_t> near;
   std::vector<std::size_t> far;
   for (std::size_t i = 0; i < runners.size(); ++i) {
-    const bool left_out = std::find(excluded.begin(), excluded.end(),
-                                    runners[i].name) != excluded.end();
-    if (!left_out && HasFreeSlot(runners[i])) {
+    const bool is_excluded = std::find(excluded.begin(), excluded.end(),
+                                       runners[i].name) != excluded.end();
+    if (!is_excluded && HasFreeSlot(runners[i])) {
       (runners[i].zone == options.zone ? near : far).push_back(i);
     }
   }
--- a/src/cassiastile/work/routing_test.cpp
+++ b/src/cassiastile/work/routing_test.cpp
@@ -88,7 +88,7 @@
   EXPECT_FALSE(IsUsable(runners[0]));
 }
 
-TEST(RoutingTest, EjectsAtMostAPart) {
+TEST(RoutingTest, EjectsAtMostTheAllowedFraction) {
   Runners runners = MakeRunners(10);
   for (std::size_t i = 0; i < runners.size(); ++i) {
     Eject(runners, i, MakeOptions(), kStart);
@@ -97,7 +97,7 @@
   EXPECT_EQ(usable, 5);
 }
 
-TEST(RoutingTest, ProbesBackInAndDoublesTheNextEjection) {
+TEST(RoutingTest, FailedProbeDoublesTheNextEjectionAndPassedProbeEndsIt) {
   Runners runners = MakeRunners(4);
   const RoutingOptions options = MakeOptions();
   Eject(runners, 0, options, kStart);
--- a/src/cassiastile/work/share_account.cpp
+++ b/src/cassiastile/work/share_account.cpp
@@ -13,10 +13,10 @@
   return std::chrono::duration<double>(duration).count();
 }
 
-// What a team had is summed by resource for so long before the largest part is
-// taken, so that a team whose tasks differ is not charged for the largest part
-// of each.
-constexpr base::Duration kFoldInterval = std::chrono::seconds(60);
+// For this long, usage is summed by resource before the dominant share is
+// taken, so that a team with different tasks is not charged for the dominant
+// resource of each task.
+constexpr base::Duration kSettleInterval = std::chrono::seconds(60);
 
 }  // namespace
 
@@ -35,7 +35,7 @@
                           Demand demand) {
   Account& account = m_accounts[team];
   if (account.demand == Demand::kNone && demand != Demand::kNone) {
-    account.folded += std::max(0.0, m_floor - Had(account));
+    account.settled_usage += std::max(0.0, m_floor - AccruedUsage(account));
   }
   account.use = use;
   account.demand = demand;
@@ -46,16 +46,16 @@
       m_last == base::TimePoint{} ? 0 : Seconds(now - m_last);
   m_last = now;
   for (auto& [team, account] : m_accounts) {
-    account.since_fold = account.since_fold + account.use * seconds;
-    Fold(account, now);
+    account.unsettled = account.unsettled + account.use * seconds;
+    Settle(account, now);
   }
-  LiftThoseBehind();
+  RaiseToFloor();
 }
 
 void ShareAccount::Correct(const std::string& team,
                            const Resources& resource_seconds) {
   Account& account = m_accounts[team];
-  account.since_fold = account.since_fold + resource_seconds;
+  account.unsettled = account.unsettled + resource_seconds;
 }
 
 double ShareAccount::ProjectedUsage(const std::string& team) const {
@@ -64,8 +64,9 @@
     return m_floor;
   }
   const Account& account = found->second;
-  const Resources soon = account.since_fold + account.use * Seconds(m_horizon);
-  return account.folded + DominantShare(soon, m_capacity) / account.weight;
+  const Resources soon = account.unsettled + account.use * Seconds(m_horizon);
+  return account.settled_usage +
+         DominantShare(soon, m_capacity) / account.weight;
 }
 
 double ShareAccount::Entitlement(const std::string& team) const {
@@ -86,25 +87,25 @@
              : DominantShare(found->second.use, m_capacity);
 }
 
-double ShareAccount::Had(const Account& account) const {
-  const double part = DominantShare(account.since_fold, m_capacity);
-  return account.folded + part / account.weight;
+double ShareAccount::AccruedUsage(const Account& account) const {
+  const double part = DominantShare(account.unsettled, m_capacity);
+  return account.settled_usage + part / account.weight;
 }
 
-void ShareAccount::Fold(Account& account, base::TimePoint now) const {
-  if (now - account.fold_at < kFoldInterval) {
+void ShareAccount::Settle(Account& account, base::TimePoint now) const {
+  if (now - account.settled_at < kSettleInterval) {
     return;
   }
-  account.folded = Had(account);
-  account.since_fold = {};
-  account.fold_at = now;
+  account.settled_usage = AccruedUsage(account);
+  account.unsettled = {};
+  account.settled_at = now;
 }
 
-void ShareAccount::LiftThoseBehind() {
+void ShareAccount::RaiseToFloor() {
   double floor = std::numeric_limits<double>::infinity();
   for (const auto& [team, account] : m_accounts) {
     if (account.demand == Demand::kWaiting) {
-      floor = std::min(floor, Had(account));
+      floor = std::min(floor, AccruedUsage(account));
     }
   }
   if (std::isinf(floor)) {
@@ -112,7 +113,7 @@
   }
   m_floor = floor;
   for (auto& [team, account] : m_accounts) {
-    account.folded += std::max(0.0, m_floor - Had(account));
+    account.settled_usage += std::max(0.0, m_floor - AccruedUsage(account));
   }
 }
 
--- a/src/cassiastile/work/size_estimate.cpp
+++ b/src/cassiastile/work/size_estimate.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr double kSlowestRate = 0.05;
-constexpr std::uint32_t kEnoughSeen = 3;
+constexpr double kMinLearningRate = 0.05;
+constexpr std::uint32_t kMinObservations = 3;
 constexpr std::size_t kMaxKindsPerTeam = 256;
-// How many standard deviations above the median memory and run time are
-// planned for.
+// Memory and run time are planned at this many standard deviations above the
+// median.
 constexpr double kMemoryDeviations = 1.3;
 constexpr double kSecondsDeviations = 2;
-// Run times are planned this many times longer while nothing was seen of them.
-constexpr double kUnseenSecondsFactor = 4;
+// Factor on the declared run time while no run times were observed.
+constexpr double kUnobservedSecondsFactor = 4;
 
 double Median(const LogMoments& moments) {
   return std::exp(moments.mean);
@@ -39,7 +39,8 @@
   }
 }
 
-// Which view of a kind predicts better, and by what it is to be multiplied.
+// The statistics that predict a quantity best, and the factor to multiply the
+// prediction by.
 struct Prediction {
   const LogMoments* moments = nullptr;
   double scale = 1;
@@ -48,14 +49,14 @@
 Prediction Predict(const LearntQuantity& kind,
                    const LearntQuantity& team,
                    double declared) {
-  const bool seen = kind.amount.count >= kEnoughSeen;
-  const bool by_ratio = kind.ratio.count >= kEnoughSeen && declared > 0 &&
+  const bool seen = kind.amount.count >= kMinObservations;
+  const bool by_ratio = kind.ratio.count >= kMinObservations && declared > 0 &&
                         kind.ratio.variance < kind.amount.variance;
   if (seen) {
     return by_ratio ? Prediction{&kind.ratio, declared}
                     : Prediction{&kind.amount, 1};
   }
-  if (team.ratio.count >= kEnoughSeen && declared > 0) {
+  if (team.ratio.count >= kMinObservations && declared > 0) {
     return {&team.ratio, declared};
   }
   return {};
@@ -66,7 +67,7 @@
 void Observe(LogMoments& moments, double value) {
   ++moments.count;
   const double rate =
-      std::max(kSlowestRate, 1.0 / static_cast<double>(moments.count));
+      std::max(kMinLearningRate, 1.0 / static_cast<double>(moments.count));
   const double difference = std::log(value) - moments.mean;
   moments.mean += rate * difference;
   moments.variance =
@@ -77,7 +78,7 @@
   SizeEstimate estimate;
   estimate.size = spec.declared;
   estimate.seconds = spec.seconds;
-  estimate.seconds_upper = spec.seconds * kUnseenSecondsFactor;
+  estimate.seconds_upper = spec.seconds * kUnobservedSecondsFactor;
   const auto team = m_teams.find(spec.team);
   if (team == m_teams.end()) {
     return estimate;
--- a/src/cassiastile/work/task.cpp
+++ b/src/cassiastile/work/task.cpp
@@ -127,8 +127,8 @@
   if (declared.cores <= 0 || declared.memory_gb < 0 ||
       declared.accelerators < 0 || spec.seconds <= 0) {
     return base::Fail(ErrorCode::kInvalid,
-                      "cores and seconds must be above zero, memory_gb and "
-                      "accelerators not below");
+                      "cores and seconds must be greater than zero, memory_gb "
+                      "and accelerators must not be negative");
   }
   if (spec.payload.size() > kMaxPayloadBytes) {
     return base::Fail(ErrorCode::kInvalid, "payload is larger than 64 KiB");
--- a/src/cassiastile/work/task_index.cpp
+++ b/src/cassiastile/work/task_index.cpp
@@ -25,8 +25,9 @@
   }
 }
 
-// Sums of many changes keep rounding errors; an empty one is zero again.
-void ForgetRounding(TeamTasks& team, WorkerTasks& worker) {
+// Sums of many changes accumulate rounding errors, so empty totals are reset to
+// zero.
+void ResetRounding(TeamTasks& team, WorkerTasks& worker) {
   if (team.in_use == 0) {
     team.charged = {};
   }
@@ -217,7 +218,7 @@
   CountOn(team.on_worker, lease.worker, add);
   WorkerTasks& worker = m_workers[lease.worker];
   worker.placed = worker.placed + entry.placed * sign;
-  ForgetRounding(team, worker);
+  ResetRounding(team, worker);
 }
 
 }  // namespace cassiastile::work
--- a/src/cassiastile/work/task_owner.cpp
+++ b/src/cassiastile/work/task_owner.cpp
@@ -15,7 +15,7 @@
     {Effect::kUnknown, "unknown"},
 }};
 
-// Whether an event that a batch handled so needs the batch's rows.
+// Whether an event with this reply takes effect only with the batch's rows.
 bool NeedsRows(const TaskReply& reply) {
   return reply.verdict == Verdict::kDone || reply.verdict == Verdict::kSame;
 }
@@ -51,9 +51,9 @@
 
 std::vector<TaskResult> TaskOwner::Handle(const std::vector<TaskEvent>& events,
                                           Moment moment,
-                                          const OwnerLease& grip) {
-  if (!Prepare(moment, grip)) {
-    return AnswerNothing(events, moment.now);
+                                          const OwnerLease& owner_lease) {
+  if (!Prepare(moment, owner_lease)) {
+    return RejectAll(events, moment.now);
   }
   if (m_must_read) {
     return HandleWhileReading(events, moment);
@@ -62,7 +62,7 @@
   TaskBatch batch = m_shard.Propose(events, moment);
   const Effect effect = WriteBatch(batch);
   if (effect != Effect::kCommitted) {
-    NoteFailure(moment.now);
+    StartBackoff(moment.now);
   }
   std::vector<TaskResult> results(events.size());
   for (std::size_t index = 0; index < events.size(); ++index) {
@@ -75,7 +75,7 @@
       results[index].answer =
           effect == Effect::kUnknown ? MakeRenewal() : m_shard.Answer(*poll);
       results[index].answer->shard_epoch =
-          effect == Effect::kUnknown ? 0 : m_grip.epoch;
+          effect == Effect::kUnknown ? 0 : m_owner_lease.epoch;
     }
   }
   return results;
@@ -97,10 +97,10 @@
   return m_shard;
 }
 
-bool TaskOwner::Prepare(Moment moment, const OwnerLease& grip) {
-  if (grip.epoch != m_grip.epoch ||
-      grip.fence.version != m_grip.fence.version) {
-    m_grip = grip;
+bool TaskOwner::Prepare(Moment moment, const OwnerLease& owner_lease) {
+  if (owner_lease.epoch != m_owner_lease.epoch ||
+      owner_lease.fence.version != m_owner_lease.fence.version) {
+    m_owner_lease = owner_lease;
     BeginRead();
     m_retry_at = {};
   }
@@ -108,7 +108,7 @@
     return false;
   }
   if (!ResolvePending() || !ReadIfNeeded(moment)) {
-    NoteFailure(moment.now);
+    StartBackoff(moment.now);
     return false;
   }
   return true;
@@ -136,22 +136,22 @@
 std::vector<TaskResult> TaskOwner::HandleWhileReading(
     const std::vector<TaskEvent>& events,
     Moment moment) {
-  std::vector<TaskResult> results = AnswerNothing(events, moment.now);
+  std::vector<TaskResult> results = RejectAll(events, moment.now);
   if (!m_options.open_while_reading) {
     return results;
   }
   std::vector<TaskEvent> submissions;
-  std::vector<std::size_t> places;
+  std::vector<std::size_t> positions;
   for (std::size_t index = 0; index < events.size(); ++index) {
     if (std::holds_alternative<SubmitEvent>(events[index])) {
       submissions.push_back(events[index]);
-      places.push_back(index);
+      positions.push_back(index);
     }
   }
   TaskBatch batch = m_shard.Propose(submissions, moment);
   const Effect effect = WriteBatch(batch);
-  for (std::size_t index = 0; index < places.size(); ++index) {
-    TaskResult& result = results[places[index]];
+  for (std::size_t index = 0; index < positions.size(); ++index) {
+    TaskResult& result = results[positions[index]];
     result.reply = std::move(batch.replies[index]);
     result.effect = NeedsRows(result.reply) ? effect : Effect::kCommitted;
   }
@@ -200,7 +200,7 @@
   }
   m_credits_at = moment.now;
   const auto grants =
-      m_store.ExchangeCredits(LimitNeeds(), m_grants, m_grip.fence);
+      m_store.ExchangeCredits(LimitNeeds(), m_grants, m_owner_lease.fence);
   if (!grants) {
     return;
   }
@@ -241,7 +241,7 @@
     return Effect::kCommitted;
   }
   ++m_batches_written;
-  const auto written = m_store.Write(batch.rows, m_grip.fence);
+  const auto written = m_store.Write(batch.rows, m_owner_lease.fence);
   if (written) {
     m_backoff = {};
     Record(std::move(batch.decisions));
@@ -254,22 +254,22 @@
   }
   RecordRefusals(std::move(batch.decisions));
   m_shard.RollBack();
-  // A conflict while reading may only mean that an id submitted again is in a
-  // page not read yet.
+  // A conflict while reading may only mean that a resubmitted id is in a page
+  // that was not read yet.
   if (written.error().code == base::ErrorCode::kConflict && !m_must_read) {
     BeginRead();
   }
   return Effect::kNotRun;
 }
 
-void TaskOwner::NoteFailure(base::TimePoint now) {
+void TaskOwner::StartBackoff(base::TimePoint now) {
   m_backoff = m_backoff == base::Duration{}
                   ? m_options.first_backoff
                   : std::min(m_backoff * 2, m_options.longest_backoff);
   m_retry_at = now + m_backoff;
 }
 
-std::vector<TaskResult> TaskOwner::AnswerNothing(
+std::vector<TaskResult> TaskOwner::RejectAll(
     const std::vector<TaskEvent>& events,
     base::TimePoint now) {
   std::vector<TaskResult> results(events.size());
--- a/src/cassiastile/work/task_policy_test.cpp
+++ b/src/cassiastile/work/task_policy_test.cpp
@@ -21,7 +21,7 @@
   return spec;
 }
 
-TEST(SizeEstimateTest, LearnsWhatADeclarationHides) {
+TEST(SizeEstimateTest, LearnsActualSizeWhereDeclarationIsWrong) {
   SizeEstimator sizes;
   EXPECT_EQ(sizes.Estimate(MakeSpec("a", "k")).size.cores, 8);
   for (int run = 0; run < 5; ++run) {
@@ -33,7 +33,7 @@
   EXPECT_NEAR(estimate.seconds, 25, 0.1);
 }
 
-TEST(SizeEstimateTest, RenamingAKindGainsNothing) {
+TEST(SizeEstimateTest, NewKindStartsFromTheTeamsDeclarationError) {
   SizeEstimator sizes;
   for (int run = 0; run < 5; ++run) {
     sizes.ObserveUsage(MakeSpec("a", "k"), {32, 64, 0});
@@ -104,7 +104,7 @@
   EXPECT_TRUE(PickHost(hosts, request, clock.Now()).has_value());
 }
 
-TEST(WorkerHealthTest, TaskThatFailsEverywhereQuarantinesNobody) {
+TEST(WorkerHealthTest, TaskThatFailsOnEveryWorkerQuarantinesNone) {
   WorkerHealthTracker health;
   base::ManualClock clock;
   for (const std::string worker : {"w0", "w1", "w2"}) {
--- a/src/cassiastile/work/task_shard.cpp
+++ b/src/cassiastile/work/task_shard.cpp
@@ -49,7 +49,7 @@
   return host;
 }
 
-// The number of a name, a new one where it has none yet.
+// The number assigned to a name; assigns the next one to a new name.
 std::size_t NumberOf(std::map<std::string, std::size_t>& numbers,
                      const std::string& name) {
   return numbers.try_emplace(name, numbers.size()).first->second;
@@ -70,14 +70,14 @@
       m_health(options.health) {}
 
 void TaskShard::BeginLoad() {
-  m_book.Clear();
+  m_tasks.Clear();
   m_workers.clear();
   m_loaded = false;
 }
 
 void TaskShard::Load(Task task, std::uint64_t version) {
-  if (m_book.Find(KeyOf(task.spec)) == nullptr) {
-    m_book.Load(std::move(task), version);
+  if (m_tasks.Find(KeyOf(task.spec)) == nullptr) {
+    m_tasks.Load(std::move(task), version);
   }
 }
 
@@ -85,8 +85,8 @@
   m_loaded = true;
   m_moment = moment;
   m_changed = true;
-  m_recheck_hopeless = true;
-  for (const auto& [worker, tasks] : m_book.Workers()) {
+  m_recheck_unschedulable = true;
+  for (const auto& [worker, tasks] : m_tasks.Workers()) {
     m_workers[worker].last_poll = moment.now;
   }
 }
@@ -128,7 +128,7 @@
     m_largest = Largest(m_largest, m_hosts.back().capacity);
   }
   m_shares.SetCapacity(capacity);
-  m_recheck_hopeless = true;
+  m_recheck_unschedulable = true;
   m_changed = true;
 }
 
@@ -149,40 +149,40 @@
         [this](const auto& event) { return On(event); }, events[index]);
   }
   if (m_loaded) {
-    LapseSilentWorkers();
-    RecheckHopeless();
+    ExpireSilentWorkers();
+    RecheckUnschedulable();
     Dispatch();
-    DeleteOld();
+    DeleteExpired();
   }
   SyncShares();
-  batch.rows = m_book.Rows();
+  batch.rows = m_tasks.Rows();
   batch.decisions = std::move(m_decisions);
   return batch;
 }
 
 std::vector<base::Decision> TaskShard::Confirm() {
-  m_book.Confirm();
+  m_tasks.Confirm();
   m_decisions.clear();
-  for (const Lesson& lesson : m_lessons) {
-    std::visit([this](const auto& learnt) { Learn(learnt); }, lesson);
+  for (const Observation& observation : m_observations) {
+    std::visit([this](const auto& learnt) { Learn(learnt); }, observation);
   }
-  m_lessons.clear();
+  m_observations.clear();
   return std::move(m_decisions);
 }
 
 void TaskShard::RollBack() {
-  m_book.RollBack();
-  m_lessons.clear();
+  m_tasks.RollBack();
+  m_observations.clear();
   m_changed = true;
   SyncShares();
 }
 
 const TaskEntry* TaskShard::Find(const std::string& key) const {
-  return m_book.Find(key);
+  return m_tasks.Find(key);
 }
 
 std::string TaskShard::Explain(const std::string& key) const {
-  const TaskEntry* entry = m_book.Find(key);
+  const TaskEntry* entry = m_tasks.Find(key);
   if (entry == nullptr) {
     return "";
   }
@@ -198,7 +198,7 @@
 }
 
 const TaskIndex& TaskShard::Tasks() const {
-  return m_book;
+  return m_tasks;
 }
 
 const ShareAccount& TaskShard::Shares() const {
@@ -214,11 +214,11 @@
 }
 
 std::uint32_t TaskShard::InUse(const std::string& team) const {
-  return m_book.TeamOf(team).in_use;
+  return m_tasks.TeamOf(team).in_use;
 }
 
 std::uint32_t TaskShard::Wanted(const std::string& team) const {
-  const TeamTasks& tasks = m_book.TeamOf(team);
+  const TeamTasks& tasks = m_tasks.TeamOf(team);
   const std::size_t wanted =
       tasks.in_use + tasks.urgent.size() + tasks.normal.size();
   return static_cast<std::uint32_t>(wanted);
@@ -227,18 +227,18 @@
 TaskReply TaskShard::On(const SubmitEvent& event) {
   const TaskSpec& spec = event.spec;
   const std::string key = KeyOf(spec);
-  if (const TaskEntry* known = m_book.Find(key)) {
+  if (const TaskEntry* known = m_tasks.Find(key)) {
     if (known->task.spec == spec) {
       return {Verdict::kSame, "", ""};
     }
     return Refuse(spec, Verdict::kConflict,
                   "the id was used before with another body");
   }
-  if (m_book.Size() >= m_options.max_tasks) {
+  if (m_tasks.Size() >= m_options.max_tasks) {
     return Refuse(spec, Verdict::kFull,
-                  fmt::format("the pool keeps {} tasks", m_book.Size()));
+                  fmt::format("the pool keeps {} tasks", m_tasks.Size()));
   }
-  const std::string unschedulable = WhyHopeless(spec);
+  const std::string unschedulable = WhyUnschedulable(spec);
   if (!unschedulable.empty()) {
     return Refuse(spec, Verdict::kRefused, unschedulable);
   }
@@ -247,14 +247,14 @@
   entry.placed = spec.declared;
   entry.charged = spec.declared;
   const auto wall = static_cast<std::uint64_t>(WallMilliseconds(m_moment.wall));
-  entry.task.sequence = std::max(m_book.LastSequence() + 1, wall);
+  entry.task.sequence = std::max(m_tasks.LastSequence() + 1, wall);
   Write(std::move(entry), "waits for its turn");
   m_changed = true;
   return {};
 }
 
 TaskReply TaskShard::On(const CancelEvent& event) {
-  const TaskEntry* found = m_book.Find(event.key);
+  const TaskEntry* found = m_tasks.Find(event.key);
   if (found == nullptr) {
     return {Verdict::kNotFound, "no such task", ""};
   }
@@ -275,7 +275,7 @@
 }
 
 TaskReply TaskShard::On(const ResolveEvent& event) {
-  const TaskEntry* found = m_book.Find(event.key);
+  const TaskEntry* found = m_tasks.Find(event.key);
   if (found == nullptr) {
     return {Verdict::kNotFound, "no such task", ""};
   }
@@ -310,7 +310,7 @@
   return {verdict, std::move(reason), decision.id};
 }
 
-std::string TaskShard::WhyHopeless(const TaskSpec& spec) const {
+std::string TaskShard::WhyUnschedulable(const TaskSpec& spec) const {
   const auto limit = m_limits.find(spec.team);
   if (limit != m_limits.end() && limit->second == 0) {
     return "the upper limit of team " + spec.team + " is 0 tasks";
@@ -327,13 +327,13 @@
       spec.declared.cores, spec.declared.memory_gb, spec.declared.accelerators);
 }
 
-void TaskShard::RecheckHopeless() {
-  if (!m_recheck_hopeless) {
+void TaskShard::RecheckUnschedulable() {
+  if (!m_recheck_unschedulable) {
     return;
   }
-  m_recheck_hopeless = false;
+  m_recheck_unschedulable = false;
   std::vector<std::string> waiting;
-  for (const auto& [team, tasks] : m_book.Teams()) {
+  for (const auto& [team, tasks] : m_tasks.Teams()) {
     for (const TaskOrder* order :
          {&tasks.urgent, &tasks.normal, &tasks.unschedulable}) {
       for (const auto& [sequence, key] : *order) {
@@ -342,8 +342,8 @@
     }
   }
   for (const std::string& key : waiting) {
-    TaskEntry entry = *m_book.Find(key);
-    const std::string why = WhyHopeless(entry.task.spec);
+    TaskEntry entry = *m_tasks.Find(key);
+    const std::string why = WhyUnschedulable(entry.task.spec);
     if (entry.unschedulable == !why.empty()) {
       continue;
     }
@@ -352,14 +352,14 @@
     Decide(base::DecisionKind::kChange, entry.task,
            why.empty() ? "can run again" : "can't run",
            {"fits a host", "pools", m_version, entry.task.reason});
-    m_book.Put(std::move(entry), false);
+    m_tasks.Put(std::move(entry), false);
   }
 }
 
 void TaskShard::Write(TaskEntry entry, std::string reason) {
   entry.task.reason = std::move(reason);
   entry.task.changed_ms = WallMilliseconds(m_moment.wall);
-  m_book.Put(std::move(entry), true);
+  m_tasks.Put(std::move(entry), true);
 }
 
 void TaskShard::End(TaskEntry entry, TaskOutcome outcome, std::string reason) {
@@ -383,18 +383,18 @@
   Write(std::move(entry), std::move(reason));
 }
 
-void TaskShard::DeleteOld() {
+void TaskShard::DeleteExpired() {
   const std::int64_t oldest =
       WallMilliseconds(m_moment.wall) - base::Milliseconds(m_options.retention);
   std::vector<std::string> old;
-  for (const auto& [changed, key] : m_book.Ended()) {
+  for (const auto& [changed, key] : m_tasks.Ended()) {
     if (changed > oldest || old.size() >= m_options.max_deletions) {
       break;
     }
     old.push_back(key);
   }
   for (const std::string& key : old) {
-    m_book.Erase(key);
+    m_tasks.Erase(key);
   }
 }
 
--- a/src/cassiastile/work/task_shard_dispatch.cpp
+++ b/src/cassiastile/work/task_shard_dispatch.cpp
@@ -5,25 +5,28 @@
 
 #include "cassiastile/work/task_shard.hpp"
 
-// Whose task a shard starts next, and where.
+// Scheduling: which team's task a shard starts next, and where.
 
 namespace cassiastile::work {
 
 namespace {
 
-// How many of a team's first tasks are tried before it waits.
-constexpr std::size_t kHeadsTried = 4;
-// A pass that nothing new calls for is made after so long all the same.
+// How many of a team's first tasks are tried for placement before the team
+// waits.
+constexpr std::size_t kTasksTriedPerTeam = 4;
+// A pass is made after this time even if nothing changed.
 constexpr base::Duration kPassInterval = std::chrono::seconds(1);
-// How long a host that was asked to be left gets no new tasks. A wave that
-// means it drains the host by then.
-constexpr base::Duration kLeaveAsked = std::chrono::seconds(60);
-// How long room that was made for an urgent task is kept for it.
-constexpr base::Duration kRoomHeld = std::chrono::seconds(5);
-// A team's first task that waits for longer has a host kept for it.
-constexpr base::Duration kHoldAfter = std::chrono::milliseconds(500);
-// Below this part of its entitlement a team has room made for it.
-constexpr double kFarBelow = 0.5;
+// How long a host gets no new tasks after an evacuation was requested. A
+// maintenance wave that requested it drains the host by then.
+constexpr base::Duration kEvacuationPeriod = std::chrono::seconds(60);
+// How long resources freed by preemption are reserved for an urgent task.
+constexpr base::Duration kUrgentReservationTime = std::chrono::seconds(5);
+// A host is reserved for a team whose first task has waited for longer than
+// this.
+constexpr base::Duration kReserveHostAfter = std::chrono::milliseconds(500);
+// Tasks are preempted for a team whose share is below this fraction of its
+// entitlement.
+constexpr double kPreemptionThreshold = 0.5;
 
 const TaskOrder& OrderOf(const TeamTasks& tasks, bool urgent) {
   return urgent ? tasks.urgent : tasks.normal;
@@ -49,18 +52,18 @@
   }
   m_changed = false;
   m_last_dispatch = m_moment;
-  AskRunsToLeave();
-  PrepareHosts();
+  RequestEvacuations();
+  RefreshHosts();
   SyncShares();
   DispatchUrgency(true);
-  MakeRoomForUrgent();
+  PreemptForUrgent();
   DispatchUrgency(false);
-  MakeRoomForShares();
+  PreemptForShares();
 }
 
-void TaskShard::PrepareHosts() {
+void TaskShard::RefreshHosts() {
   for (PlacementHost& host : m_hosts) {
-    PrepareHost(host);
+    RefreshHost(host);
   }
   if (m_has_urgent) {
     double cores = 0;
@@ -72,30 +75,31 @@
   }
 }
 
-void TaskShard::PrepareHost(PlacementHost& host) const {
-  const WorkerTasks& tasks = m_book.WorkerOf(host.name);
+void TaskShard::RefreshHost(PlacementHost& host) const {
+  const WorkerTasks& tasks = m_tasks.WorkerOf(host.name);
   host.placed = tasks.placed;
   host.claimed = {};
   host.reserve = {};
-  const auto held = m_held_until.find(host.name);
-  host.held = held != m_held_until.end() && m_moment.now < held->second;
+  const auto held = m_reserved_until.find(host.name);
+  host.held = held != m_reserved_until.end() && m_moment.now < held->second;
   host.reserved_for_team.clear();
   const auto worker = m_workers.find(host.name);
-  host.open = host.in_service && !m_leaving_until.contains(host.name) &&
+  host.open = host.in_service && !m_evacuating_until.contains(host.name) &&
               worker != m_workers.end() && worker->second.polled &&
               !worker->second.leaving &&
               m_moment.now - worker->second.last_poll <= m_options.silence;
-  const WorkerHealthState trust = m_health.HealthOf(host.name, m_moment.now);
-  host.idempotent_only = trust == WorkerHealthState::kProbing;
-  if (trust == WorkerHealthState::kQuarantined ||
-      (trust == WorkerHealthState::kProbing && !tasks.runs.empty())) {
+  const WorkerHealthState health_state =
+      m_health.HealthOf(host.name, m_moment.now);
+  host.idempotent_only = health_state == WorkerHealthState::kProbing;
+  if (health_state == WorkerHealthState::kQuarantined ||
+      (health_state == WorkerHealthState::kProbing && !tasks.runs.empty())) {
     host.open = false;
   }
 }
 
 void TaskShard::DispatchUrgency(bool urgent) {
   std::vector<std::string> teams = WaitingTeams(urgent);
-  bool first_without_room = true;
+  bool first_blocked = true;
   while (!teams.empty()) {
     const auto next = std::min_element(
         teams.begin(), teams.end(),
@@ -105,23 +109,23 @@
     const std::string team = *next;
     const PlaceResult result = PlaceNext(team, urgent);
     if (result == PlaceResult::kPlaced) {
-      m_shares.SetUse(team, m_book.TeamOf(team).charged, DemandOf(team));
+      m_shares.SetUse(team, m_tasks.TeamOf(team).charged, DemandOf(team));
       m_waits[team] = {};
       continue;
     }
     teams.erase(next);
-    if (result == PlaceResult::kNoRoom && !urgent && first_without_room) {
-      first_without_room = false;
-      const TaskOrder& order = m_book.TeamOf(team).normal;
-      const TaskEntry* head = m_book.Find(order.begin()->second);
-      HoldRoomiestHost(team, EstimateFor(head->task.spec).size);
+    if (result == PlaceResult::kNoRoom && !urgent && first_blocked) {
+      first_blocked = false;
+      const TaskOrder& order = m_tasks.TeamOf(team).normal;
+      const TaskEntry* head = m_tasks.Find(order.begin()->second);
+      ReserveEmptiestHost(team, EstimateFor(head->task.spec).size);
     }
   }
 }
 
 TaskShard::PlaceResult TaskShard::PlaceNext(const std::string& team,
                                             bool urgent) {
-  const TeamTasks& tasks = m_book.TeamOf(team);
+  const TeamTasks& tasks = m_tasks.TeamOf(team);
   const TaskOrder& order = OrderOf(tasks, urgent);
   if (order.empty()) {
     return PlaceResult::kNone;
@@ -134,8 +138,8 @@
     return PlaceResult::kAtLimit;
   }
   const TeamSpread spread = SpreadOf(team);
-  for (const std::string& key : FirstOf(order, kHeadsTried)) {
-    if (PlaceOne(*m_book.Find(key), spread)) {
+  for (const std::string& key : FirstOf(order, kTasksTriedPerTeam)) {
+    if (PlaceOne(*m_tasks.Find(key), spread)) {
       return PlaceResult::kPlaced;
     }
   }
@@ -228,7 +232,7 @@
   TeamSpread spread;
   spread.zones.resize(m_zones.size());
   spread.racks.resize(m_racks.size());
-  for (const auto& [worker, count] : m_book.TeamOf(team).on_worker) {
+  for (const auto& [worker, count] : m_tasks.TeamOf(team).on_worker) {
     const auto index = m_host_index.find(worker);
     if (index != m_host_index.end()) {
       spread.zones[m_hosts[index->second].zone] += count;
@@ -246,44 +250,44 @@
   const auto grant = m_grants.find(team);
   const std::uint32_t granted =
       grant == m_grants.end() ? 0 : std::min(grant->second, limit->second);
-  return m_book.TeamOf(team).in_use >= granted;
+  return m_tasks.TeamOf(team).in_use >= granted;
 }
 
-void TaskShard::MakeRoomForUrgent() {
+void TaskShard::PreemptForUrgent() {
   for (const std::string& team : WaitingTeams(true)) {
     if (AtLimit(team)) {
       continue;
     }
-    const TaskOrder& order = m_book.TeamOf(team).urgent;
-    for (const std::string& key : FirstOf(order, kHeadsTried)) {
-      MakeRoom(EstimateFor(m_book.Find(key)->task.spec).size, "");
+    const TaskOrder& order = m_tasks.TeamOf(team).urgent;
+    for (const std::string& key : FirstOf(order, kTasksTriedPerTeam)) {
+      Preempt(EstimateFor(m_tasks.Find(key)->task.spec).size, "");
     }
   }
 }
 
-void TaskShard::MakeRoomForShares() {
+void TaskShard::PreemptForShares() {
   for (const std::string& team : WaitingTeams(false)) {
     const base::TimePoint since = m_waits[team].waiting_since;
     const bool patient = since == base::TimePoint{} ||
                          m_moment.now - since < m_options.preemption_delay;
-    const bool near =
-        m_shares.CurrentShare(team) >= kFarBelow * m_shares.Entitlement(team);
+    const bool near = m_shares.CurrentShare(team) >=
+                      kPreemptionThreshold * m_shares.Entitlement(team);
     if (patient || near || AtLimit(team)) {
       continue;
     }
-    const std::string key = m_book.TeamOf(team).normal.begin()->second;
-    MakeRoom(EstimateFor(m_book.Find(key)->task.spec).size, team);
+    const std::string key = m_tasks.TeamOf(team).normal.begin()->second;
+    Preempt(EstimateFor(m_tasks.Find(key)->task.spec).size, team);
   }
 }
 
-void TaskShard::MakeRoom(const Resources& size, const std::string& for_team) {
+void TaskShard::Preempt(const Resources& size, const std::string& for_team) {
   PlacementHost* best = nullptr;
   std::vector<std::string> best_runs;
   for (PlacementHost& host : m_hosts) {
     if (!host.open || host.idempotent_only) {
       continue;
     }
-    auto runs = RunsInTheWay(host, size, for_team);
+    auto runs = FindRunsToPreempt(host, size, for_team);
     if (runs && (best == nullptr || runs->size() < best_runs.size())) {
       best = &host;
       best_runs = std::move(*runs);
@@ -293,36 +297,36 @@
     return;
   }
   for (const std::string& key : best_runs) {
-    AskForCheckpoint(key);
+    RequestCheckpoint(key);
   }
   best->claimed = best->claimed + size;
   best->held = true;
   best->reserved_for_team = for_team;
   if (for_team.empty()) {
-    m_held_until[best->name] = m_moment.now + kRoomHeld;
+    m_reserved_until[best->name] = m_moment.now + kUrgentReservationTime;
   }
 }
 
-std::optional<std::vector<std::string>> TaskShard::RunsInTheWay(
+std::optional<std::vector<std::string>> TaskShard::FindRunsToPreempt(
     const PlacementHost& host,
     const Resources& size,
     const std::string& for_team) const {
   Resources free = host.capacity - host.placed - host.claimed;
-  std::vector<const TaskEntry*> yielding;
-  for (const std::string& key : m_book.WorkerOf(host.name).runs) {
-    const TaskEntry* entry = m_book.Find(key);
+  std::vector<const TaskEntry*> preemptible;
+  for (const std::string& key : m_tasks.WorkerOf(host.name).runs) {
+    const TaskEntry* entry = m_tasks.Find(key);
     if (entry->request == RunRequest::kCheckpoint) {
       free = free + entry->placed;
-    } else if (MayYield(*entry, for_team)) {
-      yielding.push_back(entry);
+    } else if (IsPreemptible(*entry, for_team)) {
+      preemptible.push_back(entry);
     }
   }
-  std::sort(yielding.begin(), yielding.end(),
+  std::sort(preemptible.begin(), preemptible.end(),
             [](const TaskEntry* left, const TaskEntry* right) {
               return left->placed.cores > right->placed.cores;
             });
   std::vector<std::string> keys;
-  for (const TaskEntry* entry : yielding) {
+  for (const TaskEntry* entry : preemptible) {
     if (Fits(size, free)) {
       break;
     }
@@ -335,8 +339,8 @@
   return keys;
 }
 
-bool TaskShard::MayYield(const TaskEntry& entry,
-                         const std::string& for_team) const {
+bool TaskShard::IsPreemptible(const TaskEntry& entry,
+                              const std::string& for_team) const {
   const Task& task = entry.task;
   if (task.state != TaskState::kRunning || !task.spec.checkpointable ||
       task.spec.urgent || task.cancel_requested) {
@@ -348,16 +352,16 @@
           m_shares.CurrentShare(team) > m_shares.Entitlement(team));
 }
 
-void TaskShard::AskForCheckpoint(const std::string& key) {
-  TaskEntry entry = *m_book.Find(key);
+void TaskShard::RequestCheckpoint(const std::string& key) {
+  TaskEntry entry = *m_tasks.Find(key);
   entry.request = RunRequest::kCheckpoint;
-  m_book.Put(std::move(entry), false);
+  m_tasks.Put(std::move(entry), false);
 }
 
-void TaskShard::HoldRoomiestHost(const std::string& team,
-                                 const Resources& size) {
+void TaskShard::ReserveEmptiestHost(const std::string& team,
+                                    const Resources& size) {
   const base::TimePoint since = m_waits[team].waiting_since;
-  if (since == base::TimePoint{} || m_moment.now - since < kHoldAfter) {
+  if (since == base::TimePoint{} || m_moment.now - since < kReserveHostAfter) {
     return;
   }
   PlacementHost* best = nullptr;
@@ -380,13 +384,13 @@
 }
 
 void TaskShard::SyncShares() {
-  for (const auto& [team, tasks] : m_book.Teams()) {
+  for (const auto& [team, tasks] : m_tasks.Teams()) {
     m_shares.SetUse(team, tasks.charged, DemandOf(team));
   }
 }
 
 Demand TaskShard::DemandOf(const std::string& team) const {
-  const TeamTasks& tasks = m_book.TeamOf(team);
+  const TeamTasks& tasks = m_tasks.TeamOf(team);
   const bool waits = !tasks.urgent.empty() || !tasks.normal.empty();
   if (waits && !AtLimit(team)) {
     return Demand::kWaiting;
@@ -396,7 +400,7 @@
 
 std::vector<std::string> TaskShard::WaitingTeams(bool urgent) const {
   std::vector<std::string> teams;
-  for (const auto& [team, tasks] : m_book.Teams()) {
+  for (const auto& [team, tasks] : m_tasks.Teams()) {
     if (!OrderOf(tasks, urgent).empty()) {
       teams.push_back(team);
     }
@@ -406,24 +410,24 @@
 
 void TaskShard::RequestEvacuation(const std::string& host,
                                   base::TimePoint now) {
-  m_leaving_until[host] = now + kLeaveAsked;
+  m_evacuating_until[host] = now + kEvacuationPeriod;
   m_changed = true;
 }
 
-void TaskShard::AskRunsToLeave() {
-  std::erase_if(m_leaving_until, [this](const auto& asked) {
+void TaskShard::RequestEvacuations() {
+  std::erase_if(m_evacuating_until, [this](const auto& asked) {
     return m_moment.now >= asked.second;
   });
   for (const PlacementHost& host : m_hosts) {
-    if (!host.draining && !m_leaving_until.contains(host.name)) {
+    if (!host.draining && !m_evacuating_until.contains(host.name)) {
       continue;
     }
-    const std::set<std::string> runs = m_book.WorkerOf(host.name).runs;
+    const std::set<std::string> runs = m_tasks.WorkerOf(host.name).runs;
     for (const std::string& key : runs) {
-      const TaskEntry* entry = m_book.Find(key);
+      const TaskEntry* entry = m_tasks.Find(key);
       if (entry->task.spec.checkpointable &&
           entry->request == RunRequest::kNone) {
-        AskForCheckpoint(key);
+        RequestCheckpoint(key);
       }
     }
   }
@@ -432,8 +436,8 @@
 fleet::HostWork TaskShard::WorkOn(const std::string& host,
                                   base::TimePoint now) const {
   fleet::HostWork work;
-  for (const std::string& key : m_book.WorkerOf(host).runs) {
-    const TaskEntry* entry = m_book.Find(key);
+  for (const std::string& key : m_tasks.WorkerOf(host).runs) {
+    const TaskEntry* entry = m_tasks.Find(key);
     ++work.running;
     work.without_checkpoint += entry->task.spec.checkpointable ? 0 : 1;
     const std::chrono::duration<double> ran = now - entry->started;
--- a/src/cassiastile/work/task_shard_poll.cpp
+++ b/src/cassiastile/work/task_shard_poll.cpp
@@ -6,13 +6,13 @@
 
 #include "cassiastile/work/task_shard.hpp"
 
-// What a shard does with what workers say, and with their silence.
+// How a shard handles workers' polls and their silence.
 
 namespace cassiastile::work {
 
 namespace {
 
-// Usage over a host's cores by less than this part is let be.
+// Usage may exceed a host's cores by this factor before runs are throttled.
 constexpr double kThrottleSlack = 1.05;
 constexpr double kLeastThrottle = 0.25;
 
@@ -61,10 +61,10 @@
     OnEnded(poll, ended);
   }
   for (const HeldTask& held : poll.held) {
-    OnHeld(poll, held);
+    OnReportedRun(poll, held);
   }
   if (poll.pool == m_pool) {
-    OnNotHeld(poll);
+    OnUnreportedRuns(poll);
   }
   Throttle(poll);
   return {};
@@ -78,43 +78,43 @@
   }
 }
 
-void TaskShard::Learn(const EndLesson& lesson) {
-  const std::string& kind = lesson.spec.kind;
+void TaskShard::Learn(const RunEndObservation& observation) {
+  const std::string& kind = observation.spec.kind;
   const bool quarantined =
-      m_health.RecordEnd(lesson.worker, lesson.spec.team + "/" + kind,
-                         lesson.succeeded, m_moment.now);
-  if (lesson.succeeded) {
-    m_sizes.ObserveSeconds(lesson.spec, lesson.seconds);
+      m_health.RecordEnd(observation.worker, observation.spec.team + "/" + kind,
+                         observation.succeeded, m_moment.now);
+  if (observation.succeeded) {
+    m_sizes.ObserveSeconds(observation.spec, observation.seconds);
   }
   if (quarantined) {
     Task task;
-    task.spec = lesson.spec;
+    task.spec = observation.spec;
     Decide(base::DecisionKind::kChange, task,
-           "worker " + lesson.worker + " quarantined",
+           "worker " + observation.worker + " quarantined",
            {"worker fails what succeeds elsewhere", "", m_version,
-            m_health.Evidence(lesson.worker)});
+            m_health.Evidence(observation.worker)});
   }
 }
 
-void TaskShard::Learn(const UsageLesson& lesson) {
-  m_sizes.ObserveUsage(lesson.spec, lesson.usage);
+void TaskShard::Learn(const UsageObservation& observation) {
+  m_sizes.ObserveUsage(observation.spec, observation.usage);
 }
 
-void TaskShard::Learn(const ChargeLesson& lesson) {
-  m_shares.Correct(lesson.team, lesson.correction);
+void TaskShard::Learn(const ChargeCorrection& observation) {
+  m_shares.Correct(observation.team, observation.correction);
 }
 
 void TaskShard::OnNewIncarnation(const WorkerPoll& poll) {
-  const WorkerTasks tasks = m_book.WorkerOf(poll.worker);
+  const WorkerTasks tasks = m_tasks.WorkerOf(poll.worker);
   for (const std::string& key : tasks.runs) {
-    const TaskEntry* entry = m_book.Find(key);
+    const TaskEntry* entry = m_tasks.Find(key);
     if (entry->task.lease.incarnation < poll.incarnation) {
       OnRunStopped(*entry, true,
                    fmt::format("worker {} started anew", poll.worker));
     }
   }
   for (const std::string& key : tasks.unconfirmed) {
-    const std::vector<TaskLease> leases = m_book.Find(key)->task.unconfirmed;
+    const std::vector<TaskLease> leases = m_tasks.Find(key)->task.unconfirmed;
     for (const TaskLease& lease : leases) {
       if (lease.worker == poll.worker && lease.incarnation < poll.incarnation) {
         ClearUnconfirmed(key, lease);
@@ -123,22 +123,22 @@
   }
 }
 
-void TaskShard::OnHeld(const WorkerPoll& poll, const HeldTask& held) {
-  const TaskEntry* found = m_book.Find(held.key);
+void TaskShard::OnReportedRun(const WorkerPoll& poll, const HeldTask& held) {
+  const TaskEntry* found = m_tasks.Find(held.key);
   if (found == nullptr || !IsRunOf(found->task, poll, held.epoch)) {
     return;
   }
   const Resources usage{held.usage.cores, held.usage.memory_gb,
                         found->task.spec.declared.accelerators};
-  const bool news =
+  const bool usage_changed =
       held.measured && (!found->measured || found->charged != usage);
-  if (found->task.state == TaskState::kRunning && !news) {
-    m_book.SetProgress(held.key, held.progress);
+  if (found->task.state == TaskState::kRunning && !usage_changed) {
+    m_tasks.SetProgress(held.key, held.progress);
     return;
   }
   TaskEntry entry = *found;
   entry.task.progress = held.progress;
-  if (news) {
+  if (usage_changed) {
     OnMeasured(entry, usage);
   }
   const bool was_in_doubt = entry.task.state == TaskState::kInDoubt;
@@ -146,7 +146,7 @@
   if (was_in_doubt) {
     Write(std::move(entry), "its worker came back and still runs it");
   } else {
-    m_book.Put(std::move(entry), false);
+    m_tasks.Put(std::move(entry), false);
   }
 }
 
@@ -154,9 +154,9 @@
   Account(entry);
   if (!entry.measured) {
     const Resources used = usage * Seconds(m_moment.now - entry.started);
-    m_lessons.emplace_back(UsageLesson{entry.task.spec, usage});
-    m_lessons.emplace_back(
-        ChargeLesson{entry.task.spec.team, used - entry.accounted});
+    m_observations.emplace_back(UsageObservation{entry.task.spec, usage});
+    m_observations.emplace_back(
+        ChargeCorrection{entry.task.spec.team, used - entry.accounted});
     entry.accounted = used;
     entry.measured = true;
   }
@@ -172,7 +172,7 @@
 }
 
 void TaskShard::OnEnded(const WorkerPoll& poll, const EndedRun& ended) {
-  const TaskEntry* found = m_book.Find(ended.key);
+  const TaskEntry* found = m_tasks.Find(ended.key);
   if (found == nullptr) {
     return;
   }
@@ -187,13 +187,13 @@
   const std::string worker = entry.task.lease.worker;
   if (ended.used != Resources{} || ended.end == RunEnd::kNotStarted) {
     Account(entry);
-    m_lessons.emplace_back(
-        ChargeLesson{entry.task.spec.team, ended.used - entry.accounted});
+    m_observations.emplace_back(
+        ChargeCorrection{entry.task.spec.team, ended.used - entry.accounted});
   }
   switch (ended.end) {
     case RunEnd::kSucceeded:
-      m_lessons.emplace_back(
-          EndLesson{entry.task.spec, worker, true, ended.seconds});
+      m_observations.emplace_back(
+          RunEndObservation{entry.task.spec, worker, true, ended.seconds});
       entry.task.progress = 1;
       End(std::move(entry), TaskOutcome::kSucceeded, "succeeded on " + worker);
       return;
@@ -219,24 +219,27 @@
 
 void TaskShard::OnFailed(TaskEntry entry, const EndedRun& ended) {
   const std::string worker = entry.task.lease.worker;
-  m_lessons.emplace_back(EndLesson{entry.task.spec, worker, false, 0});
+  m_observations.emplace_back(
+      RunEndObservation{entry.task.spec, worker, false, 0});
   entry.task.failed_on.push_back(worker);
   const auto& failed_on = entry.task.failed_on;
-  const auto by_sick = std::count_if(
+  const auto on_unhealthy = std::count_if(
       failed_on.begin(), failed_on.end(), [this](const std::string& name) {
         return m_health.HealthOf(name, m_moment.now) !=
                WorkerHealthState::kHealthy;
       });
-  // Failures on workers found sick don't count, but no task is tried for ever.
+  // Failures on unhealthy workers don't count, but the total number of tries is
+  // bounded.
   const std::size_t tries =
-      failed_on.size() - static_cast<std::size_t>(by_sick);
-  const bool spent = tries >= m_options.max_tries ||
-                     failed_on.size() >= std::size_t{2} * m_options.max_tries;
+      failed_on.size() - static_cast<std::size_t>(on_unhealthy);
+  const bool tries_exhausted =
+      tries >= m_options.max_tries ||
+      failed_on.size() >= std::size_t{2} * m_options.max_tries;
   const std::string why =
       fmt::format("failed on {}: {}", worker, ended.message);
   if (!entry.task.spec.idempotent) {
     End(std::move(entry), TaskOutcome::kFailed, why);
-  } else if (spent) {
+  } else if (tries_exhausted) {
     const std::size_t count = failed_on.size();
     End(std::move(entry), TaskOutcome::kFailed,
         fmt::format("given up after {} tries; last {}", count, why));
@@ -245,17 +248,18 @@
   }
 }
 
-void TaskShard::OnNotHeld(const WorkerPoll& poll) {
-  const WorkerTasks tasks = m_book.WorkerOf(poll.worker);
-  const std::set<std::string> said = KeysOf(poll);
+void TaskShard::OnUnreportedRuns(const WorkerPoll& poll) {
+  const WorkerTasks tasks = m_tasks.WorkerOf(poll.worker);
+  const std::set<std::string> reported_keys = KeysOf(poll);
   for (const std::string& key : tasks.runs) {
-    const TaskEntry* entry = m_book.Find(key);
-    if (said.contains(key) ||
+    const TaskEntry* entry = m_tasks.Find(key);
+    if (reported_keys.contains(key) ||
         entry->task.lease.incarnation != poll.incarnation) {
       continue;
     }
-    // A worker holds or reports what it started, so one that does neither has
-    // not taken the start. It takes no answer to an older poll any more.
+    // A worker lists every run that it started as held or ended, so a run that
+    // is in neither list was not started. The worker ignores answers to older
+    // polls, so it will not start it later.
     if (entry->task.state == TaskState::kRunning) {
       OnRunStopped(*entry, true,
                    fmt::format("worker {} no longer runs it", poll.worker));
@@ -266,11 +270,11 @@
     }
   }
   for (const std::string& key : tasks.unconfirmed) {
-    const std::vector<TaskLease> leases = m_book.Find(key)->task.unconfirmed;
+    const std::vector<TaskLease> leases = m_tasks.Find(key)->task.unconfirmed;
     for (const TaskLease& lease : leases) {
       const bool same =
           lease.worker == poll.worker && lease.incarnation == poll.incarnation;
-      if (same && !said.contains(key)) {
+      if (same && !reported_keys.contains(key)) {
         ClearUnconfirmed(key, lease);
       }
     }
@@ -284,7 +288,7 @@
   }
   double unthrottled = 0;
   for (const HeldTask& held : poll.held) {
-    const TaskEntry* found = m_book.Find(held.key);
+    const TaskEntry* found = m_tasks.Find(held.key);
     unthrottled += held.usage.cores / (found == nullptr ? 1 : found->throttle);
   }
   const double cores = m_hosts[host->second].capacity.cores;
@@ -292,18 +296,18 @@
   const double fraction =
       over ? std::max(kLeastThrottle, cores / unthrottled) : 1;
   for (const HeldTask& held : poll.held) {
-    const TaskEntry* found = m_book.Find(held.key);
+    const TaskEntry* found = m_tasks.Find(held.key);
     if (found == nullptr || found->task.spec.urgent ||
         found->throttle == fraction) {
       continue;
     }
     TaskEntry entry = *found;
     entry.throttle = fraction;
-    m_book.Put(std::move(entry), false);
+    m_tasks.Put(std::move(entry), false);
   }
 }
 
-void TaskShard::GiveUpRun(TaskEntry entry, const std::string& why) {
+void TaskShard::AbandonRun(TaskEntry entry, const std::string& why) {
   if (entry.task.spec.idempotent) {
     entry.task.unconfirmed.push_back(entry.task.lease);
     Requeue(std::move(entry), why);
@@ -335,7 +339,7 @@
 
 void TaskShard::ClearUnconfirmed(const std::string& key,
                                  const TaskLease& lease) {
-  TaskEntry entry = *m_book.Find(key);
+  TaskEntry entry = *m_tasks.Find(key);
   const auto removed = std::erase(entry.task.unconfirmed, lease);
   if (removed == 0) {
     return;
@@ -345,23 +349,23 @@
   Write(std::move(entry), std::move(reason));
 }
 
-void TaskShard::LapseSilentWorkers() {
+void TaskShard::ExpireSilentWorkers() {
   const base::Duration bound = m_options.lease + m_options.lease_margin;
   for (const auto& [name, worker] : m_workers) {
     const base::Duration silent = m_moment.now - worker.last_poll;
     if (silent <= bound) {
       continue;
     }
-    const std::set<std::string> runs = m_book.WorkerOf(name).runs;
+    const std::set<std::string> runs = m_tasks.WorkerOf(name).runs;
     for (const std::string& key : runs) {
-      const TaskEntry* entry = m_book.Find(key);
+      const TaskEntry* entry = m_tasks.Find(key);
       if (entry->task.state == TaskState::kInDoubt) {
         continue;
       }
-      GiveUpRun(*entry, fmt::format("worker {} under incarnation {} has not "
-                                    "polled for {:.0f} s, epoch {}",
-                                    name, entry->task.lease.incarnation,
-                                    Seconds(silent), entry->task.lease.epoch));
+      AbandonRun(*entry, fmt::format("worker {} under incarnation {} has not "
+                                     "polled for {:.0f} s, epoch {}",
+                                     name, entry->task.lease.incarnation,
+                                     Seconds(silent), entry->task.lease.epoch));
     }
   }
 }
@@ -372,19 +376,20 @@
   answer.home_pool = m_host_index.contains(poll.worker) ? m_pool : "";
   answer.lease = m_options.lease;
   answer.poll_after = m_options.poll_after;
-  const std::set<std::string> said = KeysOf(poll);
-  for (const std::string& key : m_book.WorkerOf(poll.worker).runs) {
-    const Task& task = m_book.Find(key)->task;
+  const std::set<std::string> reported_keys = KeysOf(poll);
+  for (const std::string& key : m_tasks.WorkerOf(poll.worker).runs) {
+    const Task& task = m_tasks.Find(key)->task;
     const bool startable = task.state == TaskState::kLeased &&
                            task.lease.incarnation == poll.incarnation &&
-                           !task.cancel_requested && !said.contains(key);
+                           !task.cancel_requested &&
+                           !reported_keys.contains(key);
     if (startable) {
       answer.start.push_back({task.spec, task.lease.epoch, task.checkpoint});
     }
   }
   for (const HeldTask& held : poll.held) {
     const RunRef run{held.key, held.epoch};
-    const TaskEntry* entry = m_book.Find(held.key);
+    const TaskEntry* entry = m_tasks.Find(held.key);
     const bool wanted = entry != nullptr &&
                         IsRunOf(entry->task, poll, held.epoch) &&
                         !entry->task.cancel_requested;
@@ -397,7 +402,7 @@
     }
   }
   for (const EndedRun& ended : poll.ended) {
-    const TaskEntry* entry = m_book.Find(ended.key);
+    const TaskEntry* entry = m_tasks.Find(ended.key);
     if (entry == nullptr || !IsRunOf(entry->task, poll, ended.epoch)) {
       answer.acknowledged.push_back({ended.key, ended.epoch});
     }
--- a/src/cassiastile/work/task_store.cpp
+++ b/src/cassiastile/work/task_store.cpp
@@ -104,7 +104,7 @@
     if (!task) {
       return base::Fail(
           ErrorCode::kInternal,
-          "The row " + row.key + " can't be read: " + task.error().message);
+          "The row " + row.key + " can't be decoded: " + task.error().message);
     }
     page.tasks.push_back({std::move(*task), row.version});
     page.last_key = row.key;
--- a/src/cassiastile/work/worker_health.cpp
+++ b/src/cassiastile/work/worker_health.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t kWorkersRemembered = 2;
+constexpr std::size_t kWorkersPerKind = 2;
 constexpr std::size_t kMaxKinds = 4096;
 
 }  // namespace
@@ -34,7 +34,7 @@
       health.failures_with_evidence >= m_options.failures_with_evidence;
   const bool suspect = health.failures >= m_options.failures_without_evidence &&
                        health.kinds.size() >= m_options.kinds_without_evidence;
-  if (!health.distrusted && !proven && !suspect) {
+  if (!health.was_quarantined && !proven && !suspect) {
     return false;
   }
   health.evidence = fmt::format(
@@ -48,7 +48,7 @@
 WorkerHealthState WorkerHealthTracker::HealthOf(const std::string& worker,
                                                 base::TimePoint now) const {
   const auto found = m_workers.find(worker);
-  if (found == m_workers.end() || !found->second.distrusted) {
+  if (found == m_workers.end() || !found->second.was_quarantined) {
     return WorkerHealthState::kHealthy;
   }
   return now < found->second.until ? WorkerHealthState::kQuarantined
@@ -85,7 +85,7 @@
   std::erase_if(successes, [&](const Success& success) {
     return success.worker == worker;
   });
-  if (successes.size() >= kWorkersRemembered) {
+  if (successes.size() >= kWorkersPerKind) {
     successes.erase(successes.begin());
   }
   successes.push_back({worker, now});
@@ -93,10 +93,11 @@
 
 void WorkerHealthTracker::Quarantine(Health& health,
                                      base::TimePoint now) const {
-  health.length = health.distrusted ? std::min(health.length * 2,
-                                               m_options.longest_quarantine)
-                                    : m_options.first_quarantine;
-  health.distrusted = true;
+  health.length =
+      health.was_quarantined
+          ? std::min(health.length * 2, m_options.longest_quarantine)
+          : m_options.first_quarantine;
+  health.was_quarantined = true;
   health.until = now + health.length;
 }
 
