--- a/include/cassiastile/work/task_shard.hpp
+++ b/include/cassiastile/work/task_shard.hpp
@@ -140,6 +140,7 @@
   // Asks the runs on a host that can be checkpointed to stop at a checkpoint,
   // and places no new tasks on it for a while.
   void RequestEvacuation(const std::string& host, base::TimePoint now);
+  // The runs on a host, and the time that the longest is expected to take.
   fleet::HostWork WorkOn(const std::string& host, base::TimePoint now) const;
 
   const TaskEntry* Find(const std::string& key) const;
--- a/src/cassiastile/work/share_account.cpp
+++ b/src/cassiastile/work/share_account.cpp
@@ -64,9 +64,10 @@
     return m_floor;
   }
   const Account& account = found->second;
-  const Resources soon = account.unsettled + account.use * Seconds(m_horizon);
+  const Resources projected =
+      account.unsettled + account.use * Seconds(m_horizon);
   return account.settled_usage +
-         DominantShare(soon, m_capacity) / account.weight;
+         DominantShare(projected, m_capacity) / account.weight;
 }
 
 double ShareAccount::Entitlement(const std::string& team) const {
