--- a/include/cassiastile/host/asio_loop.hpp
+++ b/include/cassiastile/host/asio_loop.hpp
@@ -8,7 +8,8 @@
 
 namespace cassiastile::host {
 
-// The loop of a real process.
+// Loop that runs callbacks on an asio::io_context and takes the time from the
+// given clock. Both must outlive it.
 class AsioLoop final : public Loop {
  public:
   AsioLoop(asio::io_context& context, const base::Clock& clock)
--- a/include/cassiastile/host/config_watcher.hpp
+++ b/include/cassiastile/host/config_watcher.hpp
@@ -9,10 +9,12 @@
 
 namespace cassiastile::host {
 
-// Follows what operators write to the table: the configuration and the waves of
-// upkeep. Versions only go forward; they also come from other hosts.
+// Follows the operators' table: the fleet configuration and the maintenance
+// waves. The configuration's version never decreases; newer ones may also come
+// from other hosts.
 class ConfigWatcher {
  public:
+  // Called on the loop after a new configuration or changed waves.
   struct Listener {
     std::function<void(const std::shared_ptr<const jobs::FleetConfig>&)>
         on_config;
@@ -21,23 +23,28 @@
 
   ConfigWatcher(HostPorts& ports, Loop& loop, EventLog& log, Listener listener);
 
+  // Reads the whole operators' table, then follows its feed; both are retried
+  // until the store answers.
   void Begin();
-  // Takes the text of a configuration; older versions than the one known are
-  // left out.
-  void Offer(const std::string& text, std::string_view source);
+  // Decodes a configuration and puts it in force if its version is newer than
+  // the current one. Logs `config.bad` if it can't be decoded. `source` is
+  // logged: "table" or the name of the sending host.
+  void ApplyConfigText(const std::string& text, std::string_view source);
 
+  // Version of the configuration in force; 0 while there is none.
   std::uint64_t Version() const;
   const std::string& Text() const { return m_text; }
+  // Null until the first configuration has been read.
   std::shared_ptr<const jobs::FleetConfig> Config() const { return m_config; }
-  // Waves by number, with the time at which each was first seen.
+  // Requested maintenance waves by number.
   const std::map<std::uint64_t, WaveRequest>& Waves() const { return m_waves; }
-  // Whether the table has answered lately.
+  // Whether the store answered a read or feed within the last 2.5 seconds.
   bool IsStoreReachable() const;
 
  private:
   void ReadAll();
-  void Follow();
-  void TakeRows(const std::vector<Row>& rows);
+  void FollowFeed();
+  void ApplyRows(const std::vector<Row>& rows);
 
   HostPorts& m_ports;
   Loop& m_loop;
@@ -47,7 +54,7 @@
   std::string m_text;
   std::map<std::uint64_t, WaveRequest> m_waves;
   std::uint64_t m_position = 0;
-  base::TimePoint m_answered_at{};
+  base::TimePoint m_store_answered_at{};
   bool m_failing = false;
   Lifetime m_lifetime;
 };
--- a/include/cassiastile/host/dispatcher.hpp
+++ b/include/cassiastile/host/dispatcher.hpp
@@ -17,13 +17,13 @@
 
 namespace cassiastile::host {
 
-// What the program composes a host from.
+// Interfaces, decoders and table names that the program supplies to a host.
 struct HostPorts {
   RowStore& store;
   WorkerPort& workers;
   MachinePort& machines;
   AdvicePort& advice;
-  // Reads of the operators' and workers' tables, in the platform's format.
+  // Decoders of row values and job specifications in the platform's format.
   std::function<base::Result<jobs::FleetConfig>(const std::string&)>
       decode_config;
   std::function<base::Result<jobs::WorkerEntry>(const std::string& id,
@@ -39,50 +39,57 @@
   std::string wave_prefix;
 };
 
-// Carries out one term of office: keeps the scheduler's rows, talks to the
-// workers, answers requests on jobs.
+// Does the leader's work during one term: stores the scheduler's rows, extends
+// worker leases, sends start and stop orders, and answers job requests.
 class Dispatcher {
  public:
+  // `transactions` must have acquired leadership. `on_leadership_lost` runs
+  // when a commit finds that another host has taken it.
   Dispatcher(HostPorts& ports,
              Loop& loop,
              EventLog& log,
              const HostSettings& settings,
-             std::unique_ptr<LeaderTransactions> chain,
-             std::function<void()> on_lost);
+             std::unique_ptr<LeaderTransactions> transactions,
+             std::function<void()> on_leadership_lost);
   ~Dispatcher();
   Dispatcher(const Dispatcher&) = delete;
   Dispatcher& operator=(const Dispatcher&) = delete;
 
-  // Reads what the predecessor left and begins to serve.
+  // Reads the state that the previous leader stored, then starts to serve.
   void Begin();
   void ApplyConfig(std::shared_ptr<const jobs::FleetConfig> config);
   void ApplyWaves(const std::map<std::uint64_t, WaveRequest>& waves);
+  // Answers a job request. `respond` runs once; with kNotLeader before the
+  // state is read and after resigning. A submission or cancellation is answered
+  // once its row is stored, or with kOutcomeUnknown if the dispatcher is
+  // destroyed first.
   void Answer(const JobRequest& request,
               const std::function<void(JobAnswer)>& respond);
-  // Stops giving orders and passes the office on. `done` runs when that is
-  // recorded or can't be.
+  // Stops giving orders and resigns the leadership. `done` runs when the
+  // resignation is stored or has failed.
   void Resign(std::function<void()> done);
 
-  // Whether commits have failed for a while.
+  // Whether commits have been failing for more than 400 ms.
   bool IsStoreUnavailable() const;
+  // Whether the previous leader's state has been read.
   bool IsServing() const { return m_serving; }
-  std::uint64_t FencingToken() const { return m_chain->FencingToken(); }
+  std::uint64_t FencingToken() const { return m_transactions->FencingToken(); }
   const jobs::Scheduler& GetScheduler() const { return m_scheduler; }
 
  private:
   struct Link {
     WorkerAddress address;
-    bool busy = false;     // A long poll is under way.
-    bool looking = false;  // A short look is under way.
+    bool busy = false;     // A lease extension with a long poll is in flight.
+    bool probing = false;  // An extension without waiting is in flight.
     bool silent = false;
     std::uint32_t failures = 0;
     base::TimePoint due{};
-    // The worker's clock at a moment of ours.
+    // The worker's clock, and our time when it was received.
     bool clock_known = false;
     std::chrono::milliseconds clock{0};
     base::TimePoint clock_at{};
   };
-  // A job's rows as they were read.
+  // A job's encoded rows as read from the table.
   struct StoredJob {
     std::string record;
     std::string progress;
@@ -90,27 +97,28 @@
   using Responder = std::function<void(JobAnswer)>;
 
   // dispatcher.cpp
-  // Reads a part until the store answers; at a takeover and after a lost feed.
+  // Reads all rows of a part, retrying until the store answers; used when a
+  // term begins and after a feed's history was lost.
   void ReadUntilAnswered(const std::string& table,
                          const std::string& part,
-                         const std::function<void(RowPage)>& take);
+                         const std::function<void(RowPage)>& on_rows);
   void ReadJobs();
   void ReadWorkers();
   void FeedWorkers();
-  void TakeWorkerRows(const std::vector<Row>& rows);
+  void ApplyWorkerRows(const std::vector<Row>& rows);
   std::vector<jobs::Job> DecodeRecovered();
-  void Serve();
-  void Kick();
+  void StartServing();
+  void RequestPlan();
   void Plan();
   void Tick();
   void ReadMachineRows();
   void ReadLearnt();
-  void KeepLearnt();
-  void Pump();
-  void Committed(const jobs::Batch& batch);
+  void StoreLearnt();
+  void CommitPending();
+  void HandleCommitted(const jobs::Batch& batch);
   void LogAccepted(const std::string& id);
   void LogFinished(const std::string& id, jobs::JobPhase phase);
-  void Lose();
+  void LoseLeadership();
   bool MayGiveOrders() const;
 
   // dispatcher_jobs.cpp
@@ -120,40 +128,41 @@
 
   // dispatcher_workers.cpp
   std::chrono::milliseconds PollPause() const;
-  void ServeLinks();
-  void Extend(Link& link, bool look);
-  void Reported(const std::string& worker,
-                bool look,
-                base::TimePoint asked_at,
-                tl::expected<jobs::WorkerReport, WorkerCallFailure> result);
-  void CarryOut(const jobs::Orders& orders);
+  void PollWorkers();
+  void Extend(Link& link, bool probe);
+  void HandleReport(const std::string& worker,
+                    bool probe,
+                    base::TimePoint asked_at,
+                    tl::expected<jobs::WorkerReport, WorkerCallFailure> result);
+  void SendOrders(const jobs::Orders& orders);
   void SendStart(const jobs::StartOrder& order);
   void SendStop(const jobs::StopOrder& order);
-  std::chrono::milliseconds ClockOf(const Link& link) const;
+  std::chrono::milliseconds WorkerClock(const Link& link) const;
 
   HostPorts& m_ports;
   Loop& m_loop;
   EventLog& m_log;
   const HostSettings& m_settings;
-  std::unique_ptr<LeaderTransactions> m_chain;
-  std::function<void()> m_on_lost;
+  std::unique_ptr<LeaderTransactions> m_transactions;
+  std::function<void()> m_on_leadership_lost;
   std::shared_ptr<const jobs::FleetConfig> m_config;
   jobs::Scheduler m_scheduler;
   MachineController m_machines;
   bool m_serving = false;
   bool m_resigned = false;
-  bool m_plan_due = false;
+  bool m_plan_requested = false;
   std::map<std::string, StoredJob> m_recovered;
-  std::uint64_t m_kept_revision = 0;  // Of the learnt durations.
-  base::TimePoint m_learnt_kept_at{};
+  std::uint64_t m_stored_revision = 0;  // Of the stored durations.
+  base::TimePoint m_learnt_stored_at{};
   std::map<std::string, jobs::WorkerEntry> m_entries;
   std::uint64_t m_workers_version = 0;
   std::map<std::string, Link> m_links;
   std::map<std::string, std::vector<Responder>> m_await_accept;
   std::map<std::string, std::vector<Responder>> m_await_cancel;
-  base::TimePoint m_committed_at{};
-  // Rows of other parts of the office for the next commit.
-  std::vector<std::pair<Row, std::function<void()>>> m_rows;
+  base::TimePoint m_last_commit_at{};
+  // Rows of the machine controller and of learnt durations for the next commit,
+  // with callbacks that run once they are stored.
+  std::vector<std::pair<Row, std::function<void()>>> m_pending_rows;
   std::function<void()> m_after_commit;
   Lifetime m_lifetime;
 };
--- a/include/cassiastile/host/event_log.hpp
+++ b/include/cassiastile/host/event_log.hpp
@@ -13,13 +13,13 @@
 
 namespace cassiastile::host {
 
-// Writes one JSON object a line to standard output: what was decided, about
-// what, from which inputs. Lines are gathered in memory and written without
-// ever waiting for the reader; when it falls behind, lines are dropped and
-// their number is logged once there is room again.
+// Writes one JSON object per line: the event, its subject and the inputs of the
+// decision. Lines are buffered in memory and written without blocking. When the
+// reader falls behind, lines are dropped, and their number is logged once the
+// buffer has room again.
 class EventLog {
  public:
-  // Writes bytes without blocking; returns how many were taken.
+  // Writes bytes without blocking and returns how many were accepted.
   using Sink = std::function<std::size_t(std::string_view)>;
 
   // `metrics` must outlive the log.
@@ -28,10 +28,13 @@
            HostMetrics& metrics,
            Sink sink);
 
+  // Buffers a line with `fields`, the time, the host and the event's name, and
+  // counts it in the metrics. `fields` must be an object.
   void Write(std::string_view event, nlohmann::json fields);
-  // Hands what was gathered to the sink; called a few times a second.
+  // Passes the buffered lines to the sink; call it a few times a second.
   void Flush();
   HostMetrics& Metrics() { return m_metrics; }
+  // Number of lines dropped since the start.
   std::uint64_t Dropped() const { return m_dropped; }
 
  private:
@@ -44,7 +47,7 @@
   std::uint64_t m_reported = 0;
 };
 
-// The sink for standard output. Makes the descriptor non-blocking.
+// Returns a sink for standard output and makes that descriptor non-blocking.
 EventLog::Sink StandardOutputSink();
 
 }  // namespace cassiastile::host
--- a/include/cassiastile/host/host_metrics.hpp
+++ b/include/cassiastile/host/host_metrics.hpp
@@ -12,25 +12,27 @@
 
 namespace cassiastile::host {
 
-// The latencies that a host keeps histograms of.
+// Latencies that a host records in histograms.
 enum class Latency : std::uint8_t {
-  kCommit,      // Of a commit to the table, from its last send.
-  kStart,       // Of an order to start a run, until it is answered.
+  kCommit,      // Commit to the table, from its last attempt.
+  kStart,       // Order to start a run, until it is answered.
   kFirstStart,  // From a job's arrival to the first start of a task.
   kJob,         // From a job's arrival to its end.
-  kRequest,     // Of a caller's request at the host that took it.
+  kRequest,     // Caller's request at the host that received it.
 };
 
-// Counters by event and outcome, and histograms of latencies, in Prometheus'
-// text format. Belongs to the host's loop.
+// Counts log events by outcome and records latency histograms, for Prometheus.
+// Use it on the host's loop only.
 class HostMetrics {
  public:
   HostMetrics();
 
-  // Every line of the event log counts, also those dropped.
+  // Counts a line of the event log, including lines that are dropped.
   void Count(std::string_view event, std::string_view outcome);
+  // Adds one duration to a latency's histogram.
   void Observe(Latency latency, base::Duration duration);
-  // With processor time and memory of the process as of now.
+  // Returns all metrics in Prometheus' text format, with the process's current
+  // processor time and peak memory.
   std::string Expose();
 
  private:
--- a/include/cassiastile/host/host_node.hpp
+++ b/include/cassiastile/host/host_node.hpp
@@ -13,28 +13,31 @@
 
 namespace cassiastile::host {
 
-// Calls between hosts.
+// Sends calls to other hosts. Completions run on the host's loop.
 class PeerPort {
  public:
   struct Failure {
-    bool refused = false;  // No process listens there; nothing was done.
+    bool refused = false;  // Connection refused; nothing was done.
   };
   template <typename Value>
   using Done = std::function<void(tl::expected<Value, Failure>)>;
 
   virtual ~PeerPort() = default;
-  virtual void Greet(const std::string& endpoint,
-                     const GossipMessage& greeting,
-                     Done<GossipMessage> done) = 0;
-  virtual void Ask(const std::string& endpoint,
-                   const JobRequest& request,
-                   std::chrono::milliseconds timeout,
-                   Done<JobAnswer> done) = 0;
+  // Sends a gossip message; `done` gets the peer's own message.
+  virtual void Gossip(const std::string& endpoint,
+                      const GossipMessage& gossip,
+                      Done<GossipMessage> done) = 0;
+  // Sends a job request to the leader at `endpoint`. A failure that is not
+  // `refused` leaves open whether the request was carried out.
+  virtual void ForwardJob(const std::string& endpoint,
+                          const JobRequest& request,
+                          std::chrono::milliseconds timeout,
+                          Done<JobAnswer> done) = 0;
 };
 
-// One entry host: takes callers' requests, follows the configuration and, when
-// it holds the office, gives the orders. Any host may hold it; who does is a
-// row in the platform's table.
+// One entry host: serves callers' requests, follows the configuration and,
+// while it is the leader, schedules jobs on the workers. Any host can become
+// the leader; a row in the platform's table says who is.
 class HostNode {
  public:
   HostNode(HostPorts ports,
@@ -45,19 +48,28 @@
            JobFrontendFormat format,
            base::Random random);
 
+  // Registers the host and starts gossip and leader election.
   void Begin();
+  // Serves a caller's HTTP request.
   void Handle(const wire::HttpRequest& request,
               const wire::HttpResponder& respond);
-  GossipMessage HandleGossip(const GossipMessage& greeting);
-  void Asked(const JobRequest& request,
-             const std::function<void(JobAnswer)>& respond);
+  // Merges a peer's gossip message and returns this host's own.
+  GossipMessage HandleGossip(const GossipMessage& gossip);
+  // Answers a job request that another host forwarded; with kNotLeader unless
+  // this host is the leader.
+  void HandleJobRequest(const JobRequest& request,
+                        const std::function<void(JobAnswer)>& respond);
+  // Whether callers may be sent here: a configuration is in force and the host
+  // is not stopping.
   bool IsReady() const;
 
-  // Stops taking part: not ready any more, the office passes on.
+  // Starts a graceful stop: the host is no longer ready and resigns if it is
+  // the leader.
   void BeginStop();
-  // Whether all that was taken is answered and the office has passed on.
+  // Whether every received request is answered and this host is not the leader.
   bool IsReadyToExit() const;
 
+  // Null unless this host is the leader.
   const Dispatcher* LeaderDispatcher() const { return m_dispatcher.get(); }
   const ConfigWatcher& Config() const { return m_config; }
   const HostSettings& Settings() const { return m_settings; }
@@ -70,36 +82,36 @@
     double processor_share = 0;
   };
 
-  void Announce();
+  void RegisterEndpoint();
   void FindPeers();
-  void KeepGreeting();
-  void Greet();
-  void HolderRefused();
-  void SendGreeting(const std::string& endpoint);
-  void SendGreeting(const std::string& endpoint, const GossipMessage& greeting);
+  void GossipPeriodically();
+  void Gossip();
+  void HandleLeaderRefusal();
+  void SendGossip(const std::string& endpoint);
+  void SendGossip(const std::string& endpoint, const GossipMessage& gossip);
   void FetchConfig(const std::string& endpoint);
-  GossipMessage MakeGreeting(std::uint64_t known_version,
-                             bool with_config) const;
-  void TakeGreeting(const GossipMessage& greeting);
-  void TakeNotice(const LeaderAnnouncement& notice);
-  void WatchOffice();
-  void CheckOffice();
-  void SawOffice(const ObservedLeaderRecord& sight);
-  std::string WhyTaken(const ObservedLeaderRecord& sight) const;
-  void TakeOffice(const ObservedLeaderRecord& sight);
-  // Whether a host with much more of a processor could hold the office.
-  // Which peers count: those that lately reached the store, or all.
-  enum class StoreSight : std::uint8_t { kAnswers, kAny };
-  bool HasStrongerPeer(StoreSight sight) const;
-  void PassToStronger();
-  void PassOffice();
-  void Elected();
-  void OfficeLost();
-  void AskOffice(const JobRequest& request,
-                 std::chrono::milliseconds timeout,
-                 const std::function<void(JobAnswer)>& respond);
+  GossipMessage MakeGossip(std::uint64_t known_version, bool with_config) const;
+  void MergeGossip(const GossipMessage& gossip);
+  void HandleAnnouncement(const LeaderAnnouncement& announcement);
+  void WatchLeader();
+  void CheckLeader();
+  void HandleLeaderRecord(const ObservedLeaderRecord& view);
+  std::string AcquisitionReason(const ObservedLeaderRecord& view) const;
+  void AcquireLeadership(const ObservedLeaderRecord& view);
+  // Which peers HasStrongerPeer counts: those that recently reached the store,
+  // or all.
+  enum class StoreView : std::uint8_t { kReachable, kAny };
+  // Whether a live peer has a much larger processor share than this host.
+  bool HasStrongerPeer(StoreView view) const;
+  void YieldToStrongerPeer();
+  void ResignLeadership();
+  void BecomeLeader();
+  void HandleLeadershipLost();
+  void SendToLeader(const JobRequest& request,
+                    std::chrono::milliseconds timeout,
+                    const std::function<void(JobAnswer)>& respond);
   std::string OwnEndpoint() const;
-  bool IsOffice() const { return m_dispatcher != nullptr; }
+  bool IsLeader() const { return m_dispatcher != nullptr; }
 
   HostPorts m_ports;
   PeerPort& m_peers;
@@ -107,23 +119,28 @@
   EventLog& m_log;
   HostSettings m_settings;
   base::Random m_random;
-  std::string m_life;
+  std::string m_incarnation;
   ConfigWatcher m_config;
-  JobFrontend m_front;
-  std::map<std::string, Peer> m_known;  // By host.
-  LeaderAnnouncement m_office;
-  std::uint32_t m_refusals = 0;  // Of connections to the holder, in a row.
-  std::string m_holder_gone;     // A holder whose process is gone.
-  base::TimePoint m_office_heard{};
-  ObservedLeaderRecord m_sight;
-  base::TimePoint m_sight_changed{};
+  JobFrontend m_frontend;
+  std::map<std::string, Peer> m_known_peers;  // By host.
+  LeaderAnnouncement m_leader;
+  // Consecutive refused connections to the leader.
+  std::uint32_t m_leader_refusals = 0;
+  // A leader that may be replaced before its timeout: its process is gone, or
+  // it asked for a takeover.
+  std::string m_replaceable_leader;
+  base::TimePoint m_leader_heard_at{};
+  ObservedLeaderRecord m_last_record;
+  base::TimePoint m_record_changed_at{};
   bool m_checking = false;
-  std::chrono::milliseconds m_look_timeout{500};  // Of the next look.
-  bool m_taking = false;
+  // Of the next read of the leader's row.
+  std::chrono::milliseconds m_read_timeout{500};
+  bool m_acquiring = false;
   std::unique_ptr<LeaderTransactions> m_candidate;
   std::unique_ptr<Dispatcher> m_dispatcher;
-  base::TimePoint m_behind_since{};  // Of a newer configuration.
-  base::TimePoint m_config_asked_at{};
+  // Since when a peer has a newer configuration.
+  base::TimePoint m_config_behind_since{};
+  base::TimePoint m_config_requested_at{};
   base::TimePoint m_vacant_since{};
   base::TimePoint m_weaker_since{};
   bool m_stopping = false;
--- a/include/cassiastile/host/job_frontend.hpp
+++ b/include/cassiastile/host/job_frontend.hpp
@@ -13,7 +13,8 @@
 
 namespace cassiastile::host {
 
-// The texts of the callers' interface that the platform lays down.
+// Header names and response bodies of the callers' HTTP interface, which the
+// platform defines.
 struct JobFrontendFormat {
   std::string key_header;
   std::string timeout_header;
@@ -21,16 +22,17 @@
   std::function<std::string(std::size_t)> encode_count;
 };
 
-// Takes callers' requests on jobs: finds the queue, checks the key and asks the
-// host in office.
+// Serves callers' HTTP requests about jobs: finds the queue, checks the API key
+// and forwards the request to the leader.
 class JobFrontend {
  public:
-  // Asks the host in office; answers kNotLeader when none can be asked.
-  using Ask = std::function<void(JobRequest,
-                                 std::chrono::milliseconds timeout,
-                                 std::function<void(JobAnswer)>)>;
+  // Forwards a request to the leader; answers kNotLeader if no leader is known
+  // or reachable.
+  using ForwardJob = std::function<void(JobRequest,
+                                        std::chrono::milliseconds timeout,
+                                        std::function<void(JobAnswer)>)>;
 
-  // Who is in office as this host believes, and how old that is.
+  // The leader as this host knows it, and the age of that information.
   struct LeaderView {
     std::string holder;
     std::uint64_t fence = 0;
@@ -40,29 +42,32 @@
   JobFrontend(JobFrontendFormat format,
               Loop& loop,
               EventLog& log,
-              Ask ask,
-              std::function<LeaderView()> belief);
+              ForwardJob forward_job,
+              std::function<LeaderView()> leader_view);
 
+  // Until the first call every request is answered with 503.
   void ApplyConfig(std::shared_ptr<const jobs::FleetConfig> config);
+  // Serves one request; `respond` runs once, possibly later.
   void Handle(const wire::HttpRequest& request,
               const wire::HttpResponder& respond);
+  // Number of forwarded requests that are not answered yet.
   std::size_t InFlight() const { return m_in_flight; }
 
  private:
   void Forward(JobRequest request,
                std::chrono::milliseconds timeout,
                const wire::HttpResponder& respond);
-  // Notes a request that the office gave no word on.
-  void LogWithoutOffice(std::string_view event,
-                        JobVerb verb,
-                        const std::string& job,
-                        std::chrono::milliseconds waited);
+  // Logs a request that got no answer from a leader.
+  void LogUnansweredRequest(std::string_view event,
+                            JobVerb verb,
+                            const std::string& job,
+                            std::chrono::milliseconds waited);
 
   JobFrontendFormat m_format;
   Loop& m_loop;
   EventLog& m_log;
-  Ask m_ask;
-  std::function<LeaderView()> m_belief;
+  ForwardJob m_forward_job;
+  std::function<LeaderView()> m_leader_view;
   std::shared_ptr<const jobs::FleetConfig> m_config;
   std::size_t m_in_flight = 0;
 };
--- a/include/cassiastile/host/leader_transactions.hpp
+++ b/include/cassiastile/host/leader_transactions.hpp
@@ -12,29 +12,32 @@
 
 namespace cassiastile::host {
 
-// Where the host in office keeps its rows.
+// Tables in which the leader stores its state.
 inline constexpr char kLeaderTable[] = "cassia_office";
 inline constexpr char kJobTable[] = "cassia_jobs";
 inline constexpr char kMachineTable[] = "cassia_machines";
-// What an office has learnt of queues; lost, it is learnt anew.
+// Task durations learnt per queue; if lost, they are learnt again.
 inline constexpr char kLearntTable[] = "cassia_learnt";
 inline constexpr char kHostTable[] = "cassia_hosts";
-// All rows of an office stand in one part, so that one transaction covers them.
+// All of the leader's rows are in one part, so that one transaction can cover
+// them.
 inline constexpr char kLeaderPart[] = "main";
 inline constexpr char kLeaderKey[] = "holder";
 
-// What is known of the office's record in the table.
+// The leader's record as last read from the table.
 struct ObservedLeaderRecord {
   std::uint64_t version = 0;  // 0: there is no record.
   LeaderRecord record;
 };
 
+// Decodes the leader's row. A record that can't be decoded is left empty, which
+// means that there is no leader.
 ObservedLeaderRecord DecodeLeaderRow(const Row& row);
 
-// The commits of one term. Each expects the office's record as the one before
-// left it and rewrites it. So a commit whose answer was lost can be sent again
-// without harm, none can land after a later one, and none after the office has
-// passed on.
+// The transactions of one leadership term. Each expects the leader's record at
+// the version written by the previous one, and rewrites it. So a commit whose
+// answer was lost can safely be sent again, and none can be applied after a
+// later one or after another host has become the leader.
 class LeaderTransactions {
  public:
   LeaderTransactions(RowStore& store,
@@ -42,33 +45,36 @@
                      EventLog& log,
                      LeaderRecord self);
 
-  // Takes the office if its record still is as it was seen. On success the
-  // fence of the term is the version of the record that took it.
+  // Acquires leadership if the record is still at the version `seen`. On
+  // success the term's fencing token is the version of the record that acquired
+  // it.
   void Acquire(const ObservedLeaderRecord& seen,
                std::function<void(bool)> done);
-  std::uint64_t FencingToken() const { return m_fence; }
+  std::uint64_t FencingToken() const { return m_fencing_token; }
 
-  // Writes rows. One commit is under way at a time. `done` gets true once it is
-  // applied, however long that takes, or false when the office is lost.
+  // Writes and deletes rows in one transaction. Only one commit may be in
+  // flight. It is retried for as long as the store fails; `done` gets true once
+  // it is applied, or false if leadership is lost.
   void Commit(std::vector<Row> puts,
               std::vector<Row> drops,
               std::function<void(bool)> done);
-  // Gives the office up.
+  // Resigns: stores a record without a host.
   void Resign(std::function<void(bool)> done);
   bool IsBusy() const { return m_busy; }
 
-  // When the last commit that was applied had been sent.
+  // Send time of the last commit known to be applied; this host was the leader
+  // then.
   base::TimePoint ConfirmedAt() const { return m_confirmed_at; }
-  // The store's clock now, by the last commit.
+  // The store's steady clock now, extrapolated from the last reply.
   std::chrono::milliseconds StoreNow() const;
-  // Since when commits have failed; nothing while they succeed.
+  // Start of the current series of failed commits; empty while they succeed.
   std::optional<base::TimePoint> FailingSince() const {
     return m_failing_since;
   }
 
  private:
   void Send();
-  void Answered(const TransactionReply& reply, base::TimePoint sent_at);
+  void HandleReply(const TransactionReply& reply, base::TimePoint sent_at);
   void Finish(bool applied);
   void Retry();
 
@@ -77,7 +83,7 @@
   EventLog& m_log;
   LeaderRecord m_record;
   std::uint64_t m_version = 0;
-  std::uint64_t m_fence = 0;
+  std::uint64_t m_fencing_token = 0;
   bool m_busy = false;
   RowTransaction m_transaction;
   std::function<void(bool)> m_done;
--- a/include/cassiastile/host/loop.hpp
+++ b/include/cassiastile/host/loop.hpp
@@ -7,20 +7,21 @@
 
 namespace cassiastile::host {
 
-// The event loop that a host runs on, so that tests can run many hosts in one
-// process and in virtual time.
+// The single-threaded event loop of a host. Tests implement it in virtual time,
+// with many hosts in one process.
 class Loop {
  public:
   virtual ~Loop() = default;
   virtual const base::Clock& GetClock() const = 0;
-  // Runs a function once, after a delay, on the loop.
+  // Runs a function once on the loop after a delay, never within this call.
   virtual void After(base::Duration delay, std::function<void()> run) = 0;
 };
 
-// Lets callbacks find out that their owner is gone. The owner holds one and
-// wraps the functions it hands out.
+// Cancels an object's callbacks when the object is destroyed. The object holds
+// a Lifetime as a member and wraps the callbacks that it passes on.
 class Lifetime {
  public:
+  // Returns a function that calls `function` only while this object is alive.
   template <typename Function>
   auto Guard(Function function) const {
     return [alive = std::weak_ptr<int>(m_token),
--- a/include/cassiastile/host/machine_controller.hpp
+++ b/include/cassiastile/host/machine_controller.hpp
@@ -13,18 +13,19 @@
 
 namespace cassiastile::host {
 
+// Settings of the controller; `holder` is the host's name in orders.
 struct MachineControllerOptions {
   std::string holder;
-  // Orders of another office may still be on their way for so long.
-  std::chrono::milliseconds settle{3000};
+  // How long orders of a previous leader may still be in flight.
+  std::chrono::milliseconds order_settle_time{3000};
   bool moves = true;
 };
 
-// Carries out waves of upkeep and moves machines between pools during one term
-// of office.
+// Carries out maintenance waves and moves machines between pools during one
+// leadership term.
 class MachineController {
  public:
-  // Writes a row with the office's next commit; the function runs once it is
+  // Writes a row with the leader's next commit; the function runs once it is
   // stored.
   using StoreRow = std::function<void(Row, std::function<void()>)>;
 
@@ -40,16 +41,20 @@
       std::string wave_prefix,
       std::function<std::string(std::uint64_t, bool)> encode_state);
 
-  // Takes what the predecessor recorded of a wave.
+  // Restores a row that a previous leader stored: recent machine orders or a
+  // wave's progress. Call it before Begin.
   void Recover(const Row& row);
-  // `store_now` reads the store's clock.
+  // Starts the term. `store_now` returns the store's steady clock.
   void Begin(std::uint64_t fence,
              std::function<std::chrono::milliseconds()> store_now);
   void ApplyConfig(std::shared_ptr<const jobs::FleetConfig> config);
+  // Adds or updates the requested waves, by number.
   void ApplyWaves(const std::map<std::uint64_t, WaveRequest>& waves);
-  // A worker does not answer; its machine may be down.
+  // Notes that a worker does not answer; its machine may be down, so machines
+  // are listed again soon.
   void WorkerSilent() { m_list_soon = true; }
-  // Acts if it is time to. `may_order` is false while the term is in doubt.
+  // Lists machines and plans when due; called often. No orders are given while
+  // `may_order` is false, since leadership is not confirmed.
   void Tick(bool may_order);
 
  private:
@@ -57,15 +62,15 @@
 
   enum class Pending : std::uint8_t { kNone, kMaintain, kMove };
 
-  struct Known {
+  struct TrackedMachine {
     Machine machine;
     bool listed = false;
-    jobs::WorkerId life;  // Of the worker when the order was given.
-    Pending pending = Pending::kNone;  // An order that is not settled.
-    bool answered = false;             // It was answered with success.
+    jobs::WorkerId incarnation;  // Of the worker at the time of the order.
+    Pending pending = Pending::kNone;  // Order whose outcome is open.
+    bool answered = false;             // The order was accepted.
     base::TimePoint ordered_at{};
     base::TimePoint answered_at{};
-    std::string going_to;
+    std::string destination;
     bool cordoned = false;
     base::TimePoint cordoned_at{};
     base::TimePoint idle_since{};
@@ -74,8 +79,9 @@
   };
   struct Wave {
     WaveRequest request;
-    std::map<std::string, bool> begun;  // By machine.
-    // Machines that an order may have been given for.
+    std::map<std::string, bool> begun;  // Order accepted, by machine.
+    // Machines for which an order may have been sent, also by an earlier
+    // leader.
     std::set<std::string> ordered;
     base::TimePoint seen_at{};
     bool done = false;
@@ -85,26 +91,28 @@
   };
 
   void ListMachines();
-  void Listed(std::vector<Machine> machines, base::TimePoint asked_at);
-  void Settle(Known& known, base::TimePoint asked_at);
+  void HandleMachineList(std::vector<Machine> machines,
+                         base::TimePoint asked_at);
+  void ClearSettledOrder(TrackedMachine& known, base::TimePoint asked_at);
   void RunWave(Wave& wave, const PoolLoads& pools, base::TimePoint now);
   void MoveMachines(const PoolLoads& loads, base::TimePoint now);
   void LogLoads(const PoolLoads& loads);
-  static Row RowOf(const Wave& wave);
-  void Maintain(Wave& wave, Known& known);
+  static Row MakeWaveRow(const Wave& wave);
+  void Maintain(Wave& wave, TrackedMachine& known);
   void SendMaintain(std::uint64_t wave, const std::string& name, bool first);
-  // Ends the lives of workers whose machine is down or has another worker.
-  void EndLostLives(base::TimePoint asked_at);
-  void Move(Known& known, const jobs::MachineMove& move);
-  void SetCordoned(Known& known, bool cordoned, base::TimePoint now);
+  // Reports workers as terminated whose machine is gone, down or runs another
+  // worker.
+  void TerminateLostWorkers(base::TimePoint asked_at);
+  void Move(TrackedMachine& known, const jobs::MachineMove& move);
+  void SetCordoned(TrackedMachine& known, bool cordoned, base::TimePoint now);
   bool MayOrder(const std::string& machine) const;
-  // Records an order, then gives it.
-  void Record(const std::string& machine,
-              std::vector<Row> rows,
-              std::function<void()> order);
+  // Stores the time of an order, then sends it.
+  void RecordOrder(const std::string& machine,
+                   std::vector<Row> rows,
+                   std::function<void()> order);
   void SendMove(const jobs::MachineMove& move);
   void StoreWave(Wave& wave, bool done);
-  const jobs::WorkerState* WorkerOf(const Known& known) const;
+  const jobs::WorkerState* WorkerOf(const TrackedMachine& known) const;
 
   MachinePort& m_port;
   RowStore& m_store;
@@ -117,17 +125,18 @@
   std::string m_wave_prefix;
   std::function<std::string(std::uint64_t, bool)> m_encode_state;
   std::shared_ptr<const jobs::FleetConfig> m_config;
-  std::map<std::string, Known> m_machines;
+  std::map<std::string, TrackedMachine> m_machines;
   std::map<std::uint64_t, Wave> m_waves;
-  std::uint64_t m_fence = 0;
+  std::uint64_t m_fencing_token = 0;
   std::function<std::chrono::milliseconds()> m_store_now;
-  // When machines were last given an order, by the store's clock. Holders of
-  // the office must not take turns with one machine too soon.
-  std::map<std::string, std::chrono::milliseconds> m_ordered;
+  // Time of each machine's last order, by the store's clock. A new leader must
+  // not order a machine while the previous leader's order may still arrive.
+  std::map<std::string, std::chrono::milliseconds> m_last_order_at;
   base::TimePoint m_listed_at{};
   base::TimePoint m_planned_at{};
   base::TimePoint m_loads_logged_at{};
-  std::chrono::milliseconds m_own_from{0};  // Orders since are our own.
+  // Store time at which this term began; later orders are this leader's own.
+  std::chrono::milliseconds m_term_began{0};
   bool m_listing = false;
   bool m_list_soon = false;
   bool m_has_list = false;
--- a/include/cassiastile/host/peer_client.hpp
+++ b/include/cassiastile/host/peer_client.hpp
@@ -6,24 +6,25 @@
 
 namespace cassiastile::host {
 
-// Calls between hosts over HTTP.
+// Calls other hosts over HTTP.
 class PeerClient final : public PeerPort {
  public:
   explicit PeerClient(wire::LoopClient& client) : m_client(client) {}
 
-  void Greet(const std::string& endpoint,
-             const GossipMessage& greeting,
-             Done<GossipMessage> done) override;
-  void Ask(const std::string& endpoint,
-           const JobRequest& request,
-           std::chrono::milliseconds timeout,
-           Done<JobAnswer> done) override;
+  void Gossip(const std::string& endpoint,
+              const GossipMessage& gossip,
+              Done<GossipMessage> done) override;
+  void ForwardJob(const std::string& endpoint,
+                  const JobRequest& request,
+                  std::chrono::milliseconds timeout,
+                  Done<JobAnswer> done) override;
 
  private:
   wire::LoopClient& m_client;
 };
 
-// Answers such calls for a host.
+// Serves the calls of a PeerClient. Unknown paths get 404, bodies that can't be
+// decoded get 400.
 void ServePeer(HostNode& node,
                const wire::HttpRequest& request,
                const wire::HttpResponder& respond);
--- a/include/cassiastile/host/peer_message.hpp
+++ b/include/cassiastile/host/peer_message.hpp
@@ -8,14 +8,15 @@
 #include "cassiastile/base/enum_names.hpp"
 #include "cassiastile/base/error.hpp"
 
-// What hosts say to each other, as cereal archives in HTTP bodies.
+// Messages between hosts, sent as portable binary cereal archives in HTTP
+// bodies. The order of the fields is the wire format.
 namespace cassiastile::host {
 
-// The host that gives orders, as another host knows it.
+// The leader as the sender knows it.
 struct LeaderAnnouncement {
-  std::uint64_t fence = 0;  // Grows with each term; 0: none known.
-  std::string host;         // Empty once it has resigned.
-  std::string endpoint;     // Of its peer interface.
+  std::uint64_t fence = 0;  // Grows with each term; 0 if unknown.
+  std::string host;         // Empty after the leader resigned.
+  std::string endpoint;     // Of the leader's peer interface.
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -23,29 +24,32 @@
   }
 };
 
-// Exchanged regularly between hosts.
+// State that hosts exchange periodically.
 struct GossipMessage {
   std::string host;
   std::string endpoint;
   std::uint64_t config_version = 0;
-  // The sender knows of a newer configuration that the table did not bring.
+  // The sender has heard of a newer configuration that it did not get from the
+  // table.
   bool wants_config = false;
-  std::string config;  // As the operators wrote it, for those that want it.
-  LeaderAnnouncement office;
-  bool in_office = false;
-  // The sender holds the office and can't reach the store; whoever can should
+  // The text that the operators wrote; filled only if it was asked for.
+  std::string config;
+  LeaderAnnouncement leader;
+  bool is_leader = false;
+  // The sender is the leader and can't reach the store; a host that can should
   // take over.
   bool requests_takeover = false;
-  bool store_answers = false;  // The sender has lately reached the store.
+  bool store_answers = false;  // Recently reached the store.
   double processor_share = 0;  // Of one core.
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(host, endpoint, config_version, wants_config, config, office,
-            in_office, requests_takeover, store_answers, processor_share);
+    archive(host, endpoint, config_version, wants_config, config, leader,
+            is_leader, requests_takeover, store_answers, processor_share);
   }
 };
 
+// What a caller asks for; kCount asks for the number of queued jobs.
 enum class JobVerb : std::uint8_t { kSubmit, kState, kCancel, kCount };
 
 inline constexpr std::array<base::EnumName<JobVerb>, 4> kJobVerbNames{{
@@ -55,13 +59,14 @@
     {JobVerb::kCount, "count"},
 }};
 
-// A caller's request on its way to the host in office.
+// A caller's request that is forwarded to the leader.
 struct JobRequest {
   JobVerb verb = JobVerb::kState;
   std::string queue;
   std::string customer;  // Empty on open queues.
   std::string job;
-  std::string spec;  // As the caller wrote it; decoded again there.
+  // The text that the caller sent; the leader decodes it.
+  std::string spec;
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -69,16 +74,18 @@
   }
 };
 
+// Outcome of a job request.
 enum class JobAnswerKind : std::uint8_t {
   kOk,
-  kInvalid,  // The specification is wrong; `detail` says where.
+  kInvalid,  // Invalid specification; see `detail`.
   kNoSuchJob,
-  kForbidden,       // The job is another customer's.
-  kRefused,         // Not taken and not run; `retry_after` says when to return.
-  kNotLeader,       // Ask another host; nothing was done.
-  kOutcomeUnknown,  // Taken or not is not known yet.
+  kForbidden,       // The job belongs to another customer.
+  kRefused,         // Not accepted and not run; see `retry_after_ms`.
+  kNotLeader,       // Nothing was done; ask another host.
+  kOutcomeUnknown,  // May or may not have been carried out.
 };
 
+// The leader's answer to a JobRequest.
 struct JobAnswer {
   JobAnswerKind kind = JobAnswerKind::kOutcomeUnknown;
   std::uint8_t phase = 0;   // A jobs::JobPhase, for kState.
@@ -96,25 +103,27 @@
 std::string Encode(const GossipMessage& message);
 std::string Encode(const JobRequest& message);
 std::string Encode(const JobAnswer& message);
+// Fail with kInvalid for bytes that are not such a message.
 base::Result<GossipMessage> DecodeGossipMessage(const std::string& bytes);
 base::Result<JobRequest> DecodeJobRequest(const std::string& bytes);
 base::Result<JobAnswer> DecodeJobAnswer(const std::string& bytes);
 
-// The record of who holds the office, in the platform's table.
+// The leader's record in the platform's table.
 struct LeaderRecord {
-  std::string host;  // Empty once resigned.
+  std::string host;  // Empty after the leader resigned.
   std::string endpoint;
-  std::string life;          // Unique to the process.
-  std::uint64_t commit = 0;  // Counts the commits of all terms.
+  std::string incarnation;   // Unique per process.
+  std::uint64_t commit = 0;  // Commits of all terms so far.
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(host, endpoint, life, commit);
+    archive(host, endpoint, incarnation, commit);
   }
   friend bool operator==(const LeaderRecord&, const LeaderRecord&) = default;
 };
 
 std::string Encode(const LeaderRecord& record);
+// Fails with kInvalid for bytes that are not a record.
 base::Result<LeaderRecord> DecodeLeaderRecord(const std::string& bytes);
 
 }  // namespace cassiastile::host
--- a/include/cassiastile/host/ports.hpp
+++ b/include/cassiastile/host/ports.hpp
@@ -12,9 +12,9 @@
 #include "cassiastile/jobs/scheduler.hpp"
 #include "cassiastile/jobs/worker_view.hpp"
 
-// What a host needs of the world around it. The adapter to the platform
-// implements these; tests implement them by stand-ins. All completions run on
-// the host's loop, once, never from within the call itself.
+// Interfaces to everything outside a host. The platform adapter implements
+// them, and tests use fakes. Each completion runs once on the host's loop,
+// never within the call itself.
 namespace cassiastile::host {
 
 // A row of the platform's transactional table.
@@ -24,100 +24,113 @@
   std::string key;
   std::string value;
   std::uint64_t version = 0;  // Of the transaction that wrote it.
-  bool deleted = false;       // Only in feeds.
+  bool deleted = false;       // Set only in feeds.
 };
 
+// A row's version that a transaction requires.
 struct RowExpectation {
   std::string table;
   std::string part;
   std::string key;
-  std::uint64_t version = 0;  // 0: there must be no such row.
+  std::uint64_t version = 0;  // 0: the row must not exist.
 };
 
+// Writes that are applied together, or not at all if an expectation fails.
 struct RowTransaction {
   std::vector<RowExpectation> expect;
   std::vector<Row> puts;   // Versions are ignored.
   std::vector<Row> drops;  // Values and versions are ignored.
 };
 
+// Outcome of a transaction.
 struct TransactionReply {
   enum class Outcome : std::uint8_t {
     kApplied,
-    kConflict,    // A row differs from what was expected; nothing was written.
+    kConflict,    // An expectation failed; nothing was written.
     kNotApplied,  // The store refused; nothing was written.
     kUnknown,     // No answer; it may still be applied later.
   };
   Outcome outcome = Outcome::kUnknown;
   std::uint64_t version = 0;
-  std::vector<Row> current;  // On conflict, the expected rows as they are.
+  std::vector<Row> current;          // On conflict: the expected rows now.
   std::chrono::milliseconds now{0};  // The store's steady clock.
 };
 
+// One page of a read.
 struct RowPage {
   std::vector<Row> rows;
   bool has_more = false;
-  std::uint64_t version = 0;         // Newest in the store when it was read.
+  std::uint64_t version = 0;         // Newest in the store at the read.
   std::chrono::milliseconds now{0};  // The store's steady clock.
 };
 
+// Changes since a version.
 struct FeedPage {
   std::vector<Row> rows;
-  std::uint64_t version = 0;  // Where to go on.
-  bool forgotten = false;     // The history asked for is gone; read anew.
+  std::uint64_t version = 0;  // From which to continue the feed.
+  bool forgotten = false;     // History is gone; read the table again.
 };
 
-// For reads that nothing waits for in particular.
+// Timeout of reads whose caller has no deadline of its own.
 inline constexpr std::chrono::milliseconds kReadTimeout{1500};
 
+// The platform's transactional table store.
 class RowStore {
  public:
   virtual ~RowStore() = default;
+  // Applies a transaction; kUnknown if there is no answer within the timeout.
   virtual void Commit(RowTransaction transaction,
                       std::chrono::milliseconds timeout,
                       std::function<void(TransactionReply)> done) = 0;
+  // Reads one page of a part, from the key `from` on, in key order.
   virtual void Read(std::string table,
                     std::string part,
                     std::string from,
                     std::chrono::milliseconds timeout,
                     std::function<void(base::Result<RowPage>)> done) = 0;
-  // Waits up to `wait` for changes after a version.
+  // Returns the changes of a table after a version; waits up to `wait` for the
+  // first one.
   virtual void Feed(std::string table,
                     std::uint64_t after,
                     std::chrono::milliseconds wait,
                     std::function<void(base::Result<FeedPage>)> done) = 0;
 };
 
-// Reads all pages of a part. The version is that of the first page, so that a
-// feed from there misses nothing that changed meanwhile. `done` runs once.
+// Reads all pages of a part. The result has the first page's version, so that a
+// feed from there misses no change made during the read. `done` runs once.
 void ReadAllRows(RowStore& store,
                  const std::string& table,
                  const std::string& part,
                  std::function<void(base::Result<RowPage>)> done);
 
-// Where one life of a worker is reached.
+// Address of one incarnation of a worker.
 struct WorkerAddress {
   jobs::WorkerId id;
   std::string endpoint;
 };
 
+// Extends a worker's lease and asks for its report.
 struct LeaseExtension {
   std::uint64_t fence = 0;
   std::uint64_t acknowledged_end = 0;
-  // On the worker's clock; none to only look.
+  // The lease's new end on the worker's clock; empty to get the report only.
   std::optional<std::chrono::milliseconds> until;
-  // The worker answers early when a run ends.
+  // How long the worker may delay its answer; it answers early when a run ends.
   std::chrono::milliseconds wait{0};
-  // Skips connections that were kept open; they may have gone silent.
+  // Uses a new connection, since one that was kept open may have gone silent.
   bool fresh_connection = false;
 };
 
+// Why a worker gave no report.
 struct WorkerCallFailure {
   bool refused = false;  // No process listens there.
-  bool fenced = false;   // The worker has seen a higher fence.
+  bool fenced = false;   // The worker has seen a higher fencing token.
   bool other_incarnation = false;
   std::string message;
 };
 
+// Calls to workers. Each carries the leader's fencing token; a worker rejects
+// tokens below the highest that it has seen.
 class WorkerPort {
  public:
   virtual ~WorkerPort() = default;
@@ -126,16 +139,20 @@
       const LeaseExtension& extension,
       std::function<void(tl::expected<jobs::WorkerReport, WorkerCallFailure>)>
           done) = 0;
+  // Starts a run and extends the lease to `until` on the worker's clock.
   virtual void Start(const WorkerAddress& worker,
                      const jobs::StartOrder& order,
                      std::uint64_t fence,
                      std::chrono::milliseconds until,
                      std::function<void(jobs::StartResult)> done) = 0;
-  // True when the worker has answered: the run ends and can't start any more.
+  // Stops a run. `done` gets true if the worker answered: the run ends, and it
+  // can't start any more.
   virtual void Stop(const WorkerAddress& worker,
                     const jobs::StopOrder& order,
                     std::uint64_t fence,
                     std::function<void(bool)> done) = 0;
+  // Throttles a run to a percentage of its full pace. `done` gets whether the
+  // worker answered.
   virtual void Pace(const WorkerAddress& worker,
                     const jobs::PaceOrder& order,
                     std::uint64_t fence,
@@ -144,47 +161,54 @@
 
 enum class MachineState : std::uint8_t { kUp, kMoving, kMaintenance, kDown };
 
-// A machine that workers live on, one life after the other.
+// A machine; it runs one incarnation of a worker at a time.
 struct Machine {
   std::string name;
-  std::string pool;  // The service whose worker it runs.
+  std::string pool;  // Service whose worker it runs.
   MachineState state = MachineState::kDown;
-  std::string worker;  // Id of its worker; empty without one.
+  std::string worker;  // Id; empty if it runs none.
   jobs::Resources capacity;
 };
 
+// Outcome of an order for a machine. The numbers are written to the log.
 enum class MachineOrderResult : std::uint8_t {
   kDone,
-  kRefused,  // Busy, or not allowed; nothing was done.
-  kUnknown,  // May have been carried out or be later.
+  kRefused,  // Busy or not allowed; nothing was done.
+  kUnknown,  // May have been carried out, or still be.
 };
 
-// In whose name orders for machines are given.
+// The leader on whose behalf machine orders are given.
 struct OrderAuthority {
   std::string holder;
   std::uint64_t fence = 0;
 };
 
+// The platform's machine service.
 class MachinePort {
  public:
   virtual ~MachinePort() = default;
   virtual void List(
       std::function<void(base::Result<std::vector<Machine>>)> done) = 0;
+  // Moves a machine to another pool; this ends its worker.
   virtual void Move(const std::string& machine,
                     const std::string& pool,
                     const OrderAuthority& authority,
                     std::function<void(MachineOrderResult)> done) = 0;
+  // Starts a machine's maintenance for a wave; this ends its worker. The order
+  // may be repeated: a machine is maintained once per wave.
   virtual void Maintain(const std::string& machine,
                         std::uint64_t wave,
                         const OrderAuthority& authority,
                         std::function<void(MachineOrderResult)> done) = 0;
 };
 
+// Placements that the advice service allows, and how long they are valid.
 struct AdviceReply {
   std::vector<std::pair<std::string, std::string>> allowed;  // Id, ticket.
   std::chrono::milliseconds validity{0};
 };
 
+// The placement advice service.
 class AdvicePort {
  public:
   virtual ~AdvicePort() = default;
@@ -192,12 +216,12 @@
                       std::function<void(base::Result<AdviceReply>)> done) = 0;
 };
 
-// A wave of upkeep as the operators ask for it.
+// A maintenance wave as requested by the operators.
 struct WaveRequest {
   std::uint64_t wave = 0;
   std::vector<std::string> machines;
-  std::chrono::seconds due{0};  // From when it was written.
-  std::uint32_t max_down = 1;   // Machines in upkeep at once.
+  std::chrono::seconds due{0};  // Counted from when it was written.
+  std::uint32_t max_down = 1;   // Machines in maintenance at once.
 };
 
 }  // namespace cassiastile::host
--- a/include/cassiastile/host/settings.hpp
+++ b/include/cassiastile/host/settings.hpp
@@ -15,6 +15,7 @@
   std::string address;
   std::uint16_t port = 0;
 
+  // Returns "ADDRESS:PORT".
   std::string Text() const { return address + ":" + std::to_string(port); }
   friend bool operator==(const Endpoint&, const Endpoint&) = default;
 };
@@ -22,7 +23,7 @@
 // Fails with kInvalid for text that is not "ADDRESS:PORT".
 base::Result<Endpoint> ParseEndpoint(std::string_view text);
 
-// The settings of one host, from a JSON file. Unknown members are ignored.
+// Settings of one host, read from a JSON file. Unknown members are ignored.
 struct HostSettings {
   std::string host;
   std::string availability_zone;
@@ -33,7 +34,7 @@
   Endpoint ready_endpoint;
   Endpoint table_endpoint;
   Endpoint machines_endpoint;
-  std::string advice_endpoint;  // Empty where no queue takes advice.
+  std::string advice_endpoint;  // Empty if no queue uses advice.
   std::chrono::milliseconds max_worker_lease{10000};
   std::chrono::milliseconds stop_grace{6000};
   std::chrono::milliseconds finished_state{120000};
@@ -43,7 +44,7 @@
   friend bool operator==(const HostSettings&, const HostSettings&) = default;
 };
 
-// Fails with kInvalid; the message lists all findings with their members.
+// Fails with kInvalid; the message lists every missing or invalid member.
 base::Result<HostSettings> ParseHostSettings(const std::string& text);
 
 }  // namespace cassiastile::host
--- a/include/cassiastile/host/worker_lease.hpp
+++ b/include/cassiastile/host/worker_lease.hpp
@@ -6,12 +6,14 @@
 
 namespace cassiastile::host {
 
-// How long a worker goes on without hearing from the office. It outlasts a
-// change of office, and a lost worker's tasks start elsewhere after it.
+// How long a worker keeps running without contact with the leader. It must
+// outlast a change of leader, and it delays the restart of a lost worker's
+// tasks on other workers.
 inline constexpr std::chrono::milliseconds kWorkerLease{5000};
 
-// Until when a worker may go on that was sent an extension at a time: its clock
-// may be 2 % slow, and its own clock is known but for a call's way.
+// Latest time at which a worker may still run after an extension sent at
+// `sent_at`. Its clock may be 2 % slow, and is known only up to the latency of
+// one call.
 constexpr base::TimePoint LeaseEnd(base::TimePoint sent_at) {
   constexpr std::chrono::milliseconds kClockSlack = kWorkerLease * 3 / 100;
   constexpr std::chrono::milliseconds kMargin{400};
--- a/src/cassiastile/host/config_watcher.cpp
+++ b/src/cassiastile/host/config_watcher.cpp
@@ -8,11 +8,11 @@
 
 namespace {
 
-// Short, since a connection may go silent for good without notice, and a change
-// must be in force everywhere within two seconds.
+// Short because a connection may silently stop working, and a change must be in
+// force on all hosts within two seconds.
 constexpr std::chrono::milliseconds kFeedWait{900};
 constexpr std::chrono::milliseconds kRetry{150};
-constexpr std::chrono::milliseconds kAnswersFor{2500};
+constexpr std::chrono::milliseconds kReachableFor{2500};
 
 }  // namespace
 
@@ -34,8 +34,8 @@
 }
 
 bool ConfigWatcher::IsStoreReachable() const {
-  return m_answered_at != base::TimePoint{} &&
-         m_loop.GetClock().Now() - m_answered_at < kAnswersFor;
+  return m_store_answered_at != base::TimePoint{} &&
+         m_loop.GetClock().Now() - m_store_answered_at < kReachableFor;
 }
 
 void ConfigWatcher::ReadAll() {
@@ -45,14 +45,14 @@
                   m_loop.After(kRetry, m_lifetime.Guard([this] { ReadAll(); }));
                   return;
                 }
-                m_answered_at = m_loop.GetClock().Now();
+                m_store_answered_at = m_loop.GetClock().Now();
                 m_position = page->version;
-                TakeRows(page->rows);
-                Follow();
+                ApplyRows(page->rows);
+                FollowFeed();
               }));
 }
 
-void ConfigWatcher::Follow() {
+void ConfigWatcher::FollowFeed() {
   m_ports.store.Feed(
       m_ports.operator_table, m_position, kFeedWait,
       m_lifetime.Guard([this](base::Result<FeedPage> page) {
@@ -60,32 +60,32 @@
           if (!std::exchange(m_failing, true)) {
             m_log.Write("config.feed_lost", {{"error", page.error().message}});
           }
-          m_loop.After(kRetry, m_lifetime.Guard([this] { Follow(); }));
+          m_loop.After(kRetry, m_lifetime.Guard([this] { FollowFeed(); }));
           return;
         }
         if (std::exchange(m_failing, false)) {
           m_log.Write("config.feed_regained", {{"position", m_position}});
         }
-        m_answered_at = m_loop.GetClock().Now();
+        m_store_answered_at = m_loop.GetClock().Now();
         if (page->forgotten) {
           m_log.Write("config.feed_forgotten", {{"position", m_position}});
           ReadAll();
           return;
         }
         m_position = std::max(m_position, page->version);
-        TakeRows(page->rows);
-        Follow();
+        ApplyRows(page->rows);
+        FollowFeed();
       }));
 }
 
-void ConfigWatcher::TakeRows(const std::vector<Row>& rows) {
+void ConfigWatcher::ApplyRows(const std::vector<Row>& rows) {
   bool waves = false;
   for (const Row& row : rows) {
     if (row.deleted) {
       continue;
     }
     if (row.key == m_ports.config_key) {
-      Offer(row.value, "table");
+      ApplyConfigText(row.value, "table");
     } else if (row.key.starts_with(m_ports.wave_prefix)) {
       auto wave = m_ports.decode_wave(row.value);
       if (!wave) {
@@ -101,7 +101,8 @@
   }
 }
 
-void ConfigWatcher::Offer(const std::string& text, std::string_view source) {
+void ConfigWatcher::ApplyConfigText(const std::string& text,
+                                    std::string_view source) {
   auto config = m_ports.decode_config(text);
   if (!config) {
     m_log.Write("config.bad",
--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -11,25 +11,26 @@
 
 namespace {
 
-// Events within this time are decided together.
+// Events that arrive within this time are planned together.
 constexpr std::chrono::milliseconds kPlanDelay{5};
 constexpr std::chrono::milliseconds kTick{20};
-// Rows that nobody waits for are written together with later ones.
-constexpr std::chrono::milliseconds kLazyCommit{40};
-// An idle office still rewrites its record, so that others see it alive.
-constexpr std::chrono::milliseconds kRenewal{500};
-// The store takes 100 entries in one transaction; the chain's own and those of
-// waves come on top.
+// Rows that no caller waits for are batched with later ones.
+constexpr std::chrono::milliseconds kDeferredCommitDelay{40};
+// An idle leader still rewrites its record, so that other hosts see that it is
+// alive.
+constexpr std::chrono::milliseconds kRenewalInterval{500};
+// The store accepts 100 entries per transaction; the leader's record and the
+// rows of waves come on top of these.
 constexpr std::size_t kMaxRows = 80;
-// Commits that have failed for so long count as an outage.
+// Commits that fail for longer than this count as an outage of the store.
 constexpr std::chrono::milliseconds kOutageAfter{400};
-// An office that can't confirm its term goes on to extend leases for so long.
-// Its successor waits as long before it gives up on silent workers.
+// A leader that can't confirm its term keeps extending worker leases for this
+// long. A new leader waits as long before it gives up silent workers.
 constexpr std::chrono::milliseconds kUnconfirmedTerm{8000};
 constexpr std::chrono::milliseconds kReadRetry{200};
 constexpr std::chrono::milliseconds kWorkerFeedWait{1000};
 constexpr std::chrono::milliseconds kWorkerFeedPause{200};
-// What is learnt changes slowly.
+// Learnt durations change slowly, so they are stored rarely.
 constexpr std::chrono::milliseconds kLearntInterval{3000};
 constexpr char kDurationsKey[] = "durations";
 constexpr char kRecordSuffix[] = ".r";
@@ -48,14 +49,14 @@
                        Loop& loop,
                        EventLog& log,
                        const HostSettings& settings,
-                       std::unique_ptr<LeaderTransactions> chain,
-                       std::function<void()> on_lost)
+                       std::unique_ptr<LeaderTransactions> transactions,
+                       std::function<void()> on_leadership_lost)
     : m_ports(ports),
       m_loop(loop),
       m_log(log),
       m_settings(settings),
-      m_chain(std::move(chain)),
-      m_on_lost(std::move(on_lost)),
+      m_transactions(std::move(transactions)),
+      m_on_leadership_lost(std::move(on_leadership_lost)),
       m_config(std::make_shared<jobs::FleetConfig>()),
       m_scheduler(MakeOptions(settings)),
       m_machines(
@@ -64,17 +65,18 @@
           loop,
           log,
           m_scheduler,
-          {.holder = settings.host, .settle = settings.machine_order_lease},
+          {.holder = settings.host,
+           .order_settle_time = settings.machine_order_lease},
           [this](Row row, std::function<void()> stored) {
-            m_rows.emplace_back(std::move(row), std::move(stored));
-            Kick();
+            m_pending_rows.emplace_back(std::move(row), std::move(stored));
+            RequestPlan();
           },
           ports.status_table,
           ports.wave_prefix,
           ports.encode_wave_state) {}
 
 Dispatcher::~Dispatcher() {
-  // Callers must not wait for an office that is gone.
+  // Answers callers that would otherwise wait for a leader that is gone.
   for (auto* waiting : {&m_await_accept, &m_await_cancel}) {
     for (auto& [job, responders] : *waiting) {
       for (const Responder& respond : responders) {
@@ -85,24 +87,26 @@
 }
 
 void Dispatcher::Begin() {
-  m_committed_at = m_loop.GetClock().Now();
+  m_last_commit_at = m_loop.GetClock().Now();
   ReadJobs();
 }
 
-void Dispatcher::ReadUntilAnswered(const std::string& table,
-                                   const std::string& part,
-                                   const std::function<void(RowPage)>& take) {
+void Dispatcher::ReadUntilAnswered(
+    const std::string& table,
+    const std::string& part,
+    const std::function<void(RowPage)>& on_rows) {
   ReadAllRows(
       m_ports.store, table, part,
-      m_lifetime.Guard([this, table, part, take](base::Result<RowPage> page) {
+      m_lifetime.Guard([this, table, part,
+                        on_rows](base::Result<RowPage> page) {
         if (page) {
-          take(std::move(*page));
+          on_rows(std::move(*page));
           return;
         }
         m_log.Write("office.read_failed",
                     {{"table", table}, {"error", page.error().message}});
-        m_loop.After(kReadRetry, m_lifetime.Guard([this, table, part, take] {
-          ReadUntilAnswered(table, part, take);
+        m_loop.After(kReadRetry, m_lifetime.Guard([this, table, part, on_rows] {
+          ReadUntilAnswered(table, part, on_rows);
         }));
       }));
 }
@@ -142,27 +146,27 @@
   });
 }
 
-void Dispatcher::KeepLearnt() {
+void Dispatcher::StoreLearnt() {
   const base::TimePoint now = m_loop.GetClock().Now();
   const std::uint64_t revision = m_scheduler.Durations().Revision();
-  if (!m_serving || revision == m_kept_revision ||
-      now - m_learnt_kept_at < kLearntInterval) {
+  if (!m_serving || revision == m_stored_revision ||
+      now - m_learnt_stored_at < kLearntInterval) {
     return;
   }
-  m_kept_revision = revision;
-  m_learnt_kept_at = now;
-  m_rows.emplace_back(Row{kLearntTable, kLeaderPart, kDurationsKey,
-                          m_scheduler.Durations().Encode(), 0, false},
-                      [] {});
+  m_stored_revision = revision;
+  m_learnt_stored_at = now;
+  m_pending_rows.emplace_back(Row{kLearntTable, kLeaderPart, kDurationsKey,
+                                  m_scheduler.Durations().Encode(), 0, false},
+                              [] {});
 }
 
 void Dispatcher::ReadWorkers() {
   ReadUntilAnswered(m_ports.worker_table, "", [this](const RowPage& page) {
     m_entries.clear();
     m_workers_version = page.version;
-    TakeWorkerRows(page.rows);
+    ApplyWorkerRows(page.rows);
     if (!m_serving) {
-      Serve();
+      StartServing();
     }
     FeedWorkers();
   });
@@ -178,14 +182,14 @@
         }
         if (page) {
           m_workers_version = std::max(m_workers_version, page->version);
-          TakeWorkerRows(page->rows);
+          ApplyWorkerRows(page->rows);
         }
         m_loop.After(kWorkerFeedPause,
                      m_lifetime.Guard([this] { FeedWorkers(); }));
       }));
 }
 
-void Dispatcher::TakeWorkerRows(const std::vector<Row>& rows) {
+void Dispatcher::ApplyWorkerRows(const std::vector<Row>& rows) {
   for (const Row& row : rows) {
     if (row.deleted) {
       m_entries.erase(row.key);
@@ -215,7 +219,7 @@
     entries.push_back(entry);
   }
   m_scheduler.WorkersListed(entries, m_loop.GetClock().Now());
-  Kick();
+  RequestPlan();
 }
 
 std::vector<jobs::Job> Dispatcher::DecodeRecovered() {
@@ -223,7 +227,7 @@
   for (const auto& [id, rows] : m_recovered) {
     jobs::Job job;
     job.id = id;
-    // The record of a finished job is dropped, its progress stays for a while.
+    // A finished job's record is deleted; its progress is kept for a while.
     base::Result<void> read;
     if (!rows.record.empty()) {
       auto record = jobs::DecodeRecord(id, rows.record);
@@ -246,16 +250,17 @@
   return recovered;
 }
 
-void Dispatcher::Serve() {
+void Dispatcher::StartServing() {
   const base::TimePoint now = m_loop.GetClock().Now();
   std::vector<jobs::Job> recovered = DecodeRecovered();
   const std::size_t count = recovered.size();
-  // The former office may go on until its unconfirmed term is over.
+  // The previous leader may extend leases until its unconfirmed term ends.
   const base::TimePoint latest_lease_end = LeaseEnd(now + kUnconfirmedTerm);
   m_scheduler.Recover(std::move(recovered), now, m_loop.GetClock().WallNow(),
                       latest_lease_end);
   m_serving = true;
-  m_machines.Begin(FencingToken(), [this] { return m_chain->StoreNow(); });
+  m_machines.Begin(FencingToken(),
+                   [this] { return m_transactions->StoreNow(); });
   m_log.Write("office.serving", {{"fence", FencingToken()},
                                  {"jobs", count},
                                  {"workers", m_entries.size()},
@@ -267,7 +272,7 @@
   m_config = std::move(config);
   m_scheduler.ApplyConfig(m_config);
   m_machines.ApplyConfig(m_config);
-  Kick();
+  RequestPlan();
 }
 
 void Dispatcher::ApplyWaves(const std::map<std::uint64_t, WaveRequest>& waves) {
@@ -275,22 +280,23 @@
 }
 
 bool Dispatcher::IsStoreUnavailable() const {
-  const auto since = m_chain->FailingSince();
+  const auto since = m_transactions->FailingSince();
   return since && m_loop.GetClock().Now() - *since > kOutageAfter;
 }
 
 bool Dispatcher::MayGiveOrders() const {
   return !m_resigned &&
-         m_loop.GetClock().Now() - m_chain->ConfirmedAt() < kUnconfirmedTerm;
+         m_loop.GetClock().Now() - m_transactions->ConfirmedAt() <
+             kUnconfirmedTerm;
 }
 
-void Dispatcher::Kick() {
-  if (m_plan_due || !m_serving) {
+void Dispatcher::RequestPlan() {
+  if (m_plan_requested || !m_serving) {
     return;
   }
-  m_plan_due = true;
+  m_plan_requested = true;
   m_loop.After(kPlanDelay, m_lifetime.Guard([this] {
-    m_plan_due = false;
+    m_plan_requested = false;
     Plan();
   }));
 }
@@ -301,34 +307,34 @@
   }
   const base::Clock& clock = m_loop.GetClock();
   m_scheduler.Plan(clock.Now(), clock.WallNow());
-  CarryOut(m_scheduler.TakeOrders());
-  Pump();
+  SendOrders(m_scheduler.TakeOrders());
+  CommitPending();
 }
 
 void Dispatcher::Tick() {
   if (m_resigned) {
     return;
   }
-  ServeLinks();
+  PollWorkers();
   m_machines.Tick(!IsStoreUnavailable() && MayGiveOrders());
-  KeepLearnt();
-  Pump();
+  StoreLearnt();
+  CommitPending();
   m_loop.After(kTick, m_lifetime.Guard([this] { Tick(); }));
 }
 
-void Dispatcher::Pump() {
-  if (m_chain->IsBusy() || m_resigned || !m_serving) {
+void Dispatcher::CommitPending() {
+  if (m_transactions->IsBusy() || m_resigned || !m_serving) {
     return;
   }
   const base::TimePoint now = m_loop.GetClock().Now();
-  const auto idle = now - m_committed_at;
-  const bool due = m_scheduler.HasUrgentRows() || !m_rows.empty() ||
-                   (m_scheduler.HasRows() && idle >= kLazyCommit) ||
-                   idle >= kRenewal;
+  const auto idle = now - m_last_commit_at;
+  const bool due = m_scheduler.HasUrgentRows() || !m_pending_rows.empty() ||
+                   (m_scheduler.HasRows() && idle >= kDeferredCommitDelay) ||
+                   idle >= kRenewalInterval;
   if (!due) {
     return;
   }
-  m_committed_at = now;
+  m_last_commit_at = now;
   const jobs::Batch batch = m_scheduler.TakeBatch(kMaxRows, now);
   std::vector<Row> puts;
   std::vector<Row> drops;
@@ -342,28 +348,28 @@
     (row.bytes ? puts : drops).push_back(std::move(put));
   }
   std::vector<std::function<void()>> stored;
-  std::map<std::string, Row> rows;  // The newest of each key.
-  for (auto& [row, done] : std::exchange(m_rows, {})) {
+  std::map<std::string, Row> rows;  // Only the newest row of each key.
+  for (auto& [row, done] : std::exchange(m_pending_rows, {})) {
     rows[row.key] = std::move(row);
     stored.push_back(std::move(done));
   }
   for (auto& [key, row] : rows) {
     puts.push_back(std::move(row));
   }
-  m_chain->Commit(std::move(puts), std::move(drops),
-                  m_lifetime.Guard([this, batch, stored](bool applied) {
-                    if (applied) {
-                      for (const auto& done : stored) {
-                        done();
-                      }
-                      Committed(batch);
-                    } else {
-                      Lose();
-                    }
-                  }));
+  m_transactions->Commit(std::move(puts), std::move(drops),
+                         m_lifetime.Guard([this, batch, stored](bool applied) {
+                           if (applied) {
+                             for (const auto& done : stored) {
+                               done();
+                             }
+                             HandleCommitted(batch);
+                           } else {
+                             LoseLeadership();
+                           }
+                         }));
 }
 
-void Dispatcher::Committed(const jobs::Batch& batch) {
+void Dispatcher::HandleCommitted(const jobs::Batch& batch) {
   m_scheduler.Confirm(batch, m_loop.GetClock().Now());
   for (const std::string& job : batch.accepted) {
     LogAccepted(job);
@@ -386,12 +392,12 @@
       }
     }
   }
-  CarryOut(m_scheduler.TakeOrders());
+  SendOrders(m_scheduler.TakeOrders());
   if (m_after_commit) {
     std::exchange(m_after_commit, nullptr)();
     return;
   }
-  Pump();
+  CommitPending();
 }
 
 void Dispatcher::LogAccepted(const std::string& id) {
@@ -427,19 +433,19 @@
        {"late", job->finished_at > job->objective}});
 }
 
-void Dispatcher::Lose() {
+void Dispatcher::LoseLeadership() {
   m_resigned = true;
   m_log.Write("office.lost", {{"fence", FencingToken()}});
-  m_on_lost();
+  m_on_leadership_lost();
 }
 
 void Dispatcher::Resign(std::function<void()> done) {
   const auto resign = [this, done = std::move(done)] {
     m_resigned = true;
     m_log.Write("office.resigned", {{"fence", FencingToken()}});
-    m_chain->Resign([done](bool) { done(); });
+    m_transactions->Resign([done](bool) { done(); });
   };
-  if (m_chain->IsBusy()) {
+  if (m_transactions->IsBusy()) {
     m_after_commit = resign;
   } else {
     resign();
--- a/src/cassiastile/host/dispatcher_jobs.cpp
+++ b/src/cassiastile/host/dispatcher_jobs.cpp
@@ -1,4 +1,4 @@
-// Requests on jobs.
+// Dispatcher: requests about jobs.
 #include <nlohmann/json.hpp>
 
 #include "cassiastile/host/dispatcher.hpp"
@@ -16,7 +16,7 @@
           .retry_after_ms = retry_after.count()};
 }
 
-bool MayTouch(const jobs::Job& job, const JobRequest& request) {
+bool MayAccess(const jobs::Job& job, const JobRequest& request) {
   return job.customer.empty() || request.customer.empty() ||
          job.customer == request.customer;
 }
@@ -49,7 +49,7 @@
 void Dispatcher::Submit(const JobRequest& request, const Responder& respond) {
   const jobs::QueueConfig* queue = m_config->FindQueue(request.queue);
   if (queue == nullptr) {
-    // The other host has a newer configuration.
+    // The forwarding host has a newer configuration than this one.
     respond({.kind = JobAnswerKind::kNotLeader});
     return;
   }
@@ -61,7 +61,7 @@
                  {"reason", "store away"},
                  {"commits_fail_for_ms",
                   base::Milliseconds(m_loop.GetClock().Now() -
-                                     *m_chain->FailingSince())}});
+                                     *m_transactions->FailingSince())}});
     respond(Refuse(jobs::RefusalReason::kStoreUnavailable, kRetryAfterOutage));
     return;
   }
@@ -97,7 +97,7 @@
     case jobs::Submission::Verdict::kNew:
     case jobs::Submission::Verdict::kPending:
       m_await_accept[request.job].push_back(respond);
-      Kick();
+      RequestPlan();
       return;
   }
 }
@@ -108,7 +108,7 @@
     respond({.kind = JobAnswerKind::kNoSuchJob});
     return;
   }
-  if (!MayTouch(*job, request)) {
+  if (!MayAccess(*job, request)) {
     respond({.kind = JobAnswerKind::kForbidden});
     return;
   }
@@ -119,7 +119,7 @@
   m_scheduler.Cancel(request.job, m_loop.GetClock().Now());
   m_log.Write("job.cancel", {{"job", request.job}});
   m_await_cancel[request.job].push_back(respond);
-  Kick();
+  RequestPlan();
 }
 
 JobAnswer Dispatcher::State(const JobRequest& request) const {
@@ -127,7 +127,7 @@
   if (job == nullptr) {
     return {.kind = JobAnswerKind::kNoSuchJob};
   }
-  if (!MayTouch(*job, request)) {
+  if (!MayAccess(*job, request)) {
     return {.kind = JobAnswerKind::kForbidden};
   }
   if (!job->accepted) {
--- a/src/cassiastile/host/dispatcher_workers.cpp
+++ b/src/cassiastile/host/dispatcher_workers.cpp
@@ -1,4 +1,4 @@
-// Conversations with workers.
+// Dispatcher: calls to workers.
 #include <algorithm>
 
 #include <nlohmann/json.hpp>
@@ -11,11 +11,13 @@
 namespace {
 
 constexpr std::chrono::milliseconds kPollWait{1000};
-// Ends that come close together are fetched together.
+// Pauses between polls, so that runs which end close together arrive in one
+// report.
 constexpr std::chrono::microseconds kPollPausePerWorker{200};
 constexpr std::chrono::milliseconds kPollPause{10};
 constexpr std::chrono::milliseconds kMaxPollPause{100};
-// Ends are acknowledged only once they are stored.
+// A worker reports a run's end until it is acknowledged, which happens only
+// once it is stored; polling sooner would return the same ends.
 constexpr std::chrono::milliseconds kUnstoredEndsPause{150};
 constexpr std::chrono::milliseconds kMaxFailurePause{500};
 constexpr std::uint32_t kSilentAfter = 2;
@@ -28,12 +30,13 @@
 
 }  // namespace
 
-std::chrono::milliseconds Dispatcher::ClockOf(const Link& link) const {
+std::chrono::milliseconds Dispatcher::WorkerClock(const Link& link) const {
   return link.clock + std::chrono::duration_cast<std::chrono::milliseconds>(
                           m_loop.GetClock().Now() - link.clock_at);
 }
 
-// A larger fleet ends more runs at a time; each report costs about the same.
+// Grows with the fleet: more runs end in a given time, while each report costs
+// about the same.
 std::chrono::milliseconds Dispatcher::PollPause() const {
   const auto workers = static_cast<std::int64_t>(m_links.size());
   return std::min(
@@ -42,7 +45,7 @@
                        kPollPausePerWorker * workers));
 }
 
-void Dispatcher::ServeLinks() {
+void Dispatcher::PollWorkers() {
   const base::TimePoint now = m_loop.GetClock().Now();
   for (const auto& [id, worker] : m_scheduler.Workers()) {
     if (worker.entry.endpoint.empty() || worker.terminated) {
@@ -59,7 +62,7 @@
     if (!MayGiveOrders()) {
       continue;
     }
-    if (worker.wants_report && link.busy && !link.looking) {
+    if (worker.wants_report && link.busy && !link.probing) {
       Extend(link, true);
     }
     if (!link.busy && now >= link.due) {
@@ -67,40 +70,41 @@
     }
   }
   std::erase_if(m_links, [this](const auto& row) {
-    return !row.second.busy && !row.second.looking &&
+    return !row.second.busy && !row.second.probing &&
            !m_scheduler.Workers().contains(row.first);
   });
 }
 
-void Dispatcher::Extend(Link& link, bool look) {
+void Dispatcher::Extend(Link& link, bool probe) {
   const base::TimePoint now = m_loop.GetClock().Now();
   const auto found = m_scheduler.Workers().find(link.address.id.id);
   LeaseExtension extension;
   extension.fence = FencingToken();
   extension.acknowledged_end = found->second.acked_end;
   extension.fresh_connection = link.failures > 0;
-  // A worker that may not have heard the last extension gets no further one: a
-  // lease that grows unheard could never be known to have run out.
+  // A worker that may have missed the last extension gets no further one:
+  // otherwise the latest possible end of its lease would grow with each
+  // attempt, and an unreachable worker's lease would never expire.
   if (link.clock_known && link.failures == 0) {
     extension.until =
-        ClockOf(link) + std::min(kWorkerLease, m_settings.max_worker_lease);
-    extension.wait = look ? std::chrono::milliseconds(0) : kPollWait;
+        WorkerClock(link) + std::min(kWorkerLease, m_settings.max_worker_lease);
+    extension.wait = probe ? std::chrono::milliseconds(0) : kPollWait;
     m_scheduler.LeaseSent(link.address.id.id, LeaseEnd(now));
   }
-  (look ? link.looking : link.busy) = true;
+  (probe ? link.probing : link.busy) = true;
   const std::string id = link.address.id.id;
   m_ports.workers.Extend(
       link.address, extension,
       m_lifetime.Guard(
-          [this, id, look,
+          [this, id, probe,
            now](tl::expected<jobs::WorkerReport, WorkerCallFailure> result) {
-            Reported(id, look, now, std::move(result));
+            HandleReport(id, probe, now, std::move(result));
           }));
 }
 
-void Dispatcher::Reported(
+void Dispatcher::HandleReport(
     const std::string& id,
-    bool look,
+    bool probe,
     base::TimePoint asked_at,
     tl::expected<jobs::WorkerReport, WorkerCallFailure> result) {
   const base::TimePoint now = m_loop.GetClock().Now();
@@ -109,9 +113,9 @@
     return;
   }
   Link& link = found->second;
-  (look ? link.looking : link.busy) = false;
+  (probe ? link.probing : link.busy) = false;
   if (!result) {
-    if (look) {
+    if (probe) {
       return;
     }
     ++link.failures;
@@ -125,7 +129,8 @@
     m_scheduler.WorkerSilent(id, now);
     m_machines.WorkerSilent();
     if (result.error().fenced) {
-      m_committed_at = {};  // Finds out at once whether the office is lost.
+      // Commits at once, to learn whether leadership is lost.
+      m_last_commit_at = {};
     }
     return;
   }
@@ -152,14 +157,14 @@
   }
   m_scheduler.WorkerReported(id, *result, asked_at, now);
   const auto worker = m_scheduler.Workers().find(id);
-  if (!look && worker != m_scheduler.Workers().end()) {
+  if (!probe && worker != m_scheduler.Workers().end()) {
     const bool unstored = worker->second.last_end > worker->second.acked_end;
     link.due = now + (unstored ? kUnstoredEndsPause : PollPause());
   }
-  Kick();
+  RequestPlan();
 }
 
-void Dispatcher::CarryOut(const jobs::Orders& orders) {
+void Dispatcher::SendOrders(const jobs::Orders& orders) {
   for (const jobs::StartOrder& order : orders.starts) {
     SendStart(order);
   }
@@ -188,7 +193,7 @@
           }
           m_scheduler.AdviceAnswered(request, reply->allowed, reply->validity,
                                      m_loop.GetClock().Now());
-          Kick();
+          RequestPlan();
         }));
   }
 }
@@ -200,11 +205,11 @@
       found->second.address.id != order.worker || !MayGiveOrders()) {
     m_scheduler.StartAnswered(order.worker, order.task, order.run,
                               jobs::StartResult::kUnreachable, now);
-    Kick();
+    RequestPlan();
     return;
   }
   const Link& link = found->second;
-  const auto until = ClockOf(link) + kWorkerLease;
+  const auto until = WorkerClock(link) + kWorkerLease;
   m_scheduler.LeaseSent(order.worker.id, LeaseEnd(now));
   m_ports.workers.Start(
       link.address, order, FencingToken(), until,
@@ -226,10 +231,10 @@
         }
         m_scheduler.StartAnswered(worker, task, run, result, answered);
         if (result == jobs::StartResult::kFenced) {
-          m_committed_at = {};
+          m_last_commit_at = {};
         }
         if (result != jobs::StartResult::kRunning) {
-          Kick();
+          RequestPlan();
         }
       }));
 }
--- a/src/cassiastile/host/event_log.cpp
+++ b/src/cassiastile/host/event_log.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-// About a second of lines at the highest rate seen in tests.
+// Holds about one second of lines at the highest rate seen in tests.
 constexpr std::size_t kMaxBuffered = 512U << 10U;
 constexpr std::size_t kAtomicWrite = PIPE_BUF;
 
-// The member of a line that says how it went.
+// Returns the field of a line that names its outcome; empty if there is none.
 std::string OutcomeOf(const nlohmann::json& fields) {
   for (const char* name : {"result", "reason", "how", "phase"}) {
     const auto found = fields.find(name);
@@ -72,7 +72,8 @@
   return [](std::string_view bytes) -> std::size_t {
     std::size_t taken = 0;
     while (taken < bytes.size()) {
-      // Whole lines that a pipe takes at once or not at all.
+      // Writes whole lines of at most PIPE_BUF bytes in total, which a pipe
+      // accepts completely or not at all.
       std::string_view chunk = bytes.substr(taken, kAtomicWrite);
       if (const std::size_t end = chunk.rfind('\n');
           end != std::string_view::npos) {
--- a/src/cassiastile/host/event_log_test.cpp
+++ b/src/cassiastile/host/event_log_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_EQ(line["job"], "a");
 }
 
-TEST_F(EventLogTest, ReaderThatStopsCostsLinesAndTheirNumberIsTold) {
+TEST_F(EventLogTest, BlockedReaderDropsLinesAndTheirCountIsLogged) {
   m_room = 0;
   constexpr int kLines = 20000;
   for (int i = 0; i < kLines; ++i) {
@@ -63,7 +63,7 @@
   EXPECT_THAT(text, HasSubstr("# HELP cassia_commit_seconds"));
 }
 
-TEST_F(EventLogTest, BytesThatAreNoTextStayOneLine) {
+TEST_F(EventLogTest, InvalidUtf8IsWrittenAsOneLine) {
   m_log.Write("config.bad", {{"error", "\xff\n"}});
   m_log.Flush();
   EXPECT_EQ(std::ranges::count(m_written, '\n'), 1);
--- a/src/cassiastile/host/host_metrics.cpp
+++ b/src/cassiastile/host/host_metrics.cpp
@@ -25,7 +25,8 @@
      "Time of a caller's request at the host that took it."},
 }};
 
-// Seconds; from one round trip in a zone to the longest wait of a caller.
+// In seconds: from one round trip within a zone to the longest time that a
+// caller waits.
 const std::vector<double>& Buckets() {
   static const std::vector<double> buckets{
       0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30};
--- a/src/cassiastile/host/host_node.cpp
+++ b/src/cassiastile/host/host_node.cpp
@@ -9,32 +9,35 @@
 
 namespace {
 
-// How often a host greets some of the others. News reaches all of them in a
+// Gossip goes to a few random peers per round; news reaches all hosts within a
 // few rounds.
-constexpr std::chrono::milliseconds kGreetInterval{500};
-constexpr std::size_t kGreetedEachRound = 2;
-constexpr std::size_t kAskedForRelief = 8;
+constexpr std::chrono::milliseconds kGossipInterval{500};
+constexpr std::size_t kGossipFanout = 2;
+constexpr std::size_t kTakeoverFanout = 8;
 constexpr std::chrono::milliseconds kFindPeersInterval{3000};
-constexpr std::chrono::milliseconds kTableGoesFirst{400};
-constexpr std::chrono::milliseconds kConfigAgain{500};
-// The office goes to a host with this much more of a processor, if one lives.
-constexpr double kMuchStronger = 1.5;
-constexpr std::chrono::milliseconds kPeerAlive{4000};
-constexpr std::chrono::milliseconds kDeferToStronger{400};
-constexpr std::chrono::milliseconds kWeakerFor{1500};
+constexpr std::chrono::milliseconds kTableHeadStart{400};
+constexpr std::chrono::milliseconds kConfigRequestInterval{500};
+// Leadership passes to a live peer whose processor share is larger by this
+// factor.
+constexpr double kStrongerFactor = 1.5;
+constexpr std::chrono::milliseconds kPeerTimeout{4000};
+constexpr std::chrono::milliseconds kStrongerPeerHeadStart{400};
+constexpr std::chrono::milliseconds kYieldAfter{1500};
 constexpr std::chrono::milliseconds kWatchInterval{250};
-// The holder of the office rewrites its record twice a second. One that has not
-// for so long may be replaced.
-constexpr std::chrono::milliseconds kOfficeTerm{1800};
-// Without a sign of life from the holder the record is looked at.
-constexpr std::chrono::milliseconds kOfficeQuiet{600};
-// A look that hangs in an outage must not hide the store's return for long; the
-// next one waits longer, since the store may only be slow.
-constexpr std::chrono::milliseconds kFirstLookTimeout{500};
-constexpr std::chrono::milliseconds kMaxLookTimeout{1000};
-// Connections are also refused for other reasons than that a process is gone.
-constexpr std::uint32_t kRefusalsOfGoneProcess = 2;
-constexpr std::chrono::milliseconds kRefusedAgain{100};
+// The leader rewrites its record twice a second; one whose record has not
+// changed for this long may be replaced.
+constexpr std::chrono::milliseconds kLeaderTimeout{1800};
+// The leader's record is read after this long without gossip from the leader.
+constexpr std::chrono::milliseconds kLeaderSilence{600};
+// A read that hangs in an outage must not delay noticing that the store is
+// back. After a timeout the next read waits longer, since the store may only be
+// slow.
+constexpr std::chrono::milliseconds kFirstReadTimeout{500};
+constexpr std::chrono::milliseconds kMaxReadTimeout{1000};
+// A connection may be refused although the process is alive, so one refusal is
+// not enough.
+constexpr std::uint32_t kRefusalsUntilProcessGone = 2;
+constexpr std::chrono::milliseconds kRefusalRetry{100};
 
 }  // namespace
 
@@ -51,39 +54,39 @@
       m_log(log),
       m_settings(std::move(settings)),
       m_random(random),
-      m_life(base::MakeId(m_random)),
+      m_incarnation(base::MakeId(m_random)),
       m_config(
           m_ports,
           loop,
           log,
           {.on_config =
                [this](const std::shared_ptr<const jobs::FleetConfig>& config) {
-                 m_front.ApplyConfig(config);
-                 if (IsOffice()) {
+                 m_frontend.ApplyConfig(config);
+                 if (IsLeader()) {
                    m_dispatcher->ApplyConfig(config);
                  }
-                 Greet();
+                 Gossip();
                },
            .on_waves =
                [this] {
-                 if (IsOffice()) {
+                 if (IsLeader()) {
                    m_dispatcher->ApplyWaves(m_config.Waves());
                  }
                }}),
-      m_front(
+      m_frontend(
           std::move(format),
           loop,
           log,
           [this](const JobRequest& request,
                  std::chrono::milliseconds timeout,
                  const std::function<void(JobAnswer)>& respond) {
-            AskOffice(request, timeout, respond);
+            SendToLeader(request, timeout, respond);
           },
           [this] {
             return JobFrontend::LeaderView{
-                m_office.host, m_office.fence,
+                m_leader.host, m_leader.fence,
                 std::chrono::duration_cast<std::chrono::milliseconds>(
-                    m_loop.GetClock().Now() - m_office_heard)};
+                    m_loop.GetClock().Now() - m_leader_heard_at)};
           }) {}
 
 std::string HostNode::OwnEndpoint() const {
@@ -93,21 +96,22 @@
 void HostNode::Begin() {
   m_log.Write("host.start",
               {{"availability_zone", m_settings.availability_zone},
-               {"life", m_life},
+               {"life", m_incarnation},
                {"peer_endpoint", OwnEndpoint()}});
   m_config.Begin();
-  Announce();
+  RegisterEndpoint();
   FindPeers();
-  WatchOffice();
-  KeepGreeting();
+  WatchLeader();
+  GossipPeriodically();
 }
 
-void HostNode::KeepGreeting() {
-  Greet();
-  m_loop.After(kGreetInterval, m_lifetime.Guard([this] { KeepGreeting(); }));
+void HostNode::GossipPeriodically() {
+  Gossip();
+  m_loop.After(kGossipInterval,
+               m_lifetime.Guard([this] { GossipPeriodically(); }));
 }
 
-void HostNode::Announce() {
+void HostNode::RegisterEndpoint() {
   RowTransaction transaction;
   transaction.puts.push_back(
       {kHostTable, "", m_settings.host, OwnEndpoint(), 0, false});
@@ -115,8 +119,8 @@
       std::move(transaction), kFindPeersInterval,
       m_lifetime.Guard([this](const TransactionReply& reply) {
         if (reply.outcome != TransactionReply::Outcome::kApplied) {
-          m_loop.After(kGreetInterval,
-                       m_lifetime.Guard([this] { Announce(); }));
+          m_loop.After(kGossipInterval,
+                       m_lifetime.Guard([this] { RegisterEndpoint(); }));
         }
       }));
 }
@@ -127,7 +131,7 @@
                 if (page) {
                   for (const Row& row : page->rows) {
                     if (row.key != m_settings.host) {
-                      m_known[row.key].endpoint = row.value;
+                      m_known_peers[row.key].endpoint = row.value;
                     }
                   }
                 }
@@ -136,305 +140,308 @@
               }));
 }
 
-void HostNode::Greet() {
+void HostNode::Gossip() {
   std::vector<std::string> endpoints;
-  for (const auto& [host, peer] : m_known) {
+  for (const auto& [host, peer] : m_known_peers) {
     endpoints.push_back(peer.endpoint);
   }
   std::ranges::shuffle(endpoints, m_random);
   const bool requests_takeover =
-      IsOffice() && m_dispatcher->IsStoreUnavailable();
-  const std::size_t most =
-      requests_takeover ? kAskedForRelief : kGreetedEachRound;
-  endpoints.resize(std::min(endpoints.size(), most));
-  const bool ask_office = !IsOffice() && !m_office.host.empty();
-  if (ask_office &&
-      std::ranges::find(endpoints, m_office.endpoint) == endpoints.end()) {
-    endpoints.push_back(m_office.endpoint);
+      IsLeader() && m_dispatcher->IsStoreUnavailable();
+  const std::size_t fanout =
+      requests_takeover ? kTakeoverFanout : kGossipFanout;
+  endpoints.resize(std::min(endpoints.size(), fanout));
+  const bool gossip_to_leader = !IsLeader() && !m_leader.host.empty();
+  if (gossip_to_leader &&
+      std::ranges::find(endpoints, m_leader.endpoint) == endpoints.end()) {
+    endpoints.push_back(m_leader.endpoint);
   }
   for (const std::string& endpoint : endpoints) {
-    SendGreeting(endpoint);
+    SendGossip(endpoint);
   }
 }
 
-void HostNode::SendGreeting(const std::string& endpoint) {
-  SendGreeting(endpoint, MakeGreeting(m_config.Version(), false));
+void HostNode::SendGossip(const std::string& endpoint) {
+  SendGossip(endpoint, MakeGossip(m_config.Version(), false));
 }
 
-void HostNode::SendGreeting(const std::string& endpoint,
-                            const GossipMessage& greeting) {
-  m_peers.Greet(
-      endpoint, greeting,
+void HostNode::SendGossip(const std::string& endpoint,
+                          const GossipMessage& gossip) {
+  m_peers.Gossip(
+      endpoint, gossip,
       m_lifetime.Guard(
           [this, endpoint](
               const tl::expected<GossipMessage, PeerPort::Failure>& answer) {
             if (answer) {
-              TakeGreeting(*answer);
+              MergeGossip(*answer);
             } else if (answer.error().refused &&
-                       endpoint == m_office.endpoint) {
-              HolderRefused();
+                       endpoint == m_leader.endpoint) {
+              HandleLeaderRefusal();
             }
           }));
 }
 
-void HostNode::HolderRefused() {
-  if (++m_refusals < kRefusalsOfGoneProcess) {
-    m_loop.After(kRefusedAgain, m_lifetime.Guard([this] {
-      if (!m_office.host.empty() && !IsOffice()) {
-        SendGreeting(m_office.endpoint);
+void HostNode::HandleLeaderRefusal() {
+  if (++m_leader_refusals < kRefusalsUntilProcessGone) {
+    m_loop.After(kRefusalRetry, m_lifetime.Guard([this] {
+      if (!m_leader.host.empty() && !IsLeader()) {
+        SendGossip(m_leader.endpoint);
       }
     }));
     return;
   }
-  // The process is gone; there is no term to wait for.
-  m_holder_gone = m_office.host;
-  CheckOffice();
+  // The leader's process is gone, so there is no need to wait for its timeout.
+  m_replaceable_leader = m_leader.host;
+  CheckLeader();
 }
 
-GossipMessage HostNode::MakeGreeting(std::uint64_t known_version,
-                                     bool with_config) const {
-  GossipMessage greeting;
-  greeting.host = m_settings.host;
-  greeting.endpoint = OwnEndpoint();
-  greeting.config_version = m_config.Version();
-  if (with_config && greeting.config_version > known_version) {
-    greeting.config = m_config.Text();
-  }
-  greeting.office = m_office;
-  greeting.in_office = IsOffice() && !m_resigning;
-  greeting.requests_takeover = IsOffice() && m_dispatcher->IsStoreUnavailable();
-  greeting.store_answers = m_config.IsStoreReachable();
-  greeting.processor_share = m_settings.processor_share;
-  return greeting;
+GossipMessage HostNode::MakeGossip(std::uint64_t known_version,
+                                   bool with_config) const {
+  GossipMessage gossip;
+  gossip.host = m_settings.host;
+  gossip.endpoint = OwnEndpoint();
+  gossip.config_version = m_config.Version();
+  if (with_config && gossip.config_version > known_version) {
+    gossip.config = m_config.Text();
+  }
+  gossip.leader = m_leader;
+  gossip.is_leader = IsLeader() && !m_resigning;
+  gossip.requests_takeover = IsLeader() && m_dispatcher->IsStoreUnavailable();
+  gossip.store_answers = m_config.IsStoreReachable();
+  gossip.processor_share = m_settings.processor_share;
+  return gossip;
 }
 
-GossipMessage HostNode::HandleGossip(const GossipMessage& greeting) {
-  TakeGreeting(greeting);
-  return MakeGreeting(greeting.config_version, greeting.wants_config);
+GossipMessage HostNode::HandleGossip(const GossipMessage& gossip) {
+  MergeGossip(gossip);
+  return MakeGossip(gossip.config_version, gossip.wants_config);
 }
 
-void HostNode::TakeGreeting(const GossipMessage& greeting) {
-  if (greeting.host == m_settings.host) {
+void HostNode::MergeGossip(const GossipMessage& gossip) {
+  if (gossip.host == m_settings.host) {
     return;
   }
-  Peer& peer = m_known[greeting.host];
-  peer.endpoint = greeting.endpoint;
+  Peer& peer = m_known_peers[gossip.host];
+  peer.endpoint = gossip.endpoint;
   peer.heard = m_loop.GetClock().Now();
-  peer.store_answers = greeting.store_answers;
-  peer.processor_share = greeting.processor_share;
-  if (greeting.config_version <= m_config.Version()) {
-    m_behind_since = {};
-  } else if (!greeting.config.empty()) {
-    m_config.Offer(greeting.config, greeting.host);
+  peer.store_answers = gossip.store_answers;
+  peer.processor_share = gossip.processor_share;
+  if (gossip.config_version <= m_config.Version()) {
+    m_config_behind_since = {};
+  } else if (!gossip.config.empty()) {
+    m_config.ApplyConfigText(gossip.config, gossip.host);
   } else {
-    FetchConfig(greeting.endpoint);
+    FetchConfig(gossip.endpoint);
   }
-  TakeNotice(greeting.office);
-  if (greeting.host != m_office.host || !greeting.in_office) {
+  HandleAnnouncement(gossip.leader);
+  if (gossip.host != m_leader.host || !gossip.is_leader) {
     return;
   }
-  m_refusals = 0;
-  if (greeting.requests_takeover) {
-    // No term to wait for: it gives no orders that it can't record.
-    m_holder_gone = greeting.host;
-    CheckOffice();
+  m_leader_refusals = 0;
+  if (gossip.requests_takeover) {
+    // No need to wait for its timeout: a leader gives no orders that it can't
+    // store.
+    m_replaceable_leader = gossip.host;
+    CheckLeader();
   } else {
-    m_office_heard = m_loop.GetClock().Now();
+    m_leader_heard_at = m_loop.GetClock().Now();
   }
 }
 
-// Configurations are large and some hosts' links are slow: the table gets its
-// chance first, and one host at a time is asked.
+// Configurations are large and some hosts have slow links. So the table gets a
+// head start, and only one peer at a time is asked.
 void HostNode::FetchConfig(const std::string& endpoint) {
   const base::TimePoint now = m_loop.GetClock().Now();
-  if (m_behind_since == base::TimePoint{}) {
-    m_behind_since = now;
+  if (m_config_behind_since == base::TimePoint{}) {
+    m_config_behind_since = now;
   }
-  if (now - m_behind_since < kTableGoesFirst ||
-      now - m_config_asked_at < kConfigAgain) {
+  if (now - m_config_behind_since < kTableHeadStart ||
+      now - m_config_requested_at < kConfigRequestInterval) {
     return;
   }
-  m_config_asked_at = now;
-  GossipMessage greeting = MakeGreeting(m_config.Version(), false);
-  greeting.wants_config = true;
-  SendGreeting(endpoint, greeting);
+  m_config_requested_at = now;
+  GossipMessage gossip = MakeGossip(m_config.Version(), false);
+  gossip.wants_config = true;
+  SendGossip(endpoint, gossip);
 }
 
-void HostNode::TakeNotice(const LeaderAnnouncement& notice) {
-  const bool newer = notice.fence > m_office.fence;
-  const bool resigned = notice.fence == m_office.fence && notice.host.empty() &&
-                        !m_office.host.empty();
+void HostNode::HandleAnnouncement(const LeaderAnnouncement& announcement) {
+  const bool newer = announcement.fence > m_leader.fence;
+  const bool resigned = announcement.fence == m_leader.fence &&
+                        announcement.host.empty() && !m_leader.host.empty();
   if (!newer && !resigned) {
     return;
   }
-  m_office = notice;
-  m_refusals = 0;
-  m_office_heard = m_loop.GetClock().Now();
+  m_leader = announcement;
+  m_leader_refusals = 0;
+  m_leader_heard_at = m_loop.GetClock().Now();
   m_log.Write("office.notice",
-              {{"holder", notice.host}, {"fence", notice.fence}});
-  if (IsOffice() && newer && notice.host != m_settings.host) {
-    OfficeLost();
+              {{"holder", announcement.host}, {"fence", announcement.fence}});
+  if (IsLeader() && newer && announcement.host != m_settings.host) {
+    HandleLeadershipLost();
   }
   if (resigned) {
-    CheckOffice();
+    CheckLeader();
   }
 }
 
-void HostNode::WatchOffice() {
+void HostNode::WatchLeader() {
   const base::TimePoint now = m_loop.GetClock().Now();
-  const bool quiet = now - m_office_heard > kOfficeQuiet;
-  if (!IsOffice() && !m_stopping && quiet) {
-    CheckOffice();
+  const bool quiet = now - m_leader_heard_at > kLeaderSilence;
+  if (!IsLeader() && !m_stopping && quiet) {
+    CheckLeader();
   }
-  PassToStronger();
-  m_loop.After(kWatchInterval, m_lifetime.Guard([this] { WatchOffice(); }));
+  YieldToStrongerPeer();
+  m_loop.After(kWatchInterval, m_lifetime.Guard([this] { WatchLeader(); }));
 }
 
-void HostNode::CheckOffice() {
-  if (m_checking || m_taking || IsOffice() || m_stopping) {
+void HostNode::CheckLeader() {
+  if (m_checking || m_acquiring || IsLeader() || m_stopping) {
     return;
   }
   m_checking = true;
   m_ports.store.Read(
-      kLeaderTable, kLeaderPart, "", m_look_timeout,
+      kLeaderTable, kLeaderPart, "", m_read_timeout,
       m_lifetime.Guard([this](const base::Result<RowPage>& page) {
         m_checking = false;
         if (!page) {
-          m_look_timeout = m_look_timeout == kMaxLookTimeout
-                               ? kFirstLookTimeout
-                               : std::min(2 * m_look_timeout, kMaxLookTimeout);
+          m_read_timeout = m_read_timeout == kMaxReadTimeout
+                               ? kFirstReadTimeout
+                               : std::min(2 * m_read_timeout, kMaxReadTimeout);
           return;
         }
-        m_look_timeout = kFirstLookTimeout;
-        ObservedLeaderRecord sight;
+        m_read_timeout = kFirstReadTimeout;
+        ObservedLeaderRecord view;
         for (const Row& row : page->rows) {
           if (row.key == kLeaderKey) {
-            sight = DecodeLeaderRow(row);
+            view = DecodeLeaderRow(row);
           }
         }
-        SawOffice(sight);
+        HandleLeaderRecord(view);
       }));
 }
 
-void HostNode::SawOffice(const ObservedLeaderRecord& sight) {
+void HostNode::HandleLeaderRecord(const ObservedLeaderRecord& view) {
   const base::TimePoint now = m_loop.GetClock().Now();
-  const std::string gone = std::exchange(m_holder_gone, "");
-  const bool process_gone = !gone.empty() && sight.record.host == gone;
-  if (sight.version != m_sight.version ||
-      m_sight_changed == base::TimePoint{}) {
-    m_sight = sight;
-    m_sight_changed = now;
-  }
-  const bool vacant = sight.version == 0 || sight.record.host.empty() ||
-                      sight.record.host == m_settings.host;
-  if (!vacant && !process_gone && now - m_sight_changed <= kOfficeTerm) {
+  const std::string gone = std::exchange(m_replaceable_leader, "");
+  const bool process_gone = !gone.empty() && view.record.host == gone;
+  if (view.version != m_last_record.version ||
+      m_record_changed_at == base::TimePoint{}) {
+    m_last_record = view;
+    m_record_changed_at = now;
+  }
+  const bool vacant = view.version == 0 || view.record.host.empty() ||
+                      view.record.host == m_settings.host;
+  if (!vacant && !process_gone && now - m_record_changed_at <= kLeaderTimeout) {
     m_vacant_since = {};
     return;
   }
   if (m_vacant_since == base::TimePoint{}) {
     m_vacant_since = now;
   }
-  // After an outage no peer has lately heard from the store.
-  if (HasStrongerPeer(StoreSight::kAny) &&
-      now - m_vacant_since < kDeferToStronger) {
-    m_holder_gone = gone;
-    m_loop.After(kDeferToStronger / 2,
-                 m_lifetime.Guard([this] { CheckOffice(); }));
+  // Counts all peers: after an outage none has recently reached the store.
+  if (HasStrongerPeer(StoreView::kAny) &&
+      now - m_vacant_since < kStrongerPeerHeadStart) {
+    m_replaceable_leader = gone;
+    m_loop.After(kStrongerPeerHeadStart / 2,
+                 m_lifetime.Guard([this] { CheckLeader(); }));
     return;
   }
-  TakeOffice(sight);
+  AcquireLeadership(view);
 }
 
-bool HostNode::HasStrongerPeer(StoreSight sight) const {
+bool HostNode::HasStrongerPeer(StoreView view) const {
   const base::TimePoint now = m_loop.GetClock().Now();
-  return std::ranges::any_of(m_known, [this, now, sight](const auto& row) {
+  return std::ranges::any_of(m_known_peers, [this, now, view](const auto& row) {
     const Peer& peer = row.second;
-    return now - peer.heard < kPeerAlive &&
-           (peer.store_answers || sight == StoreSight::kAny) &&
-           peer.processor_share > kMuchStronger * m_settings.processor_share;
+    return now - peer.heard < kPeerTimeout &&
+           (peer.store_answers || view == StoreView::kAny) &&
+           peer.processor_share > kStrongerFactor * m_settings.processor_share;
   });
 }
 
-void HostNode::PassToStronger() {
+void HostNode::YieldToStrongerPeer() {
   const base::TimePoint now = m_loop.GetClock().Now();
-  if (!IsOffice() || m_resigning || !HasStrongerPeer(StoreSight::kAnswers)) {
+  if (!IsLeader() || m_resigning || !HasStrongerPeer(StoreView::kReachable)) {
     m_weaker_since = now;
     return;
   }
-  if (now - m_weaker_since > kWeakerFor) {
+  if (now - m_weaker_since > kYieldAfter) {
     m_weaker_since = now;
-    PassOffice();
+    ResignLeadership();
   }
 }
 
-std::string HostNode::WhyTaken(const ObservedLeaderRecord& sight) const {
-  if (sight.version == 0) {
+std::string HostNode::AcquisitionReason(
+    const ObservedLeaderRecord& view) const {
+  if (view.version == 0) {
     return "no record";
   }
-  if (sight.record.host.empty()) {
+  if (view.record.host.empty()) {
     return "resigned";
   }
-  if (sight.record.host == m_settings.host) {
+  if (view.record.host == m_settings.host) {
     return "former life";
   }
-  return m_loop.GetClock().Now() - m_sight_changed > kOfficeTerm
+  return m_loop.GetClock().Now() - m_record_changed_at > kLeaderTimeout
              ? "term over"
              : "process gone or without store";
 }
 
-void HostNode::TakeOffice(const ObservedLeaderRecord& sight) {
+void HostNode::AcquireLeadership(const ObservedLeaderRecord& view) {
   if (m_config.Config() == nullptr || m_stopping) {
     return;
   }
-  m_taking = true;
-  m_log.Write("office.take", {{"why", WhyTaken(sight)},
-                              {"seen_version", sight.version},
-                              {"seen_holder", sight.record.host}});
+  m_acquiring = true;
+  m_log.Write("office.take", {{"why", AcquisitionReason(view)},
+                              {"seen_version", view.version},
+                              {"seen_holder", view.record.host}});
   m_candidate = std::make_unique<LeaderTransactions>(
       m_ports.store, m_loop, m_log,
-      LeaderRecord{m_settings.host, OwnEndpoint(), m_life, 0});
-  m_candidate->Acquire(sight, m_lifetime.Guard([this](bool taken) {
-    m_taking = false;
+      LeaderRecord{m_settings.host, OwnEndpoint(), m_incarnation, 0});
+  m_candidate->Acquire(view, m_lifetime.Guard([this](bool taken) {
+    m_acquiring = false;
     if (taken) {
-      Elected();
+      BecomeLeader();
       return;
     }
-    m_loop.After(kWatchInterval, m_lifetime.Guard([this] { CheckOffice(); }));
+    m_loop.After(kWatchInterval, m_lifetime.Guard([this] { CheckLeader(); }));
   }));
 }
 
-void HostNode::Elected() {
-  m_office = {m_candidate->FencingToken(), m_settings.host, OwnEndpoint()};
-  m_log.Write("office.elected", {{"fence", m_office.fence}});
+void HostNode::BecomeLeader() {
+  m_leader = {m_candidate->FencingToken(), m_settings.host, OwnEndpoint()};
+  m_log.Write("office.elected", {{"fence", m_leader.fence}});
   m_dispatcher = std::make_unique<Dispatcher>(
-      m_ports, m_loop, m_log, m_settings, std::move(m_candidate),
-      [this] { m_loop.After({}, m_lifetime.Guard([this] { OfficeLost(); })); });
+      m_ports, m_loop, m_log, m_settings, std::move(m_candidate), [this] {
+        m_loop.After({}, m_lifetime.Guard([this] { HandleLeadershipLost(); }));
+      });
   m_dispatcher->ApplyConfig(m_config.Config());
   m_dispatcher->ApplyWaves(m_config.Waves());
   m_dispatcher->Begin();
-  for (const auto& [host, peer] : m_known) {
-    SendGreeting(peer.endpoint);
+  for (const auto& [host, peer] : m_known_peers) {
+    SendGossip(peer.endpoint);
   }
 }
 
-void HostNode::OfficeLost() {
-  if (!IsOffice()) {
+void HostNode::HandleLeadershipLost() {
+  if (!IsLeader()) {
     return;
   }
-  // Callers on the stack may still be using it.
+  // Destroyed later, since callers on the stack may still use it.
   m_loop.After(
       {}, [gone = std::shared_ptr<Dispatcher>(std::move(m_dispatcher))] {});
-  if (m_office.host == m_settings.host) {
-    m_office.host.clear();
+  if (m_leader.host == m_settings.host) {
+    m_leader.host.clear();
   }
-  m_sight_changed = {};
-  CheckOffice();
+  m_record_changed_at = {};
+  CheckLeader();
 }
 
-void HostNode::AskOffice(const JobRequest& request,
-                         std::chrono::milliseconds timeout,
-                         const std::function<void(JobAnswer)>& respond) {
-  if (IsOffice()) {
+void HostNode::SendToLeader(const JobRequest& request,
+                            std::chrono::milliseconds timeout,
+                            const std::function<void(JobAnswer)>& respond) {
+  if (IsLeader()) {
     auto answered = std::make_shared<bool>(false);
     const auto once = [answered, respond](const JobAnswer& answer) {
       if (!std::exchange(*answered, true)) {
@@ -446,12 +453,12 @@
     m_dispatcher->Answer(request, once);
     return;
   }
-  if (m_office.host.empty() || m_office.host == m_settings.host) {
+  if (m_leader.host.empty() || m_leader.host == m_settings.host) {
     respond({.kind = JobAnswerKind::kNotLeader});
     return;
   }
-  m_peers.Ask(
-      m_office.endpoint, request, timeout,
+  m_peers.ForwardJob(
+      m_leader.endpoint, request, timeout,
       [respond](const tl::expected<JobAnswer, PeerPort::Failure>& answer) {
         if (answer) {
           respond(*answer);
@@ -465,12 +472,12 @@
 
 void HostNode::Handle(const wire::HttpRequest& request,
                       const wire::HttpResponder& respond) {
-  m_front.Handle(request, respond);
+  m_frontend.Handle(request, respond);
 }
 
-void HostNode::Asked(const JobRequest& request,
-                     const std::function<void(JobAnswer)>& respond) {
-  if (!IsOffice()) {
+void HostNode::HandleJobRequest(const JobRequest& request,
+                                const std::function<void(JobAnswer)>& respond) {
+  if (!IsLeader()) {
     respond({.kind = JobAnswerKind::kNotLeader});
     return;
   }
@@ -484,27 +491,27 @@
 void HostNode::BeginStop() {
   m_stopping = true;
   m_log.Write("host.stop",
-              {{"in_office", IsOffice()}, {"requests", m_front.InFlight()}});
-  if (!IsOffice()) {
+              {{"in_office", IsLeader()}, {"requests", m_frontend.InFlight()}});
+  if (!IsLeader()) {
     return;
   }
-  PassOffice();
+  ResignLeadership();
 }
 
-void HostNode::PassOffice() {
+void HostNode::ResignLeadership() {
   m_resigning = true;
   m_dispatcher->Resign(m_lifetime.Guard([this] {
-    m_office.host.clear();
-    for (const auto& [host, peer] : m_known) {
-      SendGreeting(peer.endpoint);
+    m_leader.host.clear();
+    for (const auto& [host, peer] : m_known_peers) {
+      SendGossip(peer.endpoint);
     }
     m_resigning = false;
-    OfficeLost();
+    HandleLeadershipLost();
   }));
 }
 
 bool HostNode::IsReadyToExit() const {
-  return m_front.InFlight() == 0 && !IsOffice();
+  return m_frontend.InFlight() == 0 && !IsLeader();
 }
 
 }  // namespace cassiastile::host
--- a/src/cassiastile/host/host_node_test.cpp
+++ b/src/cassiastile/host/host_node_test.cpp
@@ -18,7 +18,7 @@
 
 constexpr milliseconds kSettled{3000};
 
-TEST(HostNodeTest, OneHostTakesTheOfficeAndRunsAJob) {
+TEST(HostNodeTest, OneHostBecomesLeaderAndRunsAJob) {
   VirtualWorld world;
   world.RunFor(kSettled);
   ASSERT_TRUE(world.LeaderIndex().has_value());
@@ -31,7 +31,7 @@
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
 
-TEST(HostNodeTest, JobHandedInAgainRunsOnce) {
+TEST(HostNodeTest, ResubmittedJobRunsOnce) {
   VirtualWorld world;
   world.RunFor(kSettled);
   const std::string job = world.Submit(0, 1, 1, milliseconds(300));
@@ -42,11 +42,11 @@
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
 
-TEST(HostNodeTest, KilledHolderIsReplacedAndNothingIsLost) {
+TEST(HostNodeTest, KilledLeaderIsReplacedWithoutLosingWork) {
   VirtualWorld world;
   world.RunFor(kSettled);
   const std::string job = world.Submit(0, 3, 4, milliseconds(600));
-  const std::string lasting = world.SubmitLongRunning(1, 3);
+  const std::string long_running_job = world.SubmitLongRunning(1, 3);
   world.RunFor(milliseconds(300));
   ASSERT_EQ(world.Answers().at(job), 200);
   world.KillHost(*world.LeaderIndex());
@@ -54,7 +54,7 @@
   ASSERT_TRUE(world.LeaderIndex().has_value());
   world.RunFor(milliseconds(3000));
   EXPECT_EQ(world.StateOf(job), "done");
-  EXPECT_EQ(world.RunningTasks(lasting), 3U);
+  EXPECT_EQ(world.RunningTasks(long_running_job), 3U);
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
 
@@ -76,7 +76,7 @@
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
 
-TEST(HostNodeTest, LearntDurationsOutliveTheOffice) {
+TEST(HostNodeTest, LearntDurationsSurviveALeaderChange) {
   VirtualWorld world;
   world.RunFor(kSettled);
   world.Submit(0, 1, 4, milliseconds(400));
@@ -87,10 +87,11 @@
   EXPECT_TRUE(world.LeaderScheduler().Durations().HasSamples("queue-0"));
 }
 
-// The table answers with a page at a time.
-TEST(HostNodeTest, SuccessorKnowsAllWorkersOfALongList) {
+// The table returns one page per read; a leader that read only the first would
+// miss workers.
+TEST(HostNodeTest, NewLeaderReadsAllPagesOfTheWorkerTable) {
   VirtualWorld world({.workers_of_service = 40});
-  // Idle machines leave their pools later than this.
+  // Short enough that idle machines have not moved to other pools yet.
   world.RunFor(milliseconds(500));
   ASSERT_TRUE(world.LeaderIndex().has_value());
   world.KillHost(*world.LeaderIndex());
@@ -100,7 +101,7 @@
   EXPECT_EQ(world.LeaderScheduler().Workers().size(), 80U);
 }
 
-TEST(HostNodeTest, StoppedHolderHandsTheOfficeOnAtOnce) {
+TEST(HostNodeTest, StoppedLeaderHandsOverAtOnce) {
   VirtualWorld world;
   world.RunFor(kSettled);
   const std::size_t holder = *world.LeaderIndex();
@@ -110,7 +111,7 @@
   EXPECT_NE(*world.LeaderIndex(), holder);
 }
 
-TEST(HostNodeTest, HolderThatTheStoreTurnsAwayIsRelieved) {
+TEST(HostNodeTest, LeaderWithoutStoreAccessIsReplaced) {
   VirtualWorld world;
   world.RunFor(kSettled);
   const std::size_t holder = *world.LeaderIndex();
@@ -124,27 +125,27 @@
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
 
-TEST(HostNodeTest, OutageOfTheStoreRefusesTruthfullyAndRunningWorkGoesOn) {
+TEST(HostNodeTest, StoreOutageRefusesNewJobsAndKeepsRunningTasks) {
   VirtualWorld world;
   world.RunFor(kSettled);
-  const std::string lasting = world.SubmitLongRunning(0, 2);
+  const std::string long_running_job = world.SubmitLongRunning(0, 2);
   world.RunFor(milliseconds(500));
   world.Faults().store_down = true;
   world.RunFor(milliseconds(1000));
   const std::string refused = world.Submit(0, 1, 1, milliseconds(300));
   world.RunFor(milliseconds(3500));
   EXPECT_EQ(world.Answers().at(refused), 503);
-  EXPECT_EQ(world.RunningTasks(lasting), 2U);
+  EXPECT_EQ(world.RunningTasks(long_running_job), 2U);
   world.Faults().store_down = false;
   world.RunFor(milliseconds(3000));
   const std::string job = world.Submit(0, 1, 1, milliseconds(300));
   world.RunFor(milliseconds(1000));
   EXPECT_EQ(world.Answers().at(job), 200);
-  EXPECT_EQ(world.RunningTasks(lasting), 2U);
+  EXPECT_EQ(world.RunningTasks(long_running_job), 2U);
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
 
-// Names of the hosts that were elected, in order.
+// Returns the names of the elected hosts, in order.
 std::vector<std::string> ElectedHosts(const std::string& log) {
   std::vector<std::string> hosts;
   std::istringstream lines(log);
@@ -157,9 +158,9 @@
   return hosts;
 }
 
-// After an outage no host has lately heard from the store, so none can say
-// that a stronger one reaches it.
-TEST(HostNodeTest, StrongHostFollowsAfterAnOutage) {
+// After an outage no host has recently reached the store, so gossip can't tell
+// whether a stronger host can; a weak host must still let it go first.
+TEST(HostNodeTest, StrongHostBecomesLeaderAfterAnOutage) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     VirtualWorld world(
         {.seed = seed, .hosts = 40, .strong_hosts = 3, .keep_log = true});
@@ -179,14 +180,14 @@
   }
 }
 
-TEST(HostNodeTest, OfficeServesSoonAfterASilentOutage) {
+TEST(HostNodeTest, LeaderServesSoonAfterASilentOutage) {
   VirtualWorld world;
   world.RunFor(kSettled);
   for (int i = 0; i < 10; ++i) {
     world.Faults().store_silent = true;
     world.RunFor(milliseconds(4000 + 170 * i));
     world.Faults().store_silent = false;
-    // The longest look, and a moment to read the jobs.
+    // The longest read of the leader's record, and time to read the jobs.
     world.RunFor(milliseconds(1200));
     const std::string job = world.Submit(0, 1, 1, milliseconds(300));
     world.RunFor(milliseconds(300));
@@ -195,7 +196,7 @@
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
 
-TEST(HostNodeTest, ConfigurationReachesAHostThatTheStoreTurnsAway) {
+TEST(HostNodeTest, ConfigurationReachesAHostWithoutStoreAccess) {
   VirtualWorld world;
   world.RunFor(kSettled);
   world.Faults().hosts_without_store.insert("host-2");
@@ -204,9 +205,9 @@
   EXPECT_EQ(world.ConfigVersionOf(2), world.ConfigVersionOf(3));
 }
 
-// A large configuration from several peers at once would fill a slow host's
-// link while the table is sending it as well.
-TEST(HostNodeTest, ConfigurationsComeFromTheTableWhereItAnswers) {
+// A large configuration sent by several peers at once would fill a slow host's
+// link while the table sends it too.
+TEST(HostNodeTest, ConfigurationComesFromTheTableWhenItAnswers) {
   VirtualWorld world;
   world.RunFor(kSettled);
   world.Faults().slow_feeds = milliseconds(60);
@@ -236,16 +237,17 @@
 TEST(HostNodeTest, WaveOfAllMachinesIsDoneWithinItsTime) {
   VirtualWorld world;
   world.RunFor(kSettled);
-  const std::string lasting = world.SubmitLongRunning(0, 2);
+  const std::string long_running_job = world.SubmitLongRunning(0, 2);
   world.RunFor(milliseconds(1000));
   world.RequestWave(world.MachineNames(), 2);
   world.RunFor(milliseconds(25000));
   EXPECT_TRUE(world.WaveIsDone(1));
-  EXPECT_EQ(world.RunningTasks(lasting), 2U);
+  EXPECT_EQ(world.RunningTasks(long_running_job), 2U);
 }
 
-// Mixes of kills, stops, crashes, silent workers, late orders and a store whose
-// answers get lost or whose writes land late, from one seed each.
+// Random mixes of killed hosts, crashed and silent workers, late orders, and a
+// store that hosts can't reach, that loses answers or applies writes late; one
+// seed per test.
 class HostFaultsTest : public testing::TestWithParam<int> {};
 
 TEST_P(HostFaultsTest, NothingRunsTwiceAndNothingAcceptedIsLost) {
--- a/src/cassiastile/host/job_frontend.cpp
+++ b/src/cassiastile/host/job_frontend.cpp
@@ -26,12 +26,12 @@
 constexpr int kGatewayTimeout = 504;
 
 constexpr std::size_t kJobIdLength = 16;
-// For callers that don't say how long they wait.
+// For callers that send no timeout header.
 constexpr std::chrono::milliseconds kDefaultTimeout{3000};
-// A caller that asks again reaches another host; waiting longer helps nobody.
+// A retry reaches another host, so a longer wait would not help the caller.
 constexpr std::chrono::milliseconds kMaxWait{1500};
-// Offices change hands in less.
-constexpr std::chrono::milliseconds kRetryWithoutOffice{1000};
+// A change of leader takes less than this.
+constexpr std::chrono::milliseconds kRetryWithoutLeader{1000};
 
 bool IsJobId(std::string_view text) {
   return text.size() == kJobIdLength && std::ranges::all_of(text, [](char c) {
@@ -75,7 +75,7 @@
                          std::string_view error,
                          std::chrono::milliseconds retry_after) {
   HttpResponse response = AnswerError(status, error);
-  // The header counts whole seconds.
+  // Retry-After is in whole seconds; rounded up, at least 1.
   const auto seconds =
       std::chrono::ceil<std::chrono::seconds>(retry_after).count();
   response.headers.emplace_back(
@@ -96,13 +96,13 @@
 JobFrontend::JobFrontend(JobFrontendFormat format,
                          Loop& loop,
                          EventLog& log,
-                         Ask ask,
-                         std::function<LeaderView()> belief)
+                         ForwardJob forward_job,
+                         std::function<LeaderView()> leader_view)
     : m_format(std::move(format)),
       m_loop(loop),
       m_log(log),
-      m_ask(std::move(ask)),
-      m_belief(std::move(belief)) {}
+      m_forward_job(std::move(forward_job)),
+      m_leader_view(std::move(leader_view)) {}
 
 void JobFrontend::ApplyConfig(std::shared_ptr<const jobs::FleetConfig> config) {
   m_config = std::move(config);
@@ -112,7 +112,7 @@
                          const wire::HttpResponder& respond) {
   if (m_config == nullptr) {
     respond(
-        AnswerLater(kUnavailable, "no configuration yet", kRetryWithoutOffice));
+        AnswerLater(kUnavailable, "no configuration yet", kRetryWithoutLeader));
     return;
   }
   const std::string host = HostOf(request);
@@ -168,62 +168,63 @@
   ++m_in_flight;
   const JobVerb verb = request.verb;
   const std::string job = request.job;
-  m_ask(std::move(request), timeout,
-        [this, verb, job, respond,
-         arrived = m_loop.GetClock().Now()](const JobAnswer& answer) {
-          --m_in_flight;
-          const auto waited =
-              std::chrono::duration_cast<std::chrono::milliseconds>(
-                  m_loop.GetClock().Now() - arrived);
-          m_log.Metrics().Observe(Latency::kRequest, waited);
-          switch (answer.kind) {
-            case JobAnswerKind::kOk:
-              if (verb == JobVerb::kState) {
-                respond(Answer(kOk,
-                               m_format.encode_state(
-                                   static_cast<jobs::JobPhase>(answer.phase))));
-              } else if (verb == JobVerb::kCount) {
-                respond(Answer(kOk, m_format.encode_count(answer.count)));
-              } else {
-                respond(Answer(kOk));
-              }
-              return;
-            case JobAnswerKind::kInvalid:
-              respond(AnswerError(kBadRequest, answer.detail));
-              return;
-            case JobAnswerKind::kNoSuchJob:
-              respond(AnswerError(kGone, "no such job"));
-              return;
-            case JobAnswerKind::kForbidden:
-              respond(AnswerError(kForbidden, "another customer's job"));
-              return;
-            case JobAnswerKind::kRefused:
-              respond(Refusal(answer));
-              return;
-            case JobAnswerKind::kNotLeader:
-              LogWithoutOffice("request.no_office", verb, job, waited);
-              respond(AnswerLater(kUnavailable, "no host is in office",
-                                  kRetryWithoutOffice));
-              return;
-            case JobAnswerKind::kOutcomeUnknown:
-              LogWithoutOffice("request.undecided", verb, job, waited);
-              respond(AnswerError(kGatewayTimeout, "not known yet"));
-              return;
-          }
-        });
+  m_forward_job(
+      std::move(request), timeout,
+      [this, verb, job, respond,
+       arrived = m_loop.GetClock().Now()](const JobAnswer& answer) {
+        --m_in_flight;
+        const auto waited =
+            std::chrono::duration_cast<std::chrono::milliseconds>(
+                m_loop.GetClock().Now() - arrived);
+        m_log.Metrics().Observe(Latency::kRequest, waited);
+        switch (answer.kind) {
+          case JobAnswerKind::kOk:
+            if (verb == JobVerb::kState) {
+              respond(
+                  Answer(kOk, m_format.encode_state(
+                                  static_cast<jobs::JobPhase>(answer.phase))));
+            } else if (verb == JobVerb::kCount) {
+              respond(Answer(kOk, m_format.encode_count(answer.count)));
+            } else {
+              respond(Answer(kOk));
+            }
+            return;
+          case JobAnswerKind::kInvalid:
+            respond(AnswerError(kBadRequest, answer.detail));
+            return;
+          case JobAnswerKind::kNoSuchJob:
+            respond(AnswerError(kGone, "no such job"));
+            return;
+          case JobAnswerKind::kForbidden:
+            respond(AnswerError(kForbidden, "another customer's job"));
+            return;
+          case JobAnswerKind::kRefused:
+            respond(Refusal(answer));
+            return;
+          case JobAnswerKind::kNotLeader:
+            LogUnansweredRequest("request.no_office", verb, job, waited);
+            respond(AnswerLater(kUnavailable, "no host is in office",
+                                kRetryWithoutLeader));
+            return;
+          case JobAnswerKind::kOutcomeUnknown:
+            LogUnansweredRequest("request.undecided", verb, job, waited);
+            respond(AnswerError(kGatewayTimeout, "not known yet"));
+            return;
+        }
+      });
 }
 
-void JobFrontend::LogWithoutOffice(std::string_view event,
-                                   JobVerb verb,
-                                   const std::string& job,
-                                   std::chrono::milliseconds waited) {
-  const LeaderView belief = m_belief();
+void JobFrontend::LogUnansweredRequest(std::string_view event,
+                                       JobVerb verb,
+                                       const std::string& job,
+                                       std::chrono::milliseconds waited) {
+  const LeaderView leader_view = m_leader_view();
   m_log.Write(event, {{"job", job},
                       {"verb", base::FindName(kJobVerbNames, verb)},
                       {"waited_ms", waited.count()},
-                      {"holder", belief.holder},
-                      {"fence", belief.fence},
-                      {"heard_ms_ago", belief.heard_ago.count()}});
+                      {"holder", leader_view.holder},
+                      {"fence", leader_view.fence},
+                      {"heard_ms_ago", leader_view.heard_ago.count()}});
 }
 
 }  // namespace cassiastile::host
--- a/src/cassiastile/host/leader_transactions.cpp
+++ b/src/cassiastile/host/leader_transactions.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// Long enough for a store that is slowed down by a factor of a hundred.
+// Long enough for a store that is slower than usual by a factor of 100.
 constexpr std::chrono::milliseconds kCommitTimeout{1500};
 constexpr std::chrono::milliseconds kFirstRetry{30};
 constexpr std::chrono::milliseconds kMaxRetry{400};
@@ -17,12 +17,12 @@
 }  // namespace
 
 ObservedLeaderRecord DecodeLeaderRow(const Row& row) {
-  ObservedLeaderRecord sight;
-  sight.version = row.version;
+  ObservedLeaderRecord view;
+  view.version = row.version;
   if (auto record = DecodeLeaderRecord(row.value)) {
-    sight.record = std::move(*record);
+    view.record = std::move(*record);
   }
-  return sight;
+  return view;
 }
 
 LeaderTransactions::LeaderTransactions(RowStore& store,
@@ -36,7 +36,7 @@
   m_version = seen.version;
   m_record.commit = seen.record.commit;
   Commit({}, {}, [this, done = std::move(done)](bool applied) {
-    m_fence = m_version;
+    m_fencing_token = m_version;
     done(applied);
   });
 }
@@ -69,7 +69,7 @@
   m_store.Commit(
       m_transaction, kCommitTimeout,
       m_lifetime.Guard([this, sent_at](const TransactionReply& reply) {
-        Answered(reply, sent_at);
+        HandleReply(reply, sent_at);
       }));
 }
 
@@ -78,8 +78,8 @@
                              m_loop.GetClock().Now() - m_store_clock_at);
 }
 
-void LeaderTransactions::Answered(const TransactionReply& reply,
-                                  base::TimePoint sent_at) {
+void LeaderTransactions::HandleReply(const TransactionReply& reply,
+                                     base::TimePoint sent_at) {
   using Outcome = TransactionReply::Outcome;
   if (reply.now.count() > 0) {
     m_store_clock = reply.now;
@@ -94,16 +94,16 @@
     return;
   }
   if (reply.outcome == Outcome::kConflict) {
-    ObservedLeaderRecord sight;
+    ObservedLeaderRecord view;
     for (const Row& row : reply.current) {
       if (row.key == kLeaderKey && !row.deleted) {
-        sight = DecodeLeaderRow(row);
+        view = DecodeLeaderRow(row);
       }
     }
-    const bool own = sight.record == m_record;
+    const bool own = view.record == m_record;
     if (own) {
-      // An earlier attempt was applied; its answer was lost.
-      m_version = sight.version;
+      // An earlier attempt of this commit was applied, but its answer was lost.
+      m_version = view.version;
       m_confirmed_at = sent_at;
     }
     Finish(own);
--- a/src/cassiastile/host/machine_controller.cpp
+++ b/src/cassiastile/host/machine_controller.cpp
@@ -19,19 +19,20 @@
 constexpr std::chrono::milliseconds kListInterval{500};
 constexpr std::chrono::milliseconds kQuietListInterval{2000};
 constexpr std::chrono::milliseconds kSoonListInterval{200};
-// An order whose answer was lost may be carried out for so long.
-constexpr std::chrono::milliseconds kUnknownOrder{4000};
+// How long an order whose answer was lost may still be carried out.
+constexpr std::chrono::milliseconds kUnknownOrderTimeout{4000};
 constexpr std::chrono::milliseconds kRefusedPause{500};
 constexpr std::chrono::milliseconds kStoreTimeout{1500};
-// Clocks and calls are not exact.
+// Allows for inexact clocks and for call latency.
 constexpr std::chrono::milliseconds kSettleMargin{300};
 constexpr char kOrdersKey[] = "orders";
-// What a wave's row says of a machine.
+// States of a machine in a wave's stored row.
 constexpr char kBegun[] = "begun";
 constexpr char kOrderedOnly[] = "ordered";
 constexpr std::chrono::milliseconds kBlockedLogInterval{2000};
 constexpr std::chrono::milliseconds kLoadLogInterval{1000};
-// A pool that uses more than this share of its capacity gives no machine away.
+// A pool that uses more than this share of its processor capacity needs all of
+// its machines.
 constexpr double kBusyShare = 0.6;
 
 bool IsNeeded(const jobs::Scheduler::PoolLoads& pools,
@@ -77,7 +78,7 @@
     std::string machine;
     std::int64_t at = 0;
     while (lines >> machine >> at) {
-      m_ordered[machine] = std::chrono::milliseconds(at);
+      m_last_order_at[machine] = std::chrono::milliseconds(at);
     }
     return;
   }
@@ -96,27 +97,28 @@
 void MachineController::Begin(
     std::uint64_t fence,
     std::function<std::chrono::milliseconds()> store_now) {
-  m_fence = fence;
+  m_fencing_token = fence;
   m_store_now = std::move(store_now);
-  m_own_from = m_store_now();
+  m_term_began = m_store_now();
 }
 
 bool MachineController::MayOrder(const std::string& machine) const {
-  const auto found = m_ordered.find(machine);
-  return found == m_ordered.end() || found->second >= m_own_from ||
-         m_store_now() - found->second > m_options.settle + kSettleMargin;
+  const auto found = m_last_order_at.find(machine);
+  return found == m_last_order_at.end() || found->second >= m_term_began ||
+         m_store_now() - found->second >
+             m_options.order_settle_time + kSettleMargin;
 }
 
-void MachineController::Record(const std::string& machine,
-                               std::vector<Row> rows,
-                               std::function<void()> order) {
+void MachineController::RecordOrder(const std::string& machine,
+                                    std::vector<Row> rows,
+                                    std::function<void()> order) {
   const auto now = m_store_now();
-  std::erase_if(m_ordered, [this, now](const auto& row) {
-    return now - row.second > m_options.settle + kSettleMargin;
+  std::erase_if(m_last_order_at, [this, now](const auto& row) {
+    return now - row.second > m_options.order_settle_time + kSettleMargin;
   });
-  m_ordered[machine] = now;
+  m_last_order_at[machine] = now;
   std::string lines;
-  for (const auto& [name, at] : m_ordered) {
+  for (const auto& [name, at] : m_last_order_at) {
     lines += name + " " + std::to_string(at.count()) + "\n";
   }
   for (Row& row : rows) {
@@ -190,43 +192,44 @@
           m_log.Write("machines.unread", {{"error", machines.error().message}});
           return;
         }
-        Listed(std::move(*machines), asked_at);
+        HandleMachineList(std::move(*machines), asked_at);
       }));
 }
 
-void MachineController::Listed(std::vector<Machine> machines,
-                               base::TimePoint asked_at) {
+void MachineController::HandleMachineList(std::vector<Machine> machines,
+                                          base::TimePoint asked_at) {
   for (auto& [name, known] : m_machines) {
     known.listed = false;
   }
   for (Machine& machine : machines) {
-    Known& known = m_machines[machine.name];
+    TrackedMachine& known = m_machines[machine.name];
     known.machine = std::move(machine);
     known.listed = true;
-    Settle(known, asked_at);
+    ClearSettledOrder(known, asked_at);
   }
   m_has_list = true;
-  EndLostLives(asked_at);
+  TerminateLostWorkers(asked_at);
 }
 
-void MachineController::Settle(Known& known, base::TimePoint asked_at) {
+void MachineController::ClearSettledOrder(TrackedMachine& known,
+                                          base::TimePoint asked_at) {
   if (known.pending == Pending::kNone) {
     return;
   }
   const bool up = known.machine.state == MachineState::kUp;
   const bool answered = known.answered && asked_at > known.answered_at;
-  const bool given_up = asked_at > known.ordered_at + kUnknownOrder;
+  const bool given_up = asked_at > known.ordered_at + kUnknownOrderTimeout;
   if (up && (answered || given_up)) {
     known.pending = Pending::kNone;
-    known.going_to.clear();
+    known.destination.clear();
     SetCordoned(known, false, asked_at);
   }
 }
 
-void MachineController::EndLostLives(base::TimePoint asked_at) {
+void MachineController::TerminateLostWorkers(base::TimePoint asked_at) {
   std::vector<jobs::WorkerId> lost;
   for (const auto& [id, worker] : m_scheduler.Workers()) {
-    // One that answers is alive, whatever the list says.
+    // A worker that answers is alive, even if the list says otherwise.
     const bool answers = worker.has_reported && !worker.silent;
     if (worker.runs.empty() || answers || worker.entry.machine.empty() ||
         worker.last_report > asked_at) {
@@ -251,12 +254,13 @@
   }
 }
 
-const jobs::WorkerState* MachineController::WorkerOf(const Known& known) const {
-  // The workers' own list is newer than that of the machines.
+const jobs::WorkerState* MachineController::WorkerOf(
+    const TrackedMachine& known) const {
+  // Looks in the workers' table, which is more recent than the machine list.
   return m_scheduler.FindWorkerOnMachine(known.machine.name);
 }
 
-void MachineController::SetCordoned(Known& known,
+void MachineController::SetCordoned(TrackedMachine& known,
                                     bool cordoned,
                                     base::TimePoint now) {
   known.cordoned = cordoned;
@@ -283,9 +287,9 @@
   for (const std::string& name : wave.request.machines) {
     const auto found = m_machines.find(name);
     if (found == m_machines.end() || !found->second.listed) {
-      continue;  // It has left for good.
+      continue;  // The machine was removed.
     }
-    Known& known = found->second;
+    TrackedMachine& known = found->second;
     jobs::WaveMachine& machine = machines.emplace_back();
     machine.name = name;
     machine.begun = wave.begun[name];
@@ -333,15 +337,16 @@
     SetCordoned(m_machines[name], true, now);
   }
   for (const std::string& name : plan.maintain) {
-    Known& known = m_machines[name];
-    // Others of this round may have changed what may be vacated.
+    TrackedMachine& known = m_machines[name];
+    // Machines ordered earlier in this loop may have changed what can be
+    // drained.
     if (m_scheduler.CanDrainMachine(name)) {
       Maintain(wave, known);
     }
   }
 }
 
-Row MachineController::RowOf(const Wave& wave) {
+Row MachineController::MakeWaveRow(const Wave& wave) {
   std::string lines;
   for (const std::string& machine : wave.ordered) {
     const auto begun = wave.begun.find(machine);
@@ -352,23 +357,23 @@
           std::move(lines), 0,           false};
 }
 
-void MachineController::Maintain(Wave& wave, Known& known) {
+void MachineController::Maintain(Wave& wave, TrackedMachine& known) {
   const std::uint64_t number = wave.request.wave;
   const std::string name = known.machine.name;
   known.pending = Pending::kMaintain;
   known.answered = false;
   known.ordered_at = m_loop.GetClock().Now();
   const jobs::WorkerState* worker = WorkerOf(known);
-  known.life = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
-  m_scheduler.MarkVacated(known.life.id, known.ordered_at);
+  known.incarnation = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
+  m_scheduler.MarkVacated(known.incarnation.id, known.ordered_at);
   const bool first = wave.ordered.insert(name).second;
   if (!first) {
-    Record(name, {},
-           [this, number, name] { SendMaintain(number, name, false); });
+    RecordOrder(name, {},
+                [this, number, name] { SendMaintain(number, name, false); });
     return;
   }
-  Record(name, {RowOf(wave)},
-         [this, number, name] { SendMaintain(number, name, true); });
+  RecordOrder(name, {MakeWaveRow(wave)},
+              [this, number, name] { SendMaintain(number, name, true); });
 }
 
 void MachineController::SendMaintain(std::uint64_t number,
@@ -376,22 +381,23 @@
                                      bool first) {
   m_machines[name].ordered_at = m_loop.GetClock().Now();
   m_port.Maintain(
-      name, number, {m_options.holder, m_fence},
+      name, number, {m_options.holder, m_fencing_token},
       m_lifetime.Guard([this, number, name, first](MachineOrderResult result) {
-        Known& machine = m_machines[name];
+        TrackedMachine& machine = m_machines[name];
         const base::TimePoint now = m_loop.GetClock().Now();
         m_log.Write("machine.upkeep", {{"machine", name},
                                        {"wave", number},
-                                       {"fence", m_fence},
+                                       {"fence", m_fencing_token},
                                        {"result", static_cast<int>(result)}});
         if (result == MachineOrderResult::kDone) {
           m_waves[number].begun[name] = true;
-          m_store_row(RowOf(m_waves[number]), [] {});
+          m_store_row(MakeWaveRow(m_waves[number]), [] {});
           machine.answered = true;
           machine.answered_at = now;
-          // A repeated order may have been carried out long ago.
-          if (first && !machine.life.id.empty()) {
-            m_scheduler.WorkerTerminated(machine.life, now);
+          // After a repeated order the worker may be a newer incarnation: the
+          // machine may have been maintained long ago.
+          if (first && !machine.incarnation.id.empty()) {
+            m_scheduler.WorkerTerminated(machine.incarnation, now);
           }
         } else if (result == MachineOrderResult::kRefused) {
           machine.pending = Pending::kNone;
@@ -444,7 +450,7 @@
     machine.capacity = known.machine.capacity;
     const jobs::WorkerState* worker = WorkerOf(known);
     if (known.pending == Pending::kMove) {
-      machine.pool = known.going_to;
+      machine.pool = known.destination;
       machine.arriving = true;
       continue;
     }
@@ -491,33 +497,34 @@
   }
 }
 
-void MachineController::Move(Known& known, const jobs::MachineMove& move) {
+void MachineController::Move(TrackedMachine& known,
+                             const jobs::MachineMove& move) {
   known.pending = Pending::kMove;
   known.answered = false;
   known.ordered_at = m_loop.GetClock().Now();
-  known.going_to = move.to;
+  known.destination = move.to;
   const jobs::WorkerState* worker = WorkerOf(known);
-  known.life = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
+  known.incarnation = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
   SetCordoned(known, true, known.ordered_at);
-  Record(move.machine, {}, [this, move] { SendMove(move); });
+  RecordOrder(move.machine, {}, [this, move] { SendMove(move); });
 }
 
 void MachineController::SendMove(const jobs::MachineMove& move) {
-  m_port.Move(move.machine, move.to, {m_options.holder, m_fence},
+  m_port.Move(move.machine, move.to, {m_options.holder, m_fencing_token},
               m_lifetime.Guard([this, move](MachineOrderResult result) {
-                Known& machine = m_machines[move.machine];
+                TrackedMachine& machine = m_machines[move.machine];
                 const base::TimePoint now = m_loop.GetClock().Now();
                 m_log.Write("machine.move",
                             {{"machine", move.machine},
                              {"from", move.from},
                              {"to", move.to},
-                             {"fence", m_fence},
+                             {"fence", m_fencing_token},
                              {"result", static_cast<int>(result)}});
                 if (result == MachineOrderResult::kDone) {
                   machine.answered = true;
                   machine.answered_at = now;
                   machine.idle_since = {};
-                  m_scheduler.WorkerTerminated(machine.life, now);
+                  m_scheduler.WorkerTerminated(machine.incarnation, now);
                 } else if (result == MachineOrderResult::kRefused) {
                   machine.pending = Pending::kNone;
                   machine.retry_at = now + kRefusedPause;
--- a/src/cassiastile/host/peer_client.cpp
+++ b/src/cassiastile/host/peer_client.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-constexpr char kGreetPath[] = "/peer/v1/greeting";
-constexpr char kAskPath[] = "/peer/v1/job";
+constexpr char kGossipPath[] = "/peer/v1/greeting";
+constexpr char kJobPath[] = "/peer/v1/job";
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
-constexpr std::chrono::milliseconds kGreetTimeout{600};
+constexpr std::chrono::milliseconds kGossipTimeout{600};
 constexpr std::chrono::milliseconds kConnectTimeout{300};
 
 wire::HttpCall MakeCall(const std::string& endpoint,
@@ -56,40 +56,40 @@
 
 }  // namespace
 
-void PeerClient::Greet(const std::string& endpoint,
-                       const GossipMessage& greeting,
-                       Done<GossipMessage> done) {
+void PeerClient::Gossip(const std::string& endpoint,
+                        const GossipMessage& gossip,
+                        Done<GossipMessage> done) {
   m_client.Start(
-      MakeCall(endpoint, kGreetPath, Encode(greeting), kGreetTimeout),
+      MakeCall(endpoint, kGossipPath, Encode(gossip), kGossipTimeout),
       Complete(std::move(done), DecodeGossipMessage));
 }
 
-void PeerClient::Ask(const std::string& endpoint,
-                     const JobRequest& request,
-                     std::chrono::milliseconds timeout,
-                     Done<JobAnswer> done) {
-  m_client.Start(MakeCall(endpoint, kAskPath, Encode(request), timeout),
+void PeerClient::ForwardJob(const std::string& endpoint,
+                            const JobRequest& request,
+                            std::chrono::milliseconds timeout,
+                            Done<JobAnswer> done) {
+  m_client.Start(MakeCall(endpoint, kJobPath, Encode(request), timeout),
                  Complete(std::move(done), DecodeJobAnswer));
 }
 
 void ServePeer(HostNode& node,
                const wire::HttpRequest& request,
                const wire::HttpResponder& respond) {
-  if (request.path == kGreetPath) {
-    const auto greeting = DecodeGossipMessage(request.body);
-    respond(greeting ? Answer(kOk, Encode(node.HandleGossip(*greeting)))
-                     : Answer(kBadRequest, greeting.error().message));
-  } else if (request.path == kAskPath) {
+  if (request.path == kGossipPath) {
+    const auto gossip = DecodeGossipMessage(request.body);
+    respond(gossip ? Answer(kOk, Encode(node.HandleGossip(*gossip)))
+                   : Answer(kBadRequest, gossip.error().message));
+  } else if (request.path == kJobPath) {
     const auto job = DecodeJobRequest(request.body);
     if (!job) {
       respond(Answer(kBadRequest, job.error().message));
       return;
     }
-    node.Asked(*job, [respond](const JobAnswer& answer) {
+    node.HandleJobRequest(*job, [respond](const JobAnswer& answer) {
       respond(Answer(kOk, Encode(answer)));
     });
   } else {
-    respond(Answer(kNotFound, "no such call"));
+    respond(Answer(kNotFound, "unknown path"));
   }
 }
 
--- a/src/cassiastile/host/peer_message.cpp
+++ b/src/cassiastile/host/peer_message.cpp
@@ -27,8 +27,9 @@
     archive(message);
     return message;
   } catch (const std::exception& error) {
-    return base::Fail(base::ErrorCode::kInvalid,
-                      fmt::format("message between hosts: {}", error.what()));
+    return base::Fail(
+        base::ErrorCode::kInvalid,
+        fmt::format("cannot decode a message between hosts: {}", error.what()));
   }
 }
 
--- a/src/cassiastile/host/ports.cpp
+++ b/src/cassiastile/host/ports.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-struct Reading {
+struct PagedRead {
   RowStore& store;
   std::string table;
   std::string part;
@@ -17,26 +17,27 @@
   RowPage all;
 };
 
-void ReadNext(const std::shared_ptr<Reading>& reading,
-              const std::string& from,
-              bool first) {
-  reading->store.Read(
-      reading->table, reading->part, from, kReadTimeout,
-      [reading, first](base::Result<RowPage> page) {
+void ReadNextPage(const std::shared_ptr<PagedRead>& paged_read,
+                  const std::string& from,
+                  bool first) {
+  paged_read->store.Read(
+      paged_read->table, paged_read->part, from, kReadTimeout,
+      [paged_read, first](base::Result<RowPage> page) {
         if (!page) {
-          reading->done(std::move(page));
+          paged_read->done(std::move(page));
           return;
         }
         if (first) {
-          reading->all.version = page->version;
-          reading->all.now = page->now;
+          paged_read->all.version = page->version;
+          paged_read->all.now = page->now;
         }
-        std::ranges::move(page->rows, std::back_inserter(reading->all.rows));
-        if (page->has_more && !reading->all.rows.empty()) {
-          // The key after the last one.
-          ReadNext(reading, reading->all.rows.back().key + '\0', false);
+        std::ranges::move(page->rows, std::back_inserter(paged_read->all.rows));
+        if (page->has_more && !paged_read->all.rows.empty()) {
+          // Continues at the smallest key after the last one.
+          ReadNextPage(paged_read, paged_read->all.rows.back().key + '\0',
+                       false);
         } else {
-          reading->done(std::move(reading->all));
+          paged_read->done(std::move(paged_read->all));
         }
       });
 }
@@ -47,9 +48,9 @@
                  const std::string& table,
                  const std::string& part,
                  std::function<void(base::Result<RowPage>)> done) {
-  ReadNext(std::make_shared<Reading>(
-               Reading{store, table, part, std::move(done), {}}),
-           "", true);
+  ReadNextPage(std::make_shared<PagedRead>(
+                   PagedRead{store, table, part, std::move(done), {}}),
+               "", true);
 }
 
 }  // namespace cassiastile::host
--- a/src/cassiastile/host/settings.cpp
+++ b/src/cassiastile/host/settings.cpp
@@ -12,7 +12,7 @@
 
 using Json = nlohmann::json;
 
-// Reads members and collects what is wrong with them.
+// Reads members of a JSON object and collects all errors.
 class Reader {
  public:
   explicit Reader(const Json& json) : m_json(json) {}
@@ -25,7 +25,7 @@
     if (member->is_string()) {
       value = member->get<std::string>();
     } else {
-      Add(name, "must be text");
+      Add(name, "must be a string");
     }
   }
 
@@ -39,7 +39,7 @@
         member->get<std::int64_t>() <= kMaxPort) {
       value = member->get<std::uint16_t>();
     } else {
-      Add(name, "must be a port");
+      Add(name, "must be a port number from 1 to 65535");
     }
   }
 
@@ -57,7 +57,7 @@
     }
   }
 
-  // `unit_ms` is how many milliseconds one of the member's unit has.
+  // Reads a duration; `unit_ms` is the member's unit in milliseconds.
   void Time(const char* name,
             std::int64_t unit_ms,
             std::chrono::milliseconds& value) {
@@ -74,7 +74,7 @@
       return false;
     }
     if (!member->is_number() || member->get<double>() < 0) {
-      Add(name, "must be a number that is not negative");
+      Add(name, "must be a non-negative number");
       return false;
     }
     value = member->get<double>();
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -12,12 +12,12 @@
 using std::chrono::milliseconds;
 
 constexpr std::chrono::microseconds kStoreLatency{4000};
-// Shares of a core.
+// Shares of one core.
 constexpr double kStrongShare = 0.5;
 constexpr double kWeakShare = 0.12;
 constexpr std::chrono::microseconds kCallLatency{1500};
 constexpr milliseconds kMoveTime{1500};
-constexpr milliseconds kUpkeepTime{2000};
+constexpr milliseconds kMaintenanceTime{2000};
 constexpr milliseconds kCallTimeout{800};
 constexpr std::int64_t kWorkerCpu = 16000;
 constexpr std::int64_t kWorkerMemory = 65536;
@@ -35,8 +35,8 @@
   std::size_t steps = 0;
   std::uint32_t tasks = 0;
   std::int64_t millis = 0;
-  int lasts = 0;
-  in >> steps >> tasks >> millis >> lasts;
+  int is_long_running = 0;
+  in >> steps >> tasks >> millis >> is_long_running;
   jobs::JobSpec spec;
   spec.payload = text;
   for (std::uint32_t i = 0; i < steps; ++i) {
@@ -44,9 +44,9 @@
     step.count = tasks;
     step.need = {1000, 2000, 0};
     step.estimate = milliseconds(millis);
-    step.long_running = lasts != 0;
-    step.max_unavailable = lasts != 0 ? 1 : 0;
-    step.max_per_worker = lasts != 0 ? 1 : 0;
+    step.long_running = is_long_running != 0;
+    step.max_unavailable = is_long_running != 0 ? 1 : 0;
+    step.max_per_worker = is_long_running != 0 ? 1 : 0;
     if (i > 0) {
       step.after = {i - 1};
     }
@@ -122,7 +122,7 @@
   bool alive = true;
   std::unique_ptr<sim::WorkerModel> model;
   std::unique_ptr<sim::WorkerTimer> timer;
-  std::vector<std::function<void()>> waiting;  // Long polls.
+  std::vector<std::function<void()>> waiting;  // Pending long polls.
 };
 
 struct VirtualWorld::Machine {
@@ -133,7 +133,7 @@
   std::set<std::uint64_t> waves;
 };
 
-// The loop as one host sees it: nothing runs any more once it is dead.
+// The loop of one host; it runs no callbacks after Die.
 class HostLoop final : public Loop {
  public:
   explicit HostLoop(VirtualLoop& loop) : m_loop(loop) {}
@@ -171,7 +171,7 @@
       m_world.Post(timeout, [done] { done({.current = {}}); });
       return;
     }
-    if (IsAway()) {
+    if (IsUnavailable()) {
       m_world.Post(kStoreLatency, [done] {
         done(
             {.outcome = TransactionReply::Outcome::kNotApplied, .current = {}});
@@ -180,8 +180,9 @@
     }
     const bool late = m_world.Chance(m_world.m_faults.store_late);
     const bool lost = late || m_world.Chance(m_world.m_faults.store_lost);
-    const auto delay =
-        late ? std::chrono::microseconds(m_world.LateBy()) : kStoreLatency / 2;
+    const auto delay = late
+                           ? std::chrono::microseconds(m_world.RandomLateness())
+                           : kStoreLatency / 2;
     m_world.Post(
         delay, [this, transaction = std::move(transaction), lost, done] {
           TransactionReply reply = m_world.Apply(transaction);
@@ -208,7 +209,7 @@
       return;
     }
     m_world.Post(kStoreLatency, [this, table, part, from, done] {
-      if (IsAway()) {
+      if (IsUnavailable()) {
         done(base::Fail(base::ErrorCode::kUnavailable, "away"));
         return;
       }
@@ -225,32 +226,33 @@
     ++m_world.m_store_calls;
     done = m_loop.Guard(std::move(done));
     auto answered = std::make_shared<bool>(false);
-    const auto look = [this, table, after, done, answered](bool last) {
+    const auto probe = [this, table, after, done, answered](bool last) {
       if (*answered) {
         return true;
       }
       const FeedPage page = m_world.m_table.Feed(table, after);
-      if (IsAway() || (page.rows.empty() && !last)) {
+      if (IsUnavailable() || (page.rows.empty() && !last)) {
         return false;
       }
       *answered = true;
-      // Hosts' links differ; the last digit of the name is their slowness.
+      // Hosts' links differ in speed: the delay grows with the last digit of
+      // the host's name.
       const auto delay = m_world.m_faults.slow_feeds * (m_host.back() - '0');
       m_world.Post(kStoreLatency + delay, [done, page] { done(page); });
       return true;
     };
-    if (!look(false)) {
-      m_world.m_feeds.emplace_back([look] { return look(false); });
+    if (!probe(false)) {
+      m_world.m_feeds.emplace_back([probe] { return probe(false); });
     }
-    m_world.Post(wait, [this, look, answered, done] {
-      if (!look(true) && !std::exchange(*answered, true)) {
+    m_world.Post(wait, [this, probe, answered, done] {
+      if (!probe(true) && !std::exchange(*answered, true)) {
         done(base::Fail(base::ErrorCode::kUnavailable, "away"));
       }
     });
   }
 
  private:
-  bool IsAway() const {
+  bool IsUnavailable() const {
     return m_world.m_faults.store_down || m_world.m_faults.store_silent ||
            m_world.m_faults.hosts_without_store.contains(m_host);
   }
@@ -286,7 +288,7 @@
         });
         return;
       }
-      m_world.WatchWorker(*worker);
+      m_world.ArmWorkerTimer(*worker);
       auto answered = std::make_shared<bool>(false);
       const auto answer = [this, address, extension, done, answered] {
         if (std::exchange(*answered, true)) {
@@ -318,11 +320,12 @@
              std::function<void(jobs::StartResult)> done) override {
     done = m_loop.Guard(std::move(done));
     if (m_world.Chance(m_world.m_faults.orders_late)) {
-      m_world.Post(m_world.LateBy(), [this, address, order, fence, until] {
-        if (VirtualWorld::Worker* worker = Find(address)) {
-          m_world.StartRun(*worker, order, fence, until);
-        }
-      });
+      m_world.Post(m_world.RandomLateness(),
+                   [this, address, order, fence, until] {
+                     if (VirtualWorld::Worker* worker = Find(address)) {
+                       m_world.StartRun(*worker, order, fence, until);
+                     }
+                   });
       m_world.Post(kCallTimeout, [done] { done(jobs::StartResult::kUnknown); });
       return;
     }
@@ -427,7 +430,8 @@
         return;
       }
       machine.waves.insert(wave);
-      Restart(machine, MachineState::kMaintenance, kUpkeepTime, machine.pool);
+      Restart(machine, MachineState::kMaintenance, kMaintenanceTime,
+              machine.pool);
       done(MachineOrderResult::kDone);
     });
   }
@@ -439,13 +443,13 @@
                const std::string& pool) {
     if (const auto worker = m_world.m_workers.find(machine.worker);
         worker != m_world.m_workers.end()) {
-      m_world.EndLife(*worker->second);
+      m_world.TerminateWorker(*worker->second);
     }
     machine.state = state;
     machine.pool = pool;
     machine.worker.clear();
     m_world.Post(time,
-                 [this, name = machine.name] { m_world.BeginLife(name); });
+                 [this, name = machine.name] { m_world.StartWorker(name); });
   }
 
   VirtualWorld& m_world;
@@ -462,13 +466,13 @@
  public:
   WorldPeers(VirtualWorld& world, HostLoop& loop)
       : m_world(world), m_loop(loop) {}
-  void Greet(const std::string& endpoint,
-             const GossipMessage& greeting,
-             Done<GossipMessage> done) override;
-  void Ask(const std::string& endpoint,
-           const JobRequest& request,
-           milliseconds timeout,
-           Done<JobAnswer> done) override;
+  void Gossip(const std::string& endpoint,
+              const GossipMessage& gossip,
+              Done<GossipMessage> done) override;
+  void ForwardJob(const std::string& endpoint,
+                  const JobRequest& request,
+                  milliseconds timeout,
+                  Done<JobAnswer> done) override;
 
  private:
   VirtualWorld& m_world;
@@ -548,14 +552,14 @@
   HostNode node;
 };
 
-void WorldPeers::Greet(const std::string& endpoint,
-                       const GossipMessage& greeting,
-                       Done<GossipMessage> done) {
+void WorldPeers::Gossip(const std::string& endpoint,
+                        const GossipMessage& gossip,
+                        Done<GossipMessage> done) {
   done = m_loop.Guard(std::move(done));
-  m_world.Post(kCallLatency, [this, endpoint, greeting, done] {
+  m_world.Post(kCallLatency, [this, endpoint, gossip, done] {
     for (const auto& host : m_world.m_hosts) {
       if (host && host->name + ":1" == endpoint) {
-        const GossipMessage answer = host->node.HandleGossip(greeting);
+        const GossipMessage answer = host->node.HandleGossip(gossip);
         m_world.m_configs_from_peers += answer.config.empty() ? 0 : 1;
         m_world.Post(kCallLatency, [done, answer] { done(answer); });
         return;
@@ -565,23 +569,23 @@
   });
 }
 
-void WorldPeers::Ask(const std::string& endpoint,
-                     const JobRequest& request,
-                     milliseconds timeout,
-                     Done<JobAnswer> done) {
+void WorldPeers::ForwardJob(const std::string& endpoint,
+                            const JobRequest& request,
+                            milliseconds timeout,
+                            Done<JobAnswer> done) {
   done = m_loop.Guard(std::move(done));
   auto answered = std::make_shared<bool>(false);
   m_world.Post(kCallLatency, [this, endpoint, request, done, answered] {
     for (const auto& host : m_world.m_hosts) {
       if (host && host->name + ":1" == endpoint) {
-        host->node.Asked(request,
-                         [this, done, answered](const JobAnswer& answer) {
-                           m_world.Post(kCallLatency, [done, answered, answer] {
-                             if (!std::exchange(*answered, true)) {
-                               done(answer);
-                             }
-                           });
-                         });
+        host->node.HandleJobRequest(
+            request, [this, done, answered](const JobAnswer& answer) {
+              m_world.Post(kCallLatency, [done, answered, answer] {
+                if (!std::exchange(*answered, true)) {
+                  done(answer);
+                }
+              });
+            });
         return;
       }
     }
@@ -603,7 +607,7 @@
   const auto add = [this, &number](const std::string& pool) {
     const std::string name = fmt::format("machine-{:03}", number++);
     m_machines[name] = {.name = name, .pool = pool, .worker = {}, .waves = {}};
-    BeginLife(name);
+    StartWorker(name);
   };
   for (std::size_t service = 0; service < options.services; ++service) {
     for (std::size_t i = 0; i < options.workers_of_service; ++i) {
@@ -636,13 +640,13 @@
          std::uniform_real_distribution<double>(0, 1)(m_random) < share;
 }
 
-milliseconds VirtualWorld::LateBy() {
+milliseconds VirtualWorld::RandomLateness() {
   return milliseconds(
       std::uniform_int_distribution<int>(2000, 12000)(m_random));
 }
 
 void VirtualWorld::Violate(std::string what) {
-  m_watch.Violate(std::move(what));
+  m_checker.Violate(std::move(what));
 }
 
 TransactionReply VirtualWorld::Apply(const RowTransaction& transaction) {
@@ -668,29 +672,29 @@
   }
 }
 
-void VirtualWorld::BeginLife(const std::string& name) {
+void VirtualWorld::StartWorker(const std::string& name) {
   Machine& machine = m_machines.at(name);
   machine.state = MachineState::kUp;
   if (machine.pool == kSpare) {
     return;
   }
   auto worker = std::make_unique<Worker>();
-  worker->id = fmt::format("worker-{}", ++m_lives);
+  worker->id = fmt::format("worker-{}", ++m_started_workers);
   worker->machine = name;
   jobs::WorkerEntry entry;
-  entry.id = {worker->id, static_cast<std::int64_t>(m_lives)};
+  entry.id = {worker->id, static_cast<std::int64_t>(m_started_workers)};
   entry.service = machine.pool;
   entry.machine = name;
   entry.capacity = {kWorkerCpu, kWorkerMemory, 0};
   machine.worker = worker->id;
   ListWorker(entry);
   worker->model = std::make_unique<sim::WorkerModel>(std::move(entry),
-                                                     m_loop.Now(), m_watch);
+                                                     m_loop.Now(), m_checker);
   worker->timer = std::make_unique<sim::WorkerTimer>(
-      m_loop, [this, moved_on = worker.get()] {
-        moved_on->model->Advance(m_loop.Now());
-        AnswerPolls(*moved_on);
-        WatchWorker(*moved_on);
+      m_loop, [this, timed_worker = worker.get()] {
+        timed_worker->model->Advance(m_loop.Now());
+        AnswerPolls(*timed_worker);
+        ArmWorkerTimer(*timed_worker);
       });
   m_workers[worker->id] = std::move(worker);
 }
@@ -704,13 +708,13 @@
   Apply(transaction);
 }
 
-void VirtualWorld::EndLife(Worker& worker) {
+void VirtualWorld::TerminateWorker(Worker& worker) {
   worker.alive = false;
   worker.model->Die();
   RowTransaction transaction;
   transaction.drops.push_back({kWorkersTable, "", worker.id, "", 0, false});
-  constexpr milliseconds kListLapse{4500};
-  Post(kListLapse, [this, transaction] { Apply(transaction); });
+  constexpr milliseconds kEntryExpiry{4500};
+  Post(kEntryExpiry, [this, transaction] { Apply(transaction); });
 }
 
 jobs::StartResult VirtualWorld::StartRun(Worker& worker,
@@ -718,14 +722,14 @@
                                          std::uint64_t fence,
                                          milliseconds until) {
   worker.model->Advance(m_loop.Now());
-  const jobs::JobSpec* spec = m_watch.SpecOf(order.task.job);
+  const jobs::JobSpec* spec = m_checker.SpecOf(order.task.job);
   if (spec == nullptr) {
     Violate("a task of an unknown job was started: " + order.task.job);
     return jobs::StartResult::kRejected;
   }
   const auto result = worker.model->Start(order, spec->steps[order.task.step],
                                           fence, until, m_loop.Now());
-  WatchWorker(worker);
+  ArmWorkerTimer(worker);
   return result;
 }
 
@@ -738,7 +742,7 @@
   return stopped;
 }
 
-void VirtualWorld::WatchWorker(Worker& worker) {
+void VirtualWorld::ArmWorkerTimer(Worker& worker) {
   worker.timer->Set(worker.model->NextEvent());
 }
 
@@ -757,7 +761,7 @@
   request.path = fmt::format("/{}/{}", m_job_service.at(job), job);
   request.headers.emplace_back("Host", "host");
   if (method == "POST") {
-    request.body = m_watch.SpecOf(job)->payload;
+    request.body = m_checker.SpecOf(job)->payload;
   }
   return request;
 }
@@ -770,7 +774,7 @@
                                      const std::string& text,
                                      std::size_t tasks) {
   std::string job = MakeJobId();
-  m_watch.JobSubmitted(job, *DecodeSpec(text));
+  m_checker.JobSubmitted(job, *DecodeSpec(text));
   m_job_service[job] = service;
   m_tasks[job] = tasks;
   m_answers[job] = 0;
@@ -786,20 +790,20 @@
     live[pick]->node.Handle(MakeRequest("POST", job),
                             [this, job](const wire::HttpResponse& response) {
                               m_answers[job] = response.status;
-                              NoteAnswer(job, response.status);
+                              RecordAnswer(job, response.status);
                             });
   }
   return job;
 }
 
-void VirtualWorld::NoteAnswer(const std::string& job, int status) {
+void VirtualWorld::RecordAnswer(const std::string& job, int status) {
   constexpr int kOk = 200;
   constexpr int kTooMany = 429;
   constexpr int kUnavailable = 503;
   if (status == kOk) {
-    m_watch.Accepted(job);
+    m_checker.Accepted(job);
   } else if (status == kTooMany || status == kUnavailable) {
-    m_watch.Refused(job);
+    m_checker.Refused(job);
   }
 }
 
@@ -842,7 +846,7 @@
 int VirtualWorld::SubmitAgain(const std::string& job) {
   const int status = Call(MakeRequest("POST", job));
   if (status == 200) {
-    m_watch.Accepted(job);
+    m_checker.Accepted(job);
   }
   return status;
 }
@@ -906,10 +910,10 @@
     return;
   }
   Machine& machine = m_machines.at(found->second->machine);
-  EndLife(*found->second);
+  TerminateWorker(*found->second);
   machine.state = MachineState::kDown;
   machine.worker.clear();
-  Post(down, [this, name = machine.name] { BeginLife(name); });
+  Post(down, [this, name = machine.name] { StartWorker(name); });
 }
 
 std::vector<std::string> VirtualWorld::WorkerIds() const {
@@ -951,11 +955,11 @@
 }
 
 std::size_t VirtualWorld::DoneTasks(const std::string& job) const {
-  return m_watch.DoneTasks(job);
+  return m_checker.DoneTasks(job);
 }
 
 std::size_t VirtualWorld::RunningTasks(const std::string& job) const {
-  return m_watch.RunningTasks(job);
+  return m_checker.RunningTasks(job);
 }
 
 bool VirtualWorld::WaveIsDone(std::uint64_t wave) const {
--- a/src/cassiastile/host/virtual_world_bench.hpp
+++ b/src/cassiastile/host/virtual_world_bench.hpp
@@ -15,11 +15,14 @@
 #include "cassiastile/sim/table_model.hpp"
 #include "cassiastile/sim/worker_timer.hpp"
 
-// Hosts, a table, workers and machines in one process and in virtual time, from
-// one seed. The hosts are the real ones; all around them is a stand-in that can
-// misbehave and that watches the promises.
+// Simulates hosts, a table, workers and machines in one process and in virtual
+// time, reproducibly from one seed. The hosts run the production code;
+// everything around them is a fake that injects faults and checks the
+// scheduler's guarantees.
 namespace cassiastile::host {
 
+// Event loop in virtual time; events at the same time run in the order in which
+// they were added.
 class VirtualLoop final : public Loop {
  public:
   const base::Clock& GetClock() const override { return m_clock; }
@@ -41,51 +44,58 @@
   std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
 };
 
+// Faults to inject; all shares are probabilities from 0 to 1.
 struct WorldFaults {
   bool store_down = false;
-  bool store_silent = false;                // Calls get no answer at all.
-  std::chrono::milliseconds slow_feeds{0};  // Longer at each next host.
-  double store_lost = 0;   // Share of commits applied without an answer.
-  double store_late = 0;   // Share of commits applied seconds later.
-  double orders_late = 0;  // Share of orders carried out seconds later.
+  bool store_silent = false;                // Calls get no answer.
+  std::chrono::milliseconds slow_feeds{0};  // Times the host's number.
+  double store_lost = 0;   // Commits applied without an answer.
+  double store_late = 0;   // Commits applied seconds later.
+  double orders_late = 0;  // Starts carried out seconds later.
   std::set<std::string> hosts_without_store;
-  std::set<std::string> silent_workers;  // Cut off; they run on.
+  std::set<std::string> silent_workers;  // Unreachable, but running.
 };
 
+// Size and seed of a simulated fleet.
 struct WorldOptions {
   std::uint64_t seed = 1;
   std::size_t hosts = 6;
-  std::size_t strong_hosts = 0;  // The first ones; the others are weaker.
+  std::size_t strong_hosts = 0;  // The first ones have a larger processor.
   std::size_t services = 2;
   std::size_t workers_of_service = 4;
   std::size_t spare_machines = 2;
   bool keep_log = false;
 };
 
+// The simulated fleet.
 class VirtualWorld {
  public:
   explicit VirtualWorld(WorldOptions options = {});
   ~VirtualWorld();
 
   void RunFor(std::chrono::milliseconds time) { m_loop.RunFor(time); }
-  // Hands a job in at a live host. `steps` tasks run one after the other.
+  // Submits a job to a random live host and returns its id. It has `steps`
+  // steps, one after the other, with `tasks` parallel tasks each; a task takes
+  // `each`.
   std::string Submit(std::size_t service,
                      std::size_t steps,
                      std::uint32_t tasks,
                      std::chrono::milliseconds each);
-  // Hands the same job in again and returns the status of the answer, 0 for
-  // none.
+  // Submits the same job again and returns the HTTP status, or 0 if there was
+  // no answer.
   int SubmitAgain(const std::string& job);
   std::string SubmitLongRunning(std::size_t service, std::uint32_t tasks);
   void Cancel(const std::string& job);
 
+  // Killing ends a host at once; stopping lets it resign.
   void KillHost(std::size_t index);
   void StartHost(std::size_t index);
   void StopHost(std::size_t index);
+  // Index of a host that is the leader and serves; empty if there is none.
   std::optional<std::size_t> LeaderIndex() const;
-  // There must be a holder.
+  // Requires that there is a leader.
   const jobs::Scheduler& LeaderScheduler() const;
-  // Ends a worker's life; another begins on its machine after a time.
+  // Kills a worker; a new one starts on its machine after `down`.
   void CrashWorker(const std::string& id, std::chrono::milliseconds down);
   std::vector<std::string> WorkerIds() const;
   void PublishNextConfig();
@@ -96,11 +106,11 @@
   WorldFaults& Faults() { return m_faults; }
   base::Random& Engine() { return m_random; }
 
-  // What was seen. Violations are sentences; empty if all promises held.
+  // Descriptions of violated guarantees; empty if all held.
   const std::vector<std::string>& Violations() const {
-    return m_watch.Violations();
+    return m_checker.Violations();
   }
-  // The answer to the first hand-in of each job: 0 while there is none.
+  // HTTP status of each job's first submission; 0 while it has no answer.
   const std::map<std::string, int>& Answers() const { return m_answers; }
   std::size_t DoneTasks(const std::string& job) const;
   std::size_t RunningTasks(const std::string& job) const;
@@ -108,9 +118,9 @@
   bool WaveIsDone(std::uint64_t wave) const;
   std::uint64_t ConfigVersionOf(std::size_t host) const;
   std::uint64_t StoreCalls() const { return m_store_calls; }
-  // Whole configurations that hosts sent each other.
+  // Number of configurations that hosts got from peers.
   std::uint64_t ConfigsFromPeers() const { return m_configs_from_peers; }
-  // What the hosts logged, with `keep_log`.
+  // The hosts' log lines, if `keep_log` is set.
   const std::string& Log();
   std::size_t TasksOf(const std::string& job) const { return m_tasks.at(job); }
 
@@ -126,15 +136,15 @@
 
   void Post(std::chrono::microseconds delay, std::function<void()> run);
   bool Chance(double share);
-  std::chrono::milliseconds LateBy();
+  std::chrono::milliseconds RandomLateness();
 
   // The table.
   TransactionReply Apply(const RowTransaction& transaction);
   void WakeFeeds();
 
   // Workers.
-  void BeginLife(const std::string& machine);
-  void EndLife(Worker& worker);
+  void StartWorker(const std::string& machine);
+  void TerminateWorker(Worker& worker);
   void ListWorker(const jobs::WorkerEntry& entry);
   jobs::StartResult StartRun(Worker& worker,
                              const jobs::StartOrder& order,
@@ -143,10 +153,10 @@
   bool StopRun(Worker& worker,
                const jobs::StopOrder& order,
                std::uint64_t fence);
-  // Moves a worker on when its next run or its lease ends.
-  void WatchWorker(Worker& worker);
+  // Sets a timer to update a worker when its next run or its lease ends.
+  void ArmWorkerTimer(Worker& worker);
   void AnswerPolls(Worker& worker);
-  void NoteAnswer(const std::string& job, int status);
+  void RecordAnswer(const std::string& job, int status);
   std::chrono::milliseconds StoreClock() const;
   void Violate(std::string what);
   wire::HttpRequest MakeRequest(const std::string& method,
@@ -164,13 +174,13 @@
   std::vector<std::unique_ptr<Host>> m_hosts;
   std::vector<std::unique_ptr<Host>> m_dead_hosts;
   sim::TableModel m_table;
-  sim::InvariantChecker m_watch;
+  sim::InvariantChecker m_checker;
   std::uint64_t m_store_calls = 0;
   std::uint64_t m_configs_from_peers = 0;
   std::vector<std::function<bool()>> m_feeds;
   std::map<std::string, std::unique_ptr<Worker>> m_workers;
   std::map<std::string, Machine> m_machines;
-  std::uint64_t m_lives = 0;
+  std::uint64_t m_started_workers = 0;
   std::map<std::string, std::size_t> m_job_service;
   std::map<std::string, std::size_t> m_tasks;
   std::map<std::string, int> m_answers;
