--- a/include/cassiastile/host/dispatcher.hpp
+++ b/include/cassiastile/host/dispatcher.hpp
@@ -129,6 +129,8 @@
   // dispatcher_workers.cpp
   std::chrono::milliseconds PollPause() const;
   void PollWorkers();
+  // Extends a worker's lease and asks for its report; with `probe` the worker
+  // answers at once instead of waiting for a run to end.
   void Extend(Link& link, bool probe);
   void HandleReport(const std::string& worker,
                     bool probe,
--- a/include/cassiastile/host/machine_controller.hpp
+++ b/include/cassiastile/host/machine_controller.hpp
@@ -18,6 +18,7 @@
   std::string holder;
   // How long orders of a previous leader may still be in flight.
   std::chrono::milliseconds order_settle_time{3000};
+  // Whether to move machines between pools.
   bool moves = true;
 };
 
--- a/src/cassiastile/host/host_node.cpp
+++ b/src/cassiastile/host/host_node.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Gossip goes to a few random peers per round; news reaches all hosts within a
-// few rounds.
+// Gossip goes to a few random peers per round, so that an update reaches all
+// hosts within a few rounds.
 constexpr std::chrono::milliseconds kGossipInterval{500};
 constexpr std::size_t kGossipFanout = 2;
 constexpr std::size_t kTakeoverFanout = 8;
