--- a/include/cassiastile/wire/http_client.hpp
+++ b/include/cassiastile/wire/http_client.hpp
@@ -16,21 +16,22 @@
 
 namespace cassiastile::wire {
 
+// A request to send, with its limits.
 struct HttpCall {
   std::string method = "GET";
   std::string url;
   HttpHeaders headers;
   std::string body;
-  std::chrono::milliseconds timeout{10000};
+  std::chrono::milliseconds timeout{10000};  // For the whole call.
   std::chrono::milliseconds connect_timeout{1000};
-  // Opens a connection of its own and closes it after. The library re-sends a
-  // request by itself when a reused connection turns out to be closed, so a
-  // request that must not be sent twice needs this.
+  // Opens a new connection for this call and closes it afterwards. libcurl
+  // resends a request by itself when a reused connection turns out to be
+  // closed, so a request that must not be sent twice needs this.
   bool fresh_connection = false;
-  std::size_t max_body_bytes = 4U << 20U;
+  std::size_t max_body_bytes = 4U << 20U;  // Of the response.
 };
 
-// Whether any byte of a failed call may have reached the other end.
+// Whether any byte of a failed call may have reached the server.
 enum class SendState : std::uint8_t {
   kNotSent,
   kMaybeSent,
@@ -38,6 +39,7 @@
 
 std::string_view NameOf(SendState state);
 
+// A call that ended without a complete response.
 struct HttpFailure {
   SendState state = SendState::kMaybeSent;
   bool timed_out = false;
@@ -48,29 +50,32 @@
 using HttpCompletion = std::function<void(HttpOutcome)>;
 
 struct HttpClientOptions {
-  std::size_t threads = 1;
-  std::size_t max_connections_per_host = 64;
-  // A kept connection idle for longer is closed and not used again.
+  std::size_t threads = 1;  // Each with its own connection pool.
+  std::size_t max_connections_per_host = 64;  // Per thread.
+  // A pooled connection that was idle for longer is closed instead of reused.
   std::chrono::seconds max_idle{10};
-  // A connection whose sent data is not acknowledged for this long is closed.
+  // TCP_USER_TIMEOUT: a connection whose sent data stays unacknowledged for
+  // this long is closed.
   std::chrono::milliseconds unacknowledged_timeout{5000};
 };
 
-// Makes HTTP/1.1 calls. One call is in flight on a connection at a time; a
-// connection whose call failed or timed out is closed.
+// Makes HTTP/1.1 calls on threads of its own. A connection carries one call at
+// a time; a connection whose call failed or timed out is closed. Safe for use
+// by several threads.
 class HttpClient {
  public:
   static std::unique_ptr<HttpClient> Create(HttpClientOptions options = {});
-  // Fails the calls that are still under way.
+  // Fails the calls that are still in progress.
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  // Starts a call. The completion runs once, on a thread of the client, and
+  // Starts a call. The completion runs exactly once, on a client thread, and
   // must not block.
   void Start(HttpCall call, HttpCompletion completion);
 
-  // Makes a call and waits for its outcome. Not for use in completions.
+  // Makes a call and blocks until its outcome is known. Must not be called from
+  // a completion, which could deadlock.
   HttpOutcome Call(HttpCall call);
 
  private:
--- a/include/cassiastile/wire/http_server.hpp
+++ b/include/cassiastile/wire/http_server.hpp
@@ -16,28 +16,28 @@
 namespace cassiastile::wire {
 
 struct HttpServerOptions {
-  // The loop to serve on, run by the caller; null for threads of the server's
-  // own. The loop must outlive the server.
+  // The event loop to serve on, run by the caller; it must outlive the server.
+  // Null makes the server run its own loop and threads.
   asio::io_context* context = nullptr;
   std::string address = "127.0.0.1";
-  std::uint16_t port = 0;  // 0 takes a free one.
+  std::uint16_t port = 0;  // 0 picks a free port.
   std::size_t threads = 2;
   std::size_t max_connections = 4096;
   std::size_t max_body_bytes = 4U << 20U;
-  std::size_t max_header_bytes = 16U << 10U;  // For one field's value.
+  std::size_t max_header_bytes = 16U << 10U;  // For one field value.
   std::size_t max_header_count = 100;
-  // How long a caller may take to send a whole request, and how long a
-  // connection may stay idle.
+  // Limit for receiving a whole request, and for an idle connection.
   std::chrono::milliseconds read_timeout{15000};
-  // How long a handler may take to answer.
+  // Limit for a handler to respond.
   std::chrono::milliseconds handle_timeout{120000};
 };
 
-// An HTTP/1.1 server that hands requests to a router. Handlers run on the
-// server's threads and must not block for long if other requests shall go on.
+// An HTTP/1.1 server that passes requests to a router or handler. Handlers run
+// on the server's threads and must not block for long, or other requests are
+// delayed.
 class HttpServer {
  public:
-  // Fails when the address can't be bound.
+  // Starts listening. Fails with kUnavailable when the address can't be bound.
   static base::Result<std::unique_ptr<HttpServer>> Start(
       HttpServerOptions options,
       Router router);
@@ -48,19 +48,20 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
+  // The port that the server listens on.
   std::uint16_t Port() const;
 
-  // Requests taken and not yet answered.
+  // The number of requests accepted and not yet answered.
   std::size_t InFlight() const;
 
-  // From now on each answer asks its connection to close.
+  // From now on each response carries "Connection: close".
   void BeginDrain();
 
-  // Stops gracefully; not for servers on a caller's loop. For `notice` new
-  // connections are still served while each answer asks its connection to
-  // close; then no new connection is taken, and the server ends once every
-  // request taken is answered or `deadline` is over. Returns the number of
-  // requests cut off, zero when all were answered.
+  // Stops gracefully. Not for servers on a caller's loop. For the duration of
+  // `notice` new connections are still accepted, and each response carries
+  // "Connection: close". Then the server stops accepting and ends once every
+  // accepted request is answered or `deadline` has passed. Returns the number
+  // of requests that were cut off, zero when all were answered.
   std::size_t Drain(std::chrono::milliseconds notice,
                     std::chrono::milliseconds deadline);
 
--- a/include/cassiastile/wire/http_types.hpp
+++ b/include/cassiastile/wire/http_types.hpp
@@ -11,17 +11,17 @@
 
 namespace cassiastile::wire {
 
-// Header fields in the order received. Names are compared without case.
+// Header fields in the order received. Names compare case-insensitively.
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-// The first value of a field, or nothing.
+// The first value of a header field, or nothing.
 std::optional<std::string> FindHeader(const HttpHeaders& headers,
                                       std::string_view name);
 
 // A request as a server received it.
 struct HttpRequest {
   std::string method;
-  std::string path;   // Without the query, not decoded.
+  std::string path;   // Without the query; still percent-encoded.
   std::string query;  // Without the question mark.
   std::map<std::string, std::string> path_parameters;  // Set by the router.
   HttpHeaders headers;
@@ -29,33 +29,36 @@
   std::string remote_address;
 };
 
-// The value of a parameter of the query, percent-decoded, or nothing.
+// The percent-decoded value of a query parameter, or nothing.
 std::optional<std::string> FindQueryParameter(const HttpRequest& request,
                                               std::string_view name);
 
-// The secret in `Authorization: Bearer SECRET`, or nothing.
+// The token in `Authorization: Bearer TOKEN`, or nothing.
 std::optional<std::string> FindBearerToken(const HttpRequest& request);
 
-// Encodes text for use as a segment of a path or a value of a query.
+// Percent-encodes text for a path segment or a query value.
 std::string EncodePercent(std::string_view text);
 
-// Undoes EncodePercent. A percent sign that starts no code stays as it is.
+// Reverses EncodePercent. A percent sign that starts no valid escape is kept as
+// is.
 std::string DecodePercent(std::string_view text);
 
-// A whole answer.
+// A complete response.
 struct HttpResponse {
   int status = 200;
   HttpHeaders headers;
   std::string body;
-  // False when the sender marked no end of the body, so that a cut connection
-  // would look the same as a whole answer.
+  // False when nothing marks the end of the body (neither Content-Length nor
+  // Transfer-Encoding): a connection cut during the body then looks like a
+  // complete response.
   bool framed = true;
 };
 
-// Sends the answer to one request. Called exactly once, from any thread.
+// Sends the response to one request. Must be called exactly once, from any
+// thread.
 using HttpResponder = std::function<void(HttpResponse)>;
 
-// Takes a request and answers it through the responder, now or later.
+// Handles a request and responds through the responder, now or later.
 using HttpHandler = std::function<void(HttpRequest, HttpResponder)>;
 
 }  // namespace cassiastile::wire
--- a/include/cassiastile/wire/loop_client.hpp
+++ b/include/cassiastile/wire/loop_client.hpp
@@ -10,21 +10,22 @@
 
 namespace cassiastile::wire {
 
-// Makes HTTP/1.1 calls on an event loop, without threads of its own. Calls and
-// completions belong to the thread that runs the loop. URLs name an IP address
-// and a port. A call that finds its kept connection closed is sent once more on
-// a new one, so it must be safe to repeat.
+// Makes HTTP/1.1 calls on an event loop, without threads of its own. Start must
+// be called on the thread that runs the loop; completions run there. URLs must
+// contain an IP address and a port. A call whose pooled connection turns out to
+// be closed is sent once more on a new connection, so it must be safe to
+// repeat.
 class LoopClient {
  public:
   // The loop must outlive the client.
   static std::unique_ptr<LoopClient> Create(asio::io_context& context,
                                             HttpClientOptions options = {});
-  // Drops the calls that are still under way without completing them.
+  // Drops the calls in progress without running their completions.
   ~LoopClient();
   LoopClient(const LoopClient&) = delete;
   LoopClient& operator=(const LoopClient&) = delete;
 
-  // Starts a call. The completion runs once, later, on the loop.
+  // Starts a call. The completion runs exactly once, later, on the loop.
   void Start(HttpCall call, HttpCompletion completion);
 
  private:
--- a/include/cassiastile/wire/metrics.hpp
+++ b/include/cassiastile/wire/metrics.hpp
@@ -11,8 +11,8 @@
 
 namespace cassiastile::wire {
 
-// The counters of a process, by the Prometheus library. Safe for use by several
-// threads; a counter once made stays valid as long as this object.
+// The metrics of a process, kept by the Prometheus library. Safe for use by
+// several threads; a returned metric is valid as long as this object.
 class Metrics {
  public:
   using Labels = std::map<std::string, std::string>;
@@ -23,13 +23,13 @@
   prometheus::Gauge& Gauge(const std::string& name,
                            const std::string& help,
                            const Labels& labels = {});
-  // Buckets are upper bounds, in the unit that the name ends with.
+  // Buckets are upper bounds, in the unit that the metric name ends with.
   prometheus::Histogram& Histogram(const std::string& name,
                                    const std::string& help,
                                    const std::vector<double>& buckets,
                                    const Labels& labels = {});
 
-  // All of them in the text exposition format.
+  // All metrics in the Prometheus text exposition format.
   std::string Expose() const;
 
  private:
--- a/include/cassiastile/wire/router.hpp
+++ b/include/cassiastile/wire/router.hpp
@@ -8,18 +8,19 @@
 
 namespace cassiastile::wire {
 
-// Finds the handler for a request. A pattern is a path whose segments are
-// literal, `:name` for one segment (decoded) or, at the end, `*name` for the
-// rest (as it was sent).
-// Routes are added before the server starts and read by several threads after.
+// Finds the handler for a request. The segments of a pattern are literal,
+// `:name` for one segment (percent-decoded) or, at the end, `*name` for the
+// rest of the path (not decoded). All routes must be added before the server
+// starts; after that several threads read them.
 class Router {
  public:
-  // A method of "*" takes all methods.
+  // The method "*" matches all methods.
   void Add(std::string_view method,
            std::string_view pattern,
            HttpHandler handler);
 
-  // Calls the first route that fits, or answers 404 or 405 itself.
+  // Calls the first matching route, or responds with 404 (no such path) or 405
+  // (method not allowed).
   void Handle(HttpRequest request, HttpResponder respond) const;
 
  private:
--- a/src/cassiastile/wire/curl_transfer.cpp
+++ b/src/cassiastile/wire/curl_transfer.cpp
@@ -10,23 +10,29 @@
 
 namespace {
 
-std::size_t TakeBody(char* data, std::size_t, std::size_t size, void* user) {
+// A return value other than the size given makes libcurl abort the transfer.
+std::size_t AppendBody(char* data, std::size_t, std::size_t size, void* user) {
   auto* transfer = static_cast<Transfer*>(user);
   if (transfer->response.body.size() + size > transfer->call.max_body_bytes) {
-    transfer->too_long = true;
+    transfer->body_too_large = true;
     return 0;
   }
   transfer->response.body.append(data, size);
   return size;
 }
 
-std::size_t TakeHeader(char* data, std::size_t, std::size_t size, void* user) {
+std::size_t AppendHeader(char* data,
+                         std::size_t,
+                         std::size_t size,
+                         void* user) {
   auto* transfer = static_cast<Transfer*>(user);
   std::string_view line(data, size);
   while (!line.empty() && (line.back() == '\n' || line.back() == '\r')) {
     line.remove_suffix(1);
   }
   if (line.starts_with("HTTP/")) {
+    // Each response has a status line; headers of an interim response (1xx)
+    // don't count.
     transfer->response.headers.clear();
     return size;
   }
@@ -48,6 +54,7 @@
   return CURL_SOCKOPT_OK;
 }
 
+// Whether the response marks the end of its body.
 bool HasFraming(const Transfer& transfer) {
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
@@ -60,8 +67,8 @@
          FindHeader(response.headers, "Transfer-Encoding").has_value();
 }
 
-// Nothing is sent before the connection is made. A call on a reused connection
-// has no time of connecting of its own, but reaches the point before transfer.
+// Nothing is sent before the connection is made. A reused connection has a
+// connect time of zero, but its call has a time before transfer.
 SendState SendStateOf(CURL* handle) {
   curl_off_t connect_micros = 0;
   curl_off_t before_transfer_micros = 0;
@@ -85,8 +92,9 @@
   HttpFailure failure;
   failure.state = SendStateOf(transfer.handle);
   failure.timed_out = code == CURLE_OPERATION_TIMEDOUT;
-  failure.message =
-      transfer.too_long ? "the answer is too long" : curl_easy_strerror(code);
+  failure.message = transfer.body_too_large
+                        ? "the response body exceeds the size limit"
+                        : curl_easy_strerror(code);
   return tl::unexpected(failure);
 }
 
@@ -108,7 +116,7 @@
 }
 
 void ApplyHeaders(Transfer& transfer) {
-  // Without this the library waits for "100 Continue" before long bodies.
+  // Without this libcurl waits for "100 Continue" before it sends a long body.
   transfer.headers = curl_slist_append(transfer.headers, "Expect:");
   for (const auto& [name, value] : transfer.call.headers) {
     const std::string line = value.empty() ? name + ";" : name + ": " + value;
@@ -139,9 +147,9 @@
                    static_cast<long>(options.max_idle.count()));
   curl_easy_setopt(handle, CURLOPT_SOCKOPTFUNCTION, SetSocketOptions);
   curl_easy_setopt(handle, CURLOPT_SOCKOPTDATA, &transfer);
-  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, TakeBody);
+  curl_easy_setopt(handle, CURLOPT_WRITEFUNCTION, AppendBody);
   curl_easy_setopt(handle, CURLOPT_WRITEDATA, &transfer);
-  curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, TakeHeader);
+  curl_easy_setopt(handle, CURLOPT_HEADERFUNCTION, AppendHeader);
   curl_easy_setopt(handle, CURLOPT_HEADERDATA, &transfer);
   if (call.fresh_connection) {
     curl_easy_setopt(handle, CURLOPT_FRESH_CONNECT, 1L);
--- a/src/cassiastile/wire/curl_transfer.hpp
+++ b/src/cassiastile/wire/curl_transfer.hpp
@@ -6,14 +6,14 @@
 
 namespace cassiastile::wire {
 
-// What one call keeps while it is under way.
+// The state of one call in progress.
 struct Transfer {
   HttpCall call;
   HttpCompletion completion;
   HttpResponse response;
   curl_slist* headers = nullptr;
   CURL* handle = nullptr;
-  bool too_long = false;
+  bool body_too_large = false;
   long unacknowledged_ms = 0;
 
   Transfer() = default;
@@ -27,13 +27,14 @@
   }
 };
 
-// Sets up the easy handle of a call. The transfer must not move afterwards.
+// Sets up the curl easy handle of a call. The handle points into the transfer,
+// which must not move afterwards.
 void Prepare(Transfer& transfer, const HttpClientOptions& options);
 
-// What became of a finished transfer.
+// The outcome of a finished transfer.
 HttpOutcome MakeOutcome(Transfer& transfer, CURLcode code);
 
-// Initializes the library once for the process.
+// Initializes libcurl once per process.
 void InitializeCurl();
 
 }  // namespace cassiastile::wire
--- a/src/cassiastile/wire/http_client.cpp
+++ b/src/cassiastile/wire/http_client.cpp
@@ -28,7 +28,7 @@
   return base::FindName(kSendNames, state);
 }
 
-// One thread with its own set of connections.
+// One thread with its own connection pool.
 class HttpClient::Worker {
  public:
   explicit Worker(const HttpClientOptions& options)
@@ -62,16 +62,16 @@
  private:
   void Run() {
     while (!m_stopping.load()) {
-      TakeWaiting();
+      StartWaiting();
       int running = 0;
       curl_multi_perform(m_multi, &running);
-      FinishDone();
+      FinishCompleted();
       curl_multi_poll(m_multi, nullptr, 0, kPollMillis, nullptr);
     }
     FailAll();
   }
 
-  void TakeWaiting() {
+  void StartWaiting() {
     std::deque<std::unique_ptr<Transfer>> waiting;
     {
       const std::lock_guard lock(m_mutex);
@@ -85,7 +85,7 @@
     }
   }
 
-  void FinishDone() {
+  void FinishCompleted() {
     int left = 0;
     while (CURLMsg* message = curl_multi_info_read(m_multi, &left)) {
       if (message->msg == CURLMSG_DONE) {
@@ -103,8 +103,9 @@
     transfer->completion(std::move(outcome));
   }
 
+  // Fails the calls that are queued or in progress.
   void FailAll() {
-    TakeWaiting();
+    StartWaiting();
     while (!m_active.empty()) {
       Finish(m_active.begin()->first, CURLE_ABORTED_BY_CALLBACK);
     }
--- a/src/cassiastile/wire/http_server.cpp
+++ b/src/cassiastile/wire/http_server.cpp
@@ -49,6 +49,7 @@
 
   ~Impl() { Stop(); }
 
+  // Binds the address and starts the server's threads, if it has its own.
   base::Result<void> Open() {
     try {
       m_server = std::make_unique<Server>(
@@ -144,6 +145,7 @@
     }
   }
 
+  // Stops the server's own loop; a caller's loop is not touched.
   void Stop() {
     if (m_threads.empty()) {
       return;
--- a/src/cassiastile/wire/http_test.cpp
+++ b/src/cassiastile/wire/http_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_TRUE(outcome->framed);
 }
 
-TEST(HttpTest, TellsWrongMethodFromWrongPath) {
+TEST(HttpTest, DistinguishesWrongMethodFromWrongPath) {
   const auto server = StartEcho();
   const auto client = HttpClient::Create();
   HttpCall call;
@@ -65,7 +65,7 @@
   EXPECT_EQ(outcome.error().state, SendState::kNotSent);
 }
 
-// Answers one connection with the given bytes and closes it.
+// Sends the given bytes to one connection and closes it.
 class OneShotPeer {
  public:
   explicit OneShotPeer(std::string answer)
@@ -100,7 +100,7 @@
   EXPECT_EQ(outcome.error().state, SendState::kMaybeSent);
 }
 
-TEST(HttpTest, BodyWithoutAnEndMarkIsToldApart) {
+TEST(HttpTest, ResponseWithoutFramingIsMarked) {
   const OneShotPeer peer("HTTP/1.1 200 OK\r\n\r\nabc");
   const auto client = HttpClient::Create();
   HttpCall call;
@@ -110,7 +110,7 @@
   EXPECT_FALSE(outcome->framed);
 }
 
-TEST(HttpTest, DrainAnswersWhatWasTaken) {
+TEST(HttpTest, DrainAnswersAcceptedRequests) {
   std::promise<void> entered;
   std::promise<void> release;
   Router router;
@@ -146,7 +146,7 @@
   answering.join();
 }
 
-TEST(HttpTest, ErrorsThatPassSayWhenToComeBack) {
+TEST(HttpTest, TransientErrorsCarryRetryAfter) {
   const auto retry_after = [](base::ErrorCode code) {
     return FindHeader(MakeErrorResponse({code, "It is busy."}).headers,
                       "Retry-After");
--- a/src/cassiastile/wire/http_types.cpp
+++ b/src/cassiastile/wire/http_types.cpp
@@ -35,7 +35,7 @@
          character == '_' || character == '~';
 }
 
-// In a query a plus sign stands for a space.
+// In a query string a plus sign encodes a space.
 std::string DecodeQueryValue(std::string_view text) {
   std::string spaced(text);
   std::replace(spaced.begin(), spaced.end(), '+', ' ');
--- a/src/cassiastile/wire/loop_client.cpp
+++ b/src/cassiastile/wire/loop_client.cpp
@@ -25,7 +25,7 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// Deadlines are looked at this often, with one timer for all calls.
+// Interval of the one timer that checks the deadlines of all calls.
 constexpr milliseconds kDeadlineTick{20};
 constexpr std::size_t kReadBytes = 16U << 10U;
 
@@ -79,7 +79,7 @@
   return text;
 }
 
-// Whether the response marks its own end.
+// Whether the response marks the end of its body.
 bool IsFramed(const HttpResponse& response) {
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
@@ -88,7 +88,7 @@
          FindHeader(response.headers, "Transfer-Encoding").has_value();
 }
 
-// Takes one response apart as its bytes come in.
+// Parses one response incrementally.
 class ResponseReader {
  public:
   ResponseReader() {
@@ -96,22 +96,24 @@
     m_parser.data = this;
   }
 
-  // False when the bytes are not a response, or it is too long.
+  // Returns false when the bytes are not a response or its body exceeds
+  // `max_body` bytes.
   bool Feed(const char* data, std::size_t size, std::size_t max_body) {
     m_max_body = max_body;
     static const http_parser_settings settings = MakeSettings();
     const std::size_t taken =
         http_parser_execute(&m_parser, &settings, data, size);
-    // Bytes behind the end belong to nobody.
+    // Bytes after the end of the response are ignored.
     return m_complete || (taken == size && m_parser.http_errno == HPE_OK);
   }
 
-  // The sender closed the connection, which ends a response without a length.
+  // Handles the end of the connection, which also ends a response without a
+  // length. Returns whether the response is complete.
   bool Close() { return Feed(nullptr, 0, m_max_body) && m_complete; }
 
   bool IsComplete() const { return m_complete; }
   bool HasBegun() const { return m_begun; }
-  bool KeepsOpen() const { return m_keep_alive && m_response.framed; }
+  bool KeepsConnectionOpen() const { return m_keep_alive && m_response.framed; }
   HttpResponse Take() { return std::move(m_response); }
 
  private:
@@ -188,20 +190,24 @@
     const auto target = ParseUrl(exchange->call.url);
     if (!target) {
       asio::post(m_context, [self = shared_from_this(), exchange] {
-        self->Fail(exchange, "the URL can't be read", false);
+        self->Fail(exchange,
+                   "the URL is not of the form http://ADDRESS:PORT/PATH",
+                   false);
       });
       return;
     }
     exchange->target = *target;
     exchange->request = WriteRequest(exchange->call, exchange->target);
     m_active.push_back(exchange);
-    exchange->place = std::prev(m_active.end());
+    exchange->position = std::prev(m_active.end());
     ArmTimer();
     Send(exchange, exchange->call.fresh_connection);
   }
 
-  void Shut() {
-    m_shut = true;
+  // Drops the active calls, without running their completions, and all
+  // connections.
+  void ShutDown() {
+    m_shut_down = true;
     m_timer.cancel();
     for (const auto& exchange : m_active) {
       exchange->completion = nullptr;
@@ -215,11 +221,12 @@
   struct Connection {
     explicit Connection(asio::io_context& context) : socket(context) {}
     tcp::socket socket;
-    steady_clock::time_point used{};
+    steady_clock::time_point last_used{};
     std::array<char, kReadBytes> buffer{};
   };
   using ConnectionPointer = std::shared_ptr<Connection>;
 
+  // A call in progress.
   struct Exchange {
     HttpCall call;
     HttpCompletion completion;
@@ -230,11 +237,13 @@
     ConnectionPointer connection;
     ResponseReader reader;
     bool reused = false;
-    bool sent = false;  // A connection was there to send on.
-    std::list<std::shared_ptr<Exchange>>::iterator place;
+    bool sent = false;  // Whether any attempt got a connection to send on.
+    std::list<std::shared_ptr<Exchange>>::iterator position;
   };
   using ExchangePointer = std::shared_ptr<Exchange>;
 
+  // Sends a call on an idle connection, or on a new one if there is none or
+  // `fresh` is set.
   void Send(const ExchangePointer& exchange, bool fresh) {
     exchange->connection = fresh ? nullptr : TakeIdle(exchange->target);
     exchange->reused = exchange->connection != nullptr;
@@ -262,6 +271,8 @@
         });
   }
 
+  // The most recently used idle connection, or null. Drops connections that
+  // were idle for too long.
   ConnectionPointer TakeIdle(const Target& target) {
     const auto found = m_idle.find(target.authority);
     if (found == m_idle.end()) {
@@ -272,7 +283,7 @@
     while (!connections.empty()) {
       ConnectionPointer connection = std::move(connections.back());
       connections.pop_back();
-      if (connection->used > oldest) {
+      if (connection->last_used > oldest) {
         return connection;
       }
     }
@@ -296,7 +307,7 @@
                        connection = exchange->connection](
                           const asio::error_code& error, std::size_t) {
                         if (exchange->connection == connection && error) {
-                          self->Broken(exchange, error);
+                          self->HandleConnectionError(exchange, error);
                         }
                       });
     Read(exchange);
@@ -309,20 +320,20 @@
         [self = shared_from_this(), exchange, connection](
             const asio::error_code& error, std::size_t size) {
           if (exchange->connection == connection) {
-            self->TakeBytes(exchange, error, size);
+            self->HandleBytes(exchange, error, size);
           }
         });
   }
 
-  void TakeBytes(const ExchangePointer& exchange,
-                 const asio::error_code& error,
-                 std::size_t size) {
+  void HandleBytes(const ExchangePointer& exchange,
+                   const asio::error_code& error,
+                   std::size_t size) {
     if (error) {
       if (error == asio::error::eof && exchange->reader.HasBegun() &&
           exchange->reader.Close()) {
         Succeed(exchange);
       } else {
-        Broken(exchange, error);
+        HandleConnectionError(exchange, error);
       }
       return;
     }
@@ -330,7 +341,8 @@
         exchange->reader.Feed(exchange->connection->buffer.data(), size,
                               exchange->call.max_body_bytes);
     if (!good) {
-      Fail(exchange, "the answer can't be read", false);
+      Fail(exchange, "the response is malformed or exceeds the size limit",
+           false);
     } else if (exchange->reader.IsComplete()) {
       Succeed(exchange);
     } else {
@@ -338,8 +350,11 @@
     }
   }
 
-  // A kept connection that the other end had closed is replaced once.
-  void Broken(const ExchangePointer& exchange, const asio::error_code& error) {
+  // Handles a connection error. The server may have closed a pooled connection
+  // while it was idle, so the call is sent once more on a new one if no byte of
+  // the response has come.
+  void HandleConnectionError(const ExchangePointer& exchange,
+                             const asio::error_code& error) {
     if (exchange->reused && !exchange->reader.HasBegun()) {
       Drop(exchange->connection);
       Send(exchange, true);
@@ -350,8 +365,9 @@
 
   void Succeed(const ExchangePointer& exchange) {
     const ConnectionPointer connection = exchange->connection;
-    if (exchange->reader.KeepsOpen() && !exchange->call.fresh_connection) {
-      connection->used = steady_clock::now();
+    if (exchange->reader.KeepsConnectionOpen() &&
+        !exchange->call.fresh_connection) {
+      connection->last_used = steady_clock::now();
       auto& idle = m_idle[exchange->target.authority];
       if (idle.size() < m_options.max_connections_per_host) {
         idle.push_back(connection);
@@ -379,7 +395,7 @@
     if (!completion) {
       return;
     }
-    m_active.erase(exchange->place);
+    m_active.erase(exchange->position);
     completion(std::move(outcome));
   }
 
@@ -399,7 +415,7 @@
     m_timer.expires_after(kDeadlineTick);
     m_timer.async_wait([self = shared_from_this()](const asio::error_code& e) {
       self->m_timer_armed = false;
-      if (!e && !self->m_shut) {
+      if (!e && !self->m_shut_down) {
         self->CheckDeadlines();
       }
     });
@@ -415,7 +431,8 @@
     }
     for (const auto& exchange : late) {
       if (exchange->completion) {
-        Fail(exchange, "no answer in time", true);
+        Fail(exchange, "timed out waiting for a connection or a response",
+             true);
       }
     }
     if (!m_active.empty()) {
@@ -427,7 +444,7 @@
   HttpClientOptions m_options;
   asio::steady_timer m_timer;
   bool m_timer_armed = false;
-  bool m_shut = false;
+  bool m_shut_down = false;
   std::list<ExchangePointer> m_active;
   std::map<std::string, std::vector<ConnectionPointer>> m_idle;
 };
@@ -435,7 +452,7 @@
 LoopClient::LoopClient(std::shared_ptr<Impl> impl) : m_impl(std::move(impl)) {}
 
 LoopClient::~LoopClient() {
-  m_impl->Shut();
+  m_impl->ShutDown();
 }
 
 std::unique_ptr<LoopClient> LoopClient::Create(asio::io_context& context,
--- a/src/cassiastile/wire/loop_client_test.cpp
+++ b/src/cassiastile/wire/loop_client_test.cpp
@@ -61,7 +61,7 @@
   std::unique_ptr<LoopClient> m_client;
 };
 
-TEST_F(LoopClientTest, TakesAnAnswer) {
+TEST_F(LoopClientTest, ReceivesAResponse) {
   const HttpOutcome outcome = Call("GET", "/hello");
   ASSERT_TRUE(outcome.has_value());
   EXPECT_EQ(outcome->status, 200);
--- a/src/cassiastile/wire/problem.cpp
+++ b/src/cassiastile/wire/problem.cpp
@@ -14,7 +14,7 @@
     {Execution::kRan, "ran"},
 }};
 
-// When to come back after an error that passes by itself.
+// Retry-After for transient errors.
 constexpr std::chrono::milliseconds kErrorRetryAfter{1000};
 
 int StatusOf(base::ErrorCode code) {
