--- a/include/cassiastile/entry/claim_store.hpp
+++ b/include/cassiastile/entry/claim_store.hpp
@@ -18,65 +18,71 @@
 
 namespace cassiastile::entry {
 
-// The claim is in the table; the request may be sent.
+// The claim was committed to the table; the request may be sent.
 struct ClaimCommitted {};
 
-// There was one before, which decides how the request ends.
+// The key already has a claim, which decides the outcome of the request.
 struct ClaimExists {
   work::Claim claim;
 };
 
-// The claim is not known to be in the table; the request must not be sent.
+// The claim is not known to be committed; the request must not be sent.
 struct ClaimFailed {};
 
 using ClaimResult = std::variant<ClaimCommitted, ClaimExists, ClaimFailed>;
 using ClaimCallback = std::function<void(ClaimResult)>;
 
 struct ClaimStoreOptions {
-  // The least time between two writes of claims, and of ended ones.
+  // Minimum time between two writes of claims, and of outcomes.
   std::chrono::milliseconds claim_write_interval{60};
   std::chrono::milliseconds outcome_write_interval{250};
-  std::size_t max_batch = 64;
-  std::size_t max_waiting = 1024;
+  std::size_t max_batch = 64;      // Claims, or outcomes, per transaction.
+  std::size_t max_waiting = 1024;  // Claims, and outcomes, not yet written.
 };
 
-// Commits claims in groups, so that the table takes far fewer writes than there
-// are requests with keys. Safe for use by several threads.
+// Commits the claims of idempotency keys in batches, so that the table gets far
+// fewer writes than there are requests with keys. Safe for use by several
+// threads.
 class ClaimStore {
  public:
-  // The table outlives the store.
+  // The table must outlive the store.
   ClaimStore(platform::Table& table,
              work::HolderName holder,
              ClaimStoreOptions options,
              std::uint64_t seed);
-  // Writes what has ended, as far as the table takes it.
+  // Writes the outcomes that are still queued, as far as the table accepts
+  // them.
   ~ClaimStore();
   ClaimStore(const ClaimStore&) = delete;
   ClaimStore& operator=(const ClaimStore&) = delete;
 
-  // Fails the claims that wait and takes no more. Ends are still taken.
+  // Fails the waiting claims and rejects new ones. Outcomes are still accepted.
   void Stop();
 
-  // Claims a row's key. The callback runs once, on the store's thread or, when
-  // too many wait, at once.
+  // Claims the row `key`. The callback runs exactly once: on the store's
+  // thread, in Stop, or within this call when too many claims wait or the store
+  // has stopped.
   void AcquireClaim(std::string key, work::Claim claim, ClaimCallback callback);
 
-  // Records how a request ended whose claim was taken.
+  // Records the outcome of a request whose claim was committed. Dropped when
+  // too many outcomes wait.
   void RecordOutcome(std::string key,
                      const work::Claim& claim,
                      const work::Outcome& outcome);
 
  private:
+  // A claim that is not written yet.
   struct Waiting {
     std::string key;
     work::Claim claim;
     ClaimCallback callback;
   };
 
+  // The outcome of a claimed request that is not written yet.
   struct Ended {
     std::string key;
     std::string nonce;
-    std::optional<work::Claim> claim;  // Nothing where the row is to go.
+    std::optional<work::Claim> claim;  // Nothing to delete the row.
   };
 
   std::string NewNonce();
@@ -85,7 +91,7 @@
   std::vector<Waiting> NextClaims();
   std::vector<Ended> NextEnded();
   void CommitClaims(std::vector<Waiting> batch);
-  static std::vector<Waiting> TakeTwins(std::vector<Waiting>& batch);
+  static std::vector<Waiting> ExtractDuplicates(std::vector<Waiting>& batch);
   void Resolve(std::vector<Waiting>& batch);
   void CommitEnded(const std::vector<Ended>& batch);
   void WriteEnded(const Ended& ended);
@@ -94,7 +100,7 @@
   platform::Table& m_table;
   work::HolderName m_holder;
   ClaimStoreOptions m_options;
-  base::Random m_random;  // For the store's thread only.
+  base::Random m_random;  // Used by the store's thread only.
 
   std::mutex m_mutex;
   std::condition_variable m_wake;
--- a/include/cassiastile/entry/credit_account.hpp
+++ b/include/cassiastile/entry/credit_account.hpp
@@ -12,45 +12,46 @@
 
 namespace cassiastile::entry {
 
-// What spends the credits of one row. Safe for use by several threads.
+// Uses the credits that one ledger row grants to this host. Safe for use by
+// several threads.
 class CreditConsumer {
  public:
   virtual ~CreditConsumer() = default;
 
-  // What is needed, given what the row says.
+  // What this host needs of each resource, given the current row.
   virtual CreditNeeds Needs(const work::LedgerRow& row,
                             base::TimePoint now) = 0;
 
-  // Nothing is started any more above the grants; what they don't name counts
-  // as none. Returns what is in use from then on at most, which may be more
-  // than that where it was already.
+  // From now on nothing is started above the grants; a resource without a grant
+  // counts as zero. Returns an upper bound of what stays in use, which may
+  // exceed a grant where more was in use already.
   virtual Grants Allow(const Grants& grants, base::TimePoint now) = 0;
 };
 
-// Gives back all that another user does not have in use.
+// Releases all credits that another consumer does not have in use.
 class ReleasingConsumer final : public CreditConsumer {
  public:
-  // The user outlives it.
-  explicit ReleasingConsumer(CreditConsumer& user) : m_user(user) {}
+  // The consumer must outlive this object.
+  explicit ReleasingConsumer(CreditConsumer& consumer) : m_consumer(consumer) {}
 
   CreditNeeds Needs(const work::LedgerRow& row, base::TimePoint now) override;
   Grants Allow(const Grants& grants, base::TimePoint now) override;
 
  private:
-  CreditConsumer& m_user;
+  CreditConsumer& m_consumer;
 };
 
-// How an exchange with the table ended.
+// Result of one synchronization with the table.
 enum class CreditSyncResult : std::uint8_t {
   kUnchanged,
   kWritten,
-  kConflict,     // Others wrote; worth another try at once.
-  kUnreachable,  // What was granted before goes on serving.
+  kConflict,     // Another host wrote the row first; retry at once.
+  kUnreachable,  // Credits granted before stay usable.
 };
 
-// This host's part of one row of credits. Before a write that gives credits
-// back, their use is stopped; credits are used only after the write that
-// grants them is known to have applied. For use by one thread.
+// This host's share of one ledger row. Use of credits stops before the write
+// that releases them, and starts only after the write that grants them is known
+// to have been applied. For use by one thread.
 class CreditAccount {
  public:
   CreditAccount(platform::Table& table,
@@ -58,19 +59,21 @@
                 work::HolderName holder,
                 std::uint64_t seed);
 
+  // Returns those of the given holders that are gone for good.
   using GoneHolderFinder = std::function<std::set<work::HolderName>(
       const std::set<work::HolderName>&)>;
 
-  // Reads the row, and writes it when what is due differs.
-  CreditSyncResult Sync(CreditConsumer& user,
+  // Reads the row, and writes it if this host is due to take or release
+  // credits, or to remove holders that are gone.
+  CreditSyncResult Sync(CreditConsumer& consumer,
                         const GoneHolderFinder& find_gone,
                         base::TimePoint now);
 
-  // When the table last answered.
+  // When the table last answered a read.
   base::TimePoint LastAnswer() const { return m_last_answer; }
 
  private:
-  CreditSyncResult Write(CreditConsumer& user,
+  CreditSyncResult Write(CreditConsumer& consumer,
                          const work::LedgerRow& row,
                          std::uint64_t version,
                          work::LedgerRow planned,
@@ -81,7 +84,7 @@
   std::string m_key;
   work::HolderName m_holder;
   base::Random m_random;
-  // A write whose answer was lost.
+  // A write whose outcome is unknown because its answer was lost.
   std::optional<platform::Transaction> m_unresolved;
   base::TimePoint m_last_answer{};
 };
--- a/include/cassiastile/entry/credit_plan.hpp
+++ b/include/cassiastile/entry/credit_plan.hpp
@@ -14,35 +14,36 @@
 
 namespace cassiastile::entry {
 
-// What this host needs of one resource.
+// What this host needs of one resource, in credits.
 struct CreditNeed {
-  std::uint32_t capacity = 0;  // The resource's own, by the document.
+  std::uint32_t capacity = 0;  // Of the whole resource, by the fleet document.
   std::uint32_t in_use = 0;
   std::uint32_t wanted = 0;
 };
 
-// By the name of the resource.
+// By resource name: a runner for slots, a team for its limit.
 using CreditNeeds = std::map<std::string, CreditNeed>;
 using Grants = std::map<std::string, std::uint32_t>;
 
-// What a row grants to a holder.
+// What a row grants to a holder; resources without a grant are left out.
 Grants GrantsOf(const work::LedgerRow& row, const work::HolderName& holder);
 
-// The row as the holder would have it: holders that are gone lose theirs, then
-// the holder takes and gives back what it is due.
+// The row as this holder should write it: the credits of gone holders are
+// forfeited, then the holder takes or releases credits according to its needs.
 work::LedgerRow PlanLedgerRow(const work::LedgerRow& row,
                               const work::HolderName& holder,
                               const CreditNeeds& needs,
                               const std::set<work::HolderName>& gone);
 
-// Whether the planned row differs in more than small changes of what the
-// holder says that it wants.
+// Whether the planned row differs by more than small changes of the amount that
+// the holder wants.
 bool IsWorthWriting(const work::LedgerRow& row,
                     const work::LedgerRow& planned,
                     const work::HolderName& holder);
 
-// How many slots to want on each runner so that `target` requests can run:
-// those of the own zone first, others for what the own zone lacks.
+// How many slots to request on each runner so that `target` requests can run:
+// runners in the own availability zone first, the others for what that zone
+// lacks.
 CreditNeeds SplitSlots(const std::vector<work::Runner>& runners,
                        const std::string& zone,
                        std::uint32_t slots_per_runner,
@@ -50,7 +51,7 @@
                        const work::LedgerRow& row,
                        const work::HolderName& holder);
 
-// The largest value of the last few seconds.
+// The maximum over a sliding time window.
 class PeakWindow {
  public:
   explicit PeakWindow(base::Duration length) : m_length(length) {}
@@ -60,10 +61,12 @@
 
  private:
   base::Duration m_length;
-  std::deque<std::pair<base::TimePoint, std::uint32_t>> m_values;  // Falling.
+  // Times ascend and values descend.
+  std::deque<std::pair<base::TimePoint, std::uint32_t>> m_values;
 };
 
-// How many to want so that a demand with this peak is met while it grows.
+// How many slots to request for a demand with this peak, so that it is still
+// met while it grows.
 std::uint32_t WithHeadroom(std::uint32_t peak);
 
 }  // namespace cassiastile::entry
--- a/include/cassiastile/entry/entry_host.hpp
+++ b/include/cassiastile/entry/entry_host.hpp
@@ -14,27 +14,28 @@
 
 namespace cassiastile::entry {
 
+// Settings of an entry host's process.
 struct EntryHostOptions {
   config::SocketAddress listen;
   std::size_t http_threads = 4;
   EntryOptions entry;
   member::MemberOptions member;
   daemon::PlatformAccessOptions platform;
-  // How long new connections are still taken while the balancer learns that
-  // this host stops, and how long requests have to end after that.
+  // How long new connections are still accepted while the load balancer notices
+  // that this host is stopping, and how long requests may then take to finish.
   std::chrono::milliseconds drain_notice{3000};
   std::chrono::milliseconds drain_deadline{65000};
 };
 
-// An entry host's process: member of the fleet, requests over HTTP, health and
-// metrics.
+// The process of an entry host: a member of the fleet that serves requests,
+// health checks and metrics over HTTP.
 class EntryHost {
  public:
-  // Fails when an address can't be bound or an option can't be used.
+  // Fails when an address can't be bound or an option is invalid.
   static base::Result<std::unique_ptr<EntryHost>> Start(
       EntryHostOptions options);
 
-  // Finishes the requests taken and gives the credits back.
+  // Finishes the accepted requests, then releases the credits.
   void Stop();
 
  private:
--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -27,8 +27,9 @@
 
 namespace cassiastile::entry {
 
+// Settings of the entry service.
 struct EntryOptions {
-  std::string name;  // This host's own, as the host list has it.
+  std::string name;  // This host's, as in the host list.
   std::string zone;
   std::uint64_t incarnation = 1;
   std::uint64_t seed = 1;
@@ -37,7 +38,7 @@
   ClaimStoreOptions claims;
   work::DispatcherOptions dispatcher;
   std::size_t max_answer_bytes = 4U << 20U;
-  std::size_t connections_per_runner = 8;  // Of this host, kept ones included.
+  std::size_t connections_per_runner = 8;  // Of this host, idle ones included.
   std::chrono::milliseconds tick{20};
   std::chrono::milliseconds listing_interval{500};
   std::chrono::milliseconds member_read_interval{5000};
@@ -45,7 +46,7 @@
   std::chrono::milliseconds credit_sync_jitter{100};
 };
 
-// What the service works with. All of it outlives the service.
+// What the service uses. All of it must outlive the service.
 struct EntryDependencies {
   platform::Table& table;
   platform::HostList& hosts;
@@ -55,48 +56,50 @@
   wire::Metrics& metrics;
 };
 
-// The requests of all services at one entry host: takes them over HTTP, checks
-// their keys, and brings back the runners' answers.
+// Serves the requests for all services at one entry host: accepts them over
+// HTTP, checks their keys, and returns the responses of the runners.
 class EntryService {
  public:
-  // Fails when an option can't be used.
+  // Fails with kInvalid when an option is invalid.
   static base::Result<std::unique_ptr<EntryService>> Create(
       EntryOptions options,
-      const EntryDependencies& ports);
-  // Calls still under way are ended; drain the HTTP server before.
+      const EntryDependencies& dependencies);
+  // Ends the calls in progress; drain the HTTP server first.
   ~EntryService();
   EntryService(const EntryService&) = delete;
   EntryService& operator=(const EntryService&) = delete;
 
-  // Adds /v1/services/<service>/<path>. The service outlives the router.
+  // Adds the route /v1/services/<service>/<path>. The service must outlive the
+  // router.
   void AddRoutes(wire::Router& router);
 
-  // Whether this host can take work: it has a configuration and knows runners.
+  // Whether this host can serve requests: it has a configuration and knows
+  // runners.
   bool Ready() const;
-  // Makes Ready false, for the balancer to look elsewhere. Requests are still
-  // taken and finished.
+  // Makes Ready false, so that the load balancer sends requests elsewhere.
+  // Requests are still accepted and finished.
   void StartDrain();
-  // Gives this host's credits back to the table, once nothing runs.
+  // Releases this host's credits in the table. Call it once no request runs.
   void ReturnCredits();
 
-  // Brings the gauges up to date.
+  // Updates the gauges.
   void UpdateMetrics();
 
  private:
-  // One service with its account in the table.
+  // A service with its account of runner slots.
   struct ServiceSlots {
     std::shared_ptr<ServiceGateway> gateway;
-    std::shared_ptr<ServiceShard> shard;  // The gateway's.
+    std::shared_ptr<ServiceShard> shard;  // Owned by the gateway.
     std::unique_ptr<CreditAccount> account;
   };
 
-  EntryService(EntryOptions options, const EntryDependencies& ports);
+  EntryService(EntryOptions options, const EntryDependencies& dependencies);
   void Start();
   void Handle(wire::HttpRequest request, wire::HttpResponder respond);
-  void HandleGood(ValidatedRequest intake,
-                  const std::shared_ptr<const wire::HttpRequest>& request,
-                  wire::HttpResponder respond);
-  void Claim(const ValidatedRequest& intake,
+  void HandleValid(ValidatedRequest validated,
+                   const std::shared_ptr<const wire::HttpRequest>& request,
+                   wire::HttpResponder respond);
+  void Claim(const ValidatedRequest& validated,
              const std::string& key,
              const std::shared_ptr<ServiceGateway>& gateway,
              GatewayRequest request);
@@ -119,17 +122,18 @@
   bool Sleep(std::chrono::milliseconds length);
   void ApplyConfiguration();
   void AddService(const config::Service& service);
-  void CheckKeys();
+  void RecheckKeys();
   void List();
   void ReadIncarnations();
   void SyncCredits();
   std::vector<std::pair<CreditAccount*, std::shared_ptr<ServiceShard>>>
   AllAccounts();
   bool AnyLacksSlots() const;
-  CreditSyncResult SyncAccount(CreditAccount& account, CreditConsumer& user);
+  CreditSyncResult SyncAccount(CreditAccount& account,
+                               CreditConsumer& consumer);
 
   EntryOptions m_options;
-  EntryDependencies m_ports;
+  EntryDependencies m_dependencies;
   work::HolderName m_holder;
   std::atomic<work::RequestId> m_next_id{1};
   std::atomic<bool> m_draining{false};
@@ -149,7 +153,7 @@
   TeamCredits m_team_credits;
   CreditAccount m_team_account;
   std::mutex m_credits_mutex;  // Guards all accounts.
-  bool m_returned = false;     // No more credits are taken.
+  bool m_returned = false;  // Credits were released; none are taken any more.
 
   std::unique_ptr<ClaimStore> m_claims;
   std::unique_ptr<wire::HttpClient> m_client;
--- a/include/cassiastile/entry/holder_watch.hpp
+++ b/include/cassiastile/entry/holder_watch.hpp
@@ -14,45 +14,46 @@
 
 namespace cassiastile::entry {
 
+// When a holder of credits counts as gone.
 struct HolderWatchOptions {
   // The longest time that a request of a process that is gone may still run.
   base::Duration longest_request = std::chrono::seconds(60);
-  // How long a host must be missing from the list before it counts as gone.
+  // How long a host must be missing from the host list to count as gone.
   base::Duration max_absence = std::chrono::minutes(10);
 };
 
-// The name under which a process holds credits.
+// The name under which a process holds credits: HOST#INCARNATION.
 work::HolderName MakeHolderName(const std::string& host,
                                 std::uint64_t incarnation);
 
-// Finds out which holders of credits are gone for good: one whose process was
-// replaced by a newer incarnation, or whose host has long been missing from the
-// list of hosts while this one is listed.
+// Finds the holders of credits that are gone for good: those whose process was
+// replaced by a newer incarnation, and those whose host has long been missing
+// from the host list while this host is listed.
 class HolderWatch {
  public:
   HolderWatch(std::string own_name, HolderWatchOptions options);
 
-  // Takes in a list of hosts that was read.
+  // Records a host list that was read.
   void Observe(const std::vector<platform::ListedHost>& listed,
                base::TimePoint now);
 
-  // Takes in that a process runs, or ran, under an incarnation.
+  // Records that a process runs, or ran, under an incarnation.
   void ObserveIncarnation(const std::string& host,
                           std::uint64_t incarnation,
                           base::TimePoint now);
 
-  // Whether the holder is known to have nothing running any more. Asking about
-  // it starts the watch for a host that was never listed.
+  // Whether the holder is known to have nothing running any more. The first
+  // question about a host that was never listed starts its absence.
   bool IsGone(const work::HolderName& holder, base::TimePoint now);
 
-  // Of the holders in a row, those that are gone.
+  // Returns those of the given holders that are gone.
   std::set<work::HolderName> FindGoneHolders(
       const std::set<work::HolderName>& holders,
       base::TimePoint now);
 
-  // Whether others may soon take this host's credits for abandoned: neither
-  // was it listed nor did it reach the store for most of the time that allows
-  // it.
+  // Whether other hosts may soon forfeit this host's credits: for most of the
+  // time after which they do, this host was neither listed nor reached the
+  // store.
   bool MayBeForfeited(base::TimePoint last_store_answer,
                       base::TimePoint now) const;
 
--- a/include/cassiastile/entry/refusal_decision.hpp
+++ b/include/cassiastile/entry/refusal_decision.hpp
@@ -9,19 +9,19 @@
 
 namespace cassiastile::entry {
 
-// What was known when a request was refused or its end stayed unknown.
+// What was known when a request was refused or its outcome stayed unknown.
 struct RefusalContext {
   std::string id;
   std::string service;
   work::RequestTicket ticket;
-  std::uint64_t version = 0;  // Of the document in force.
+  std::uint64_t version = 0;  // Of the fleet document in force.
   base::WallTime at{};
   base::TimePoint now{};
-  ServiceShard::Stats figures;
+  ServiceShard::Stats stats;
 };
 
-// The decision for an auditor: which rule of which section refused, and what
-// was seen. Not for answered requests.
+// The decision record for auditors: which rule of which section refused the
+// request, and what was observed. Not for answered requests.
 base::Decision MakeRefusalDecision(const RefusalContext& context,
                                    const work::Outcome& outcome);
 
--- a/include/cassiastile/entry/service_gateway.hpp
+++ b/include/cassiastile/entry/service_gateway.hpp
@@ -14,13 +14,14 @@
 
 namespace cassiastile::entry {
 
-// A request that was found good, and what is called with its end.
+// A validated request, and the callback for its outcome.
 struct GatewayRequest {
   work::RequestTicket ticket;
   std::shared_ptr<const wire::HttpRequest> http;
   std::function<void(work::Outcome)> done;
 };
 
+// Settings of a service's gateway.
 struct ServiceGatewayOptions {
   ServiceShardOptions shard;
   std::string host;  // This host's name, the first part of request ids.
@@ -29,17 +30,17 @@
   std::chrono::milliseconds connect_timeout{1000};
 };
 
-// One service at this host: decides by its shard and calls the runners.
+// One service at this host: its shard decides, the gateway calls the runners.
 class ServiceGateway {
  public:
-  // The clock and the client outlive the gateway's calls: the client is
-  // destroyed, which ends them, before the gateway.
+  // The clock and the client must outlive the calls of the gateway. Destroy the
+  // client, which ends the calls, before the gateway.
   ServiceGateway(ServiceGatewayOptions options,
                  const base::Clock& clock,
                  wire::HttpClient& client,
                  std::uint64_t seed);
 
-  // Takes a request; it ends through its `done`, called once.
+  // Accepts a request. Its `done` is called exactly once, with the outcome.
   void Accept(GatewayRequest request);
 
   ServiceShard& Shard() { return m_shard; }
@@ -58,7 +59,7 @@
   wire::HttpClient& m_client;
   std::string m_id_prefix;
 
-  std::mutex m_mutex;  // Guards the requests under way.
+  std::mutex m_mutex;  // Guards m_requests.
   std::map<work::RequestId, std::shared_ptr<GatewayRequest>> m_requests;
 
   ServiceShard m_shard;
--- a/include/cassiastile/entry/service_shard.hpp
+++ b/include/cassiastile/entry/service_shard.hpp
@@ -14,54 +14,64 @@
 
 namespace cassiastile::entry {
 
+// Settings of a service's shard.
 struct ServiceShardOptions {
   work::DispatcherOptions dispatcher;
   work::HolderName holder;
   std::uint32_t slots_per_runner = 8;
-  // How long a peak of demand is remembered.
+  // How long a demand peak is remembered.
   base::Duration demand_window = std::chrono::seconds(5);
 };
 
-// What carries out the decisions. Called without the shard's lock, from the
-// thread that brought the decision about; must not block.
+// Callbacks that carry out the decisions of the dispatcher. They run without
+// the shard's lock, on the thread that caused the decision, and must not block.
 struct ServiceShardHooks {
   std::function<void(const work::SendTry&)> send;
   std::function<void(const work::SendProbe&)> probe;
   std::function<void(work::FinishRequest)> finish;
 };
 
-// The requests of one service on this host, under a lock of their own. Spends
-// the credits for the slots of the service's runners.
+// The requests of one service on this host, guarded by a lock of their own.
+// Consumes the credits for the slots of the service's runners.
 class ServiceShard final : public CreditConsumer {
  public:
   ServiceShard(ServiceShardOptions options,
                ServiceShardHooks hooks,
                std::uint64_t seed);
 
+  // Adds a request that has arrived.
   void Arrive(const work::RequestTicket& ticket, base::TimePoint now);
+  // The refusal that a request arriving now would get, or nothing.
   std::optional<work::NotRun> Preview(const work::RequestTicket& ticket,
                                       base::TimePoint now);
+  // Records how an attempt to run a request on a runner ended.
   void EndTry(work::TryId try_id, work::TryResult result, base::TimePoint now);
+  // Records the result of a runner's health probe.
   void EndProbe(const std::string& runner, bool healthy, base::TimePoint now);
+  // Acts on what is due by time. Call it every few tens of milliseconds.
   void Tick(base::TimePoint now);
+  // Sets the listed runners; one that is missing gets no new requests.
   void SetRunners(const std::vector<work::ListedRunner>& listed,
                   base::TimePoint now);
+  // Sets the capacity of each runner, in requests at once.
   void SetSlotsPerRunner(std::uint32_t slots);
+  // Refuses the waiting requests whose key is not one of these.
   void RefuseInvalidKeys(const std::set<std::string>& valid_keys,
                          work::RefusalReason reason);
 
   CreditNeeds Needs(const work::LedgerRow& row, base::TimePoint now) override;
   Grants Allow(const Grants& grants, base::TimePoint now) override;
 
-  // Whether requests wait while this host holds too few slots.
+  // Whether requests wait for slots on this host.
   bool LacksSlots() const;
 
-  // What teams want and have running here, by team.
+  // The recent peak of requests that wait or run here, by team.
   std::map<std::string, std::uint32_t> TeamDemand(base::TimePoint now);
-  // Sets one team's terms; `decide` is given what the team has running.
-  using TermsDecision = std::function<work::TeamQuota(std::uint32_t running)>;
-  void DecideTerms(const std::string& team, const TermsDecision& decide);
+  // Sets one team's quota; `decide` is given how many of its requests run.
+  using QuotaDecision = std::function<work::TeamQuota(std::uint32_t running)>;
+  void DecideQuota(const std::string& team, const QuotaDecision& decide);
 
+  // Counts for metrics and decision records.
   struct Stats {
     std::size_t waiting = 0;
     std::size_t unfinished = 0;
--- a/include/cassiastile/entry/team_credits.hpp
+++ b/include/cassiastile/entry/team_credits.hpp
@@ -18,18 +18,18 @@
 using NamedShard = std::pair<std::string, std::shared_ptr<ServiceShard>>;
 using ShardFinder = std::function<std::vector<NamedShard>()>;
 
-// Spends the credits for teams' limits on requests: splits what this host was
-// granted of each among its services, and sets teams' weights.
+// Consumes the credits for teams' request limits: splits what this host was
+// granted for each team among its services, and sets the weights of teams.
 class TeamCredits final : public CreditConsumer {
  public:
-  // The source outlives it.
+  // The source must outlive this object.
   TeamCredits(const config::FleetSource& source, ShardFinder shards);
 
   CreditNeeds Needs(const work::LedgerRow& row, base::TimePoint now) override;
   Grants Allow(const Grants& grants, base::TimePoint now) override;
 
-  // Sets the terms of all teams anew, after a change of the document or a new
-  // service.
+  // Sets the quotas of all teams again, after a change of the fleet document or
+  // a new service.
   void Refresh();
 
  private:
@@ -45,7 +45,7 @@
   std::mutex m_mutex;
   std::map<std::string, work::Ledger> m_split;  // By team, among services.
   std::map<std::string, std::uint32_t> m_running;
-  Grants m_granted;   // What was last allowed.
+  Grants m_granted;   // The grants of the last Allow.
   Demands m_demands;  // By team and service.
 };
 
--- a/src/cassiastile/entry/claim_store.cpp
+++ b/src/cassiastile/entry/claim_store.cpp
@@ -11,10 +11,11 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-constexpr int kMaxRounds = 4;
+constexpr int kMaxCommitRounds = 4;
 
+// Removes and returns the first items, `most` at most.
 template <typename Item>
-std::vector<Item> TakeSome(std::deque<Item>& from, std::size_t most) {
+std::vector<Item> PopUpTo(std::deque<Item>& from, std::size_t most) {
   std::vector<Item> taken;
   while (!from.empty() && taken.size() < most) {
     taken.push_back(std::move(from.front()));
@@ -82,7 +83,8 @@
   }
 }
 
-// Unlike that of any other host, also where two drew the same seed.
+// Unique across hosts by the holder name, even where two hosts use the same
+// seed.
 std::string ClaimStore::NewNonce() {
   return m_holder + "/claims/" + base::MakeId(m_random);
 }
@@ -99,7 +101,7 @@
   }
 }
 
-// Waits until a group is due; false when the store stops.
+// Waits until a batch is due. Returns false when the store stops.
 bool ClaimStore::WaitForWork(std::unique_lock<std::mutex>& lock) {
   while (!m_stopping) {
     const auto now = SteadyClock::now();
@@ -126,7 +128,7 @@
     return {};
   }
   m_next_claims = now + m_options.claim_write_interval;
-  return TakeSome(m_waiting, m_options.max_batch);
+  return PopUpTo(m_waiting, m_options.max_batch);
 }
 
 std::vector<ClaimStore::Ended> ClaimStore::NextEnded() {
@@ -135,16 +137,17 @@
     return {};
   }
   m_next_ended = now + m_options.outcome_write_interval;
-  return TakeSome(m_ended, m_options.max_batch);
+  return PopUpTo(m_ended, m_options.max_batch);
 }
 
-// Commits the claims that have no row yet as one transaction. When one of them
-// turns out to have a row, it is answered from that and the rest goes again.
+// Commits the claims as one transaction that requires that none of them has a
+// row yet. On a conflict the claims that do have a row are answered from it,
+// and the rest is retried.
 void ClaimStore::CommitClaims(std::vector<Waiting> batch) {
-  for (int round = 0; round < kMaxRounds && !batch.empty(); ++round) {
+  for (int round = 0; round < kMaxCommitRounds && !batch.empty(); ++round) {
     platform::Transaction transaction;
     transaction.nonce = NewNonce();
-    std::vector<Waiting> twins = TakeTwins(batch);
+    std::vector<Waiting> duplicates = ExtractDuplicates(batch);
     for (const Waiting& waiting : batch) {
       transaction.preconditions.push_back({waiting.key, 0});
       transaction.writes.push_back(
@@ -155,10 +158,10 @@
       for (Waiting& waiting : batch) {
         waiting.callback(ClaimCommitted{});
       }
-      batch = std::move(twins);
+      batch = std::move(duplicates);
       continue;
     }
-    std::move(twins.begin(), twins.end(), std::back_inserter(batch));
+    std::move(duplicates.begin(), duplicates.end(), std::back_inserter(batch));
     if (commit.error().code != base::ErrorCode::kConflict) {
       FailAll(batch, commit.error().code == base::ErrorCode::kUnknown);
       return;
@@ -168,21 +171,21 @@
   FailAll(batch, false);
 }
 
-// Takes out the claims whose key another claim of the batch has too.
-std::vector<ClaimStore::Waiting> ClaimStore::TakeTwins(
+// Removes and returns the claims whose key an earlier claim of the batch has.
+std::vector<ClaimStore::Waiting> ClaimStore::ExtractDuplicates(
     std::vector<Waiting>& batch) {
   std::set<std::string> keys;
-  const auto twins = std::stable_partition(
+  const auto duplicates = std::stable_partition(
       batch.begin(), batch.end(), [&keys](const Waiting& waiting) {
         return keys.insert(waiting.key).second;
       });
-  std::vector<Waiting> taken(std::make_move_iterator(twins),
+  std::vector<Waiting> taken(std::make_move_iterator(duplicates),
                              std::make_move_iterator(batch.end()));
-  batch.erase(twins, batch.end());
+  batch.erase(duplicates, batch.end());
   return taken;
 }
 
-// Answers the claims that have a row already and takes them out.
+// Answers the claims that already have a row and removes them from the batch.
 void ClaimStore::Resolve(std::vector<Waiting>& batch) {
   std::vector<Waiting> free;
   for (Waiting& waiting : batch) {
@@ -205,8 +208,8 @@
   batch = std::move(free);
 }
 
-// Claims whose write may still show up are taken back later; their requests are
-// not sent.
+// Fails all claims; their requests are not sent. A claim that may be written
+// nevertheless is deleted later.
 void ClaimStore::FailAll(std::vector<Waiting>& batch, bool may_be_written) {
   for (Waiting& waiting : batch) {
     if (may_be_written) {
@@ -217,23 +220,24 @@
   batch.clear();
 }
 
-// Most rows were written once, by their claim, so that all can be written at
-// once under version one. Where that does not hold each is looked up.
+// Writes all outcomes in one transaction under version 1, since most rows were
+// written only once, by their claim. If a row is to be deleted or the write
+// fails, each row is looked up and written on its own.
 void ClaimStore::CommitEnded(const std::vector<Ended>& batch) {
   if (batch.empty()) {
     return;
   }
   platform::Transaction transaction;
   transaction.nonce = NewNonce();
-  bool all_kept = true;
+  bool all_rows_kept = true;
   for (const Ended& ended : batch) {
-    all_kept = all_kept && ended.claim.has_value();
+    all_rows_kept = all_rows_kept && ended.claim.has_value();
     transaction.preconditions.push_back({ended.key, 1});
     transaction.writes.push_back(
         {ended.key, ended.claim ? std::optional(work::FormatClaim(*ended.claim))
                                 : std::nullopt});
   }
-  if (all_kept && m_table.Apply(transaction)) {
+  if (all_rows_kept && m_table.Apply(transaction)) {
     return;
   }
   for (const Ended& ended : batch) {
@@ -241,6 +245,7 @@
   }
 }
 
+// Writes one outcome, unless the row now belongs to another claim.
 void ClaimStore::WriteEnded(const Ended& ended) {
   const auto row = m_table.Get(ended.key);
   if (!row || !row->has_value()) {
--- a/src/cassiastile/entry/credit_account.cpp
+++ b/src/cassiastile/entry/credit_account.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-Grants LowerOf(const Grants& left, const Grants& right) {
+// The lower grant of each resource; one that either side lacks counts as zero.
+Grants MinimumOf(const Grants& left, const Grants& right) {
   Grants lower;
   for (const auto& [resource, granted] : left) {
     const auto found = right.find(resource);
@@ -28,7 +29,8 @@
   return holders;
 }
 
-// What came into use while the row was planned is not given back.
+// Raises the planned grants to what came into use while the row was planned:
+// credits in use are not released.
 void KeepInUse(work::LedgerRow& planned,
                const work::LedgerRow& row,
                const work::HolderName& holder,
@@ -49,7 +51,7 @@
 
 CreditNeeds ReleasingConsumer::Needs(const work::LedgerRow& row,
                                      base::TimePoint now) {
-  CreditNeeds needs = m_user.Needs(row, now);
+  CreditNeeds needs = m_consumer.Needs(row, now);
   for (auto& [resource, need] : needs) {
     need.wanted = need.in_use;
   }
@@ -57,7 +59,7 @@
 }
 
 Grants ReleasingConsumer::Allow(const Grants& grants, base::TimePoint now) {
-  return m_user.Allow(grants, now);
+  return m_consumer.Allow(grants, now);
 }
 
 CreditAccount::CreditAccount(platform::Table& table,
@@ -69,7 +71,7 @@
       m_holder(std::move(holder)),
       m_random(seed) {}
 
-CreditSyncResult CreditAccount::Sync(CreditConsumer& user,
+CreditSyncResult CreditAccount::Sync(CreditConsumer& consumer,
                                      const GoneHolderFinder& find_gone,
                                      base::TimePoint now) {
   if (!Resolve()) {
@@ -86,23 +88,23 @@
   if (!row) {
     return CreditSyncResult::kUnreachable;
   }
-  work::LedgerRow planned = PlanLedgerRow(*row, m_holder, user.Needs(*row, now),
-                                          find_gone(HoldersOf(*row)));
+  work::LedgerRow planned = PlanLedgerRow(
+      *row, m_holder, consumer.Needs(*row, now), find_gone(HoldersOf(*row)));
   if (!IsWorthWriting(*row, planned, m_holder)) {
-    user.Allow(GrantsOf(*row, m_holder), now);
+    consumer.Allow(GrantsOf(*row, m_holder), now);
     return CreditSyncResult::kUnchanged;
   }
-  return Write(user, *row, version, std::move(planned), now);
+  return Write(consumer, *row, version, std::move(planned), now);
 }
 
-CreditSyncResult CreditAccount::Write(CreditConsumer& user,
+CreditSyncResult CreditAccount::Write(CreditConsumer& consumer,
                                       const work::LedgerRow& row,
                                       std::uint64_t version,
                                       work::LedgerRow planned,
                                       base::TimePoint now) {
   const Grants held = GrantsOf(row, m_holder);
   const Grants in_use =
-      user.Allow(LowerOf(held, GrantsOf(planned, m_holder)), now);
+      consumer.Allow(MinimumOf(held, GrantsOf(planned, m_holder)), now);
   KeepInUse(planned, row, m_holder, in_use);
   platform::Transaction transaction;
   transaction.nonce = m_holder + "/" + m_key + "/" + base::MakeId(m_random);
@@ -110,14 +112,14 @@
   transaction.writes.push_back({m_key, work::FormatLedgerRow(planned)});
   const auto commit = m_table.Apply(transaction);
   if (commit) {
-    user.Allow(GrantsOf(planned, m_holder), now);
+    consumer.Allow(GrantsOf(planned, m_holder), now);
     return CreditSyncResult::kWritten;
   }
   switch (commit.error().code) {
     case base::ErrorCode::kConflict:
       return CreditSyncResult::kConflict;
     case base::ErrorCode::kUnavailable:
-      user.Allow(held, now);
+      consumer.Allow(held, now);
       return CreditSyncResult::kUnreachable;
     default:
       m_unresolved = std::move(transaction);
@@ -125,8 +127,8 @@
   }
 }
 
-// Applies a write whose answer was lost once more under its nonce, which takes
-// effect once at most, until its outcome is known.
+// Applies a write whose answer was lost again, under its nonce, which makes the
+// table apply it at most once. Returns whether its outcome is known.
 bool CreditAccount::Resolve() {
   if (!m_unresolved) {
     return true;
--- a/src/cassiastile/entry/credit_account_test.cpp
+++ b/src/cassiastile/entry/credit_account_test.cpp
@@ -11,8 +11,8 @@
 constexpr base::TimePoint kStart{std::chrono::hours(1)};
 const std::string kKey = "ledger/slots/draw";
 
-// Wants a fixed number of slots on one runner.
-class FixedUser final : public CreditConsumer {
+// Requests a fixed number of slots on one runner.
+class FixedConsumer final : public CreditConsumer {
  public:
   CreditNeeds Needs(const work::LedgerRow&, base::TimePoint) override {
     return {{"r1", {8, in_use, wanted}}};
@@ -43,74 +43,75 @@
   }
 
   platform::MemoryTable m_table;
-  FixedUser m_user;
+  FixedConsumer m_consumer;
   CreditAccount m_account{m_table, kKey, "e1#1", 1};
-  FixedUser m_other;
+  FixedConsumer m_other;
   CreditAccount m_other_account{m_table, kKey, "e2#1", 1};
 };
 
 TEST_F(CreditAccountTest, CreditsAreUsedAfterTheWriteThatGrantsThem) {
-  EXPECT_EQ(m_account.Sync(m_user, Nobody, kStart), CreditSyncResult::kWritten);
-  EXPECT_EQ(m_user.allowed, 8U);
+  EXPECT_EQ(m_account.Sync(m_consumer, Nobody, kStart),
+            CreditSyncResult::kWritten);
+  EXPECT_EQ(m_consumer.allowed, 8U);
 }
 
 TEST_F(CreditAccountTest, LostAnswerGrantsNothingUntilItIsResolved) {
   m_table.SetFaults({.delay_apply = 1});
-  EXPECT_EQ(m_account.Sync(m_user, Nobody, kStart),
+  EXPECT_EQ(m_account.Sync(m_consumer, Nobody, kStart),
             CreditSyncResult::kUnreachable);
-  EXPECT_EQ(m_user.allowed, 0U);
-  // The other host's write comes first; the delayed one then does not apply.
+  EXPECT_EQ(m_consumer.allowed, 0U);
+  // The write of the other host is applied first, so the delayed one conflicts.
   m_table.SetFaults({});
   m_other_account.Sync(m_other, Nobody, kStart);
-  while (m_account.Sync(m_user, Nobody, kStart) ==
+  while (m_account.Sync(m_consumer, Nobody, kStart) ==
          CreditSyncResult::kUnreachable) {
   }
-  EXPECT_LE(m_user.allowed + m_other.allowed, 8U);
+  EXPECT_LE(m_consumer.allowed + m_other.allowed, 8U);
 }
 
-TEST_F(CreditAccountTest, GivingBackStopsUseEvenWhenTheAnswerIsLost) {
-  m_account.Sync(m_user, Nobody, kStart);
-  m_user.wanted = 2;
+TEST_F(CreditAccountTest, ReleaseStopsUseEvenWhenTheAnswerIsLost) {
+  m_account.Sync(m_consumer, Nobody, kStart);
+  m_consumer.wanted = 2;
   m_table.SetFaults({.lose_answer = 1});
-  m_account.Sync(m_user, Nobody, kStart);
-  EXPECT_EQ(m_user.allowed, 2U);
+  m_account.Sync(m_consumer, Nobody, kStart);
+  EXPECT_EQ(m_consumer.allowed, 2U);
   EXPECT_EQ(GrantedIn("e1#1"), 2U);
 }
 
-TEST_F(CreditAccountTest, HeldCreditsServeWhileTheStoreIsDown) {
-  m_account.Sync(m_user, Nobody, kStart);
+TEST_F(CreditAccountTest, GrantedCreditsStayUsableWhileTheStoreIsDown) {
+  m_account.Sync(m_consumer, Nobody, kStart);
   m_table.SetFaults({.down = true});
-  m_user.wanted = 0;
-  EXPECT_EQ(m_account.Sync(m_user, Nobody, kStart),
+  m_consumer.wanted = 0;
+  EXPECT_EQ(m_account.Sync(m_consumer, Nobody, kStart),
             CreditSyncResult::kUnreachable);
-  EXPECT_EQ(m_user.allowed, 8U);
+  EXPECT_EQ(m_consumer.allowed, 8U);
 }
 
-TEST_F(CreditAccountTest, WhatIsInUseIsNotGivenBack) {
-  m_account.Sync(m_user, Nobody, kStart);
-  m_user.in_use = 5;
-  ReleasingConsumer returning(m_user);
+TEST_F(CreditAccountTest, CreditsInUseAreNotReleased) {
+  m_account.Sync(m_consumer, Nobody, kStart);
+  m_consumer.in_use = 5;
+  ReleasingConsumer returning(m_consumer);
   m_account.Sync(returning, Nobody, kStart);
   EXPECT_EQ(GrantedIn("e1#1"), 5U);
 }
 
-TEST_F(CreditAccountTest, LittleChangesAreNotWritten) {
-  m_user.wanted = 3;
-  m_account.Sync(m_user, Nobody, kStart);
+TEST_F(CreditAccountTest, SmallChangesAreNotWritten) {
+  m_consumer.wanted = 3;
+  m_account.Sync(m_consumer, Nobody, kStart);
   const auto writes = m_table.Counts().writes;
   for (int i = 0; i < 10; ++i) {
-    EXPECT_EQ(m_account.Sync(m_user, Nobody, kStart),
+    EXPECT_EQ(m_account.Sync(m_consumer, Nobody, kStart),
               CreditSyncResult::kUnchanged);
   }
   EXPECT_EQ(m_table.Counts().writes, writes);
 }
 
-TEST_F(CreditAccountTest, HolderThatIsGoneLosesItsCredits) {
+TEST_F(CreditAccountTest, GoneHolderForfeitsItsCredits) {
   m_other_account.Sync(m_other, Nobody, kStart);
   const auto gone = [](const std::set<work::HolderName>&) {
     return std::set<work::HolderName>{"e2#1"};
   };
-  m_account.Sync(m_user, gone, kStart);
+  m_account.Sync(m_consumer, gone, kStart);
   EXPECT_EQ(GrantedIn("e1#1"), 8U);
   EXPECT_EQ(GrantedIn("e2#1"), 0U);
 }
--- a/src/cassiastile/entry/credit_plan.cpp
+++ b/src/cassiastile/entry/credit_plan.cpp
@@ -24,7 +24,8 @@
   return ledger == row.end() ? 0 : ledger->second.capacity;
 }
 
-// What the holder can have of a resource now: its own and what is free.
+// What the holder could be granted of a resource now: its own grant and what is
+// free.
 std::uint32_t FindObtainable(const work::LedgerRow& row,
                              const std::string& resource,
                              const work::HolderName& holder,
@@ -38,14 +39,16 @@
   return HoldingOf(row, resource, holder).granted + free;
 }
 
-// Whether the holder has begun to lack something, or lacks much more or less
-// than the row says.
-bool IsNewLack(const work::Holding& stated, const work::Holding& planned) {
-  constexpr std::uint32_t kMuch = 2;
+// Whether the holder begins or ceases to lack credits, or lacks many more or
+// fewer than the row says.
+bool IsShortageChange(const work::Holding& stated,
+                      const work::Holding& planned) {
+  constexpr std::uint32_t kSignificantFactor = 2;
   const bool lacks = planned.wanted > planned.granted;
   const bool lacked = stated.wanted > stated.granted;
-  return lacks != lacked || (lacks && (planned.wanted > kMuch * stated.wanted ||
-                                       stated.wanted > kMuch * planned.wanted));
+  return lacks != lacked ||
+         (lacks && (planned.wanted > kSignificantFactor * stated.wanted ||
+                    stated.wanted > kSignificantFactor * planned.wanted));
 }
 
 void ForfeitAll(work::LedgerRow& row, const std::set<work::HolderName>& gone) {
@@ -107,7 +110,8 @@
     const auto before = row.find(resource);
     if (before == row.end() || ledger.capacity != CapacityOf(row, resource) ||
         before->second.holdings.size() != ledger.holdings.size() ||
-        stated.granted != holding.granted || IsNewLack(stated, holding)) {
+        stated.granted != holding.granted ||
+        IsShortageChange(stated, holding)) {
       return true;
     }
   }
@@ -121,19 +125,19 @@
                        const work::LedgerRow& row,
                        const work::HolderName& holder) {
   CreditNeeds needs;
-  std::vector<std::string> near;
-  std::vector<std::string> far;
+  std::vector<std::string> same_zone;
+  std::vector<std::string> other_zones;
   for (const work::Runner& runner : runners) {
     CreditNeed& need = needs[runner.name];
     need.capacity = slots_per_runner;
     need.in_use = runner.in_use;
     need.wanted = runner.in_use;
     if (!runner.leaving && runner.health == work::RunnerHealth::kHealthy) {
-      (runner.zone == zone ? near : far).push_back(runner.name);
+      (runner.zone == zone ? same_zone : other_zones).push_back(runner.name);
     }
   }
   std::uint32_t left = target;
-  for (const auto* part : {&near, &far}) {
+  for (const auto* part : {&same_zone, &other_zones}) {
     const auto count = static_cast<std::uint32_t>(part->size());
     const std::uint32_t each =
         std::min(slots_per_runner, DivideUp(left, count));
@@ -163,9 +167,9 @@
 }
 
 std::uint32_t WithHeadroom(std::uint32_t peak) {
-  constexpr std::uint32_t kPart = 4;
-  constexpr std::uint32_t kLeast = 2;
-  return peak + peak / kPart + kLeast;
+  constexpr std::uint32_t kHeadroomDivisor = 4;
+  constexpr std::uint32_t kMinHeadroom = 2;
+  return peak + peak / kHeadroomDivisor + kMinHeadroom;
 }
 
 }  // namespace cassiastile::entry
--- a/src/cassiastile/entry/entry_bench.hpp
+++ b/src/cassiastile/entry/entry_bench.hpp
@@ -13,7 +13,7 @@
 
 namespace cassiastile::entry {
 
-// A document in force that a test can change.
+// A fleet document in force that a test can change.
 class TestFleet final : public config::FleetSource {
  public:
   TestFleet() {
@@ -57,6 +57,7 @@
   bool m_fresh = true;
 };
 
+// Keeps the recorded decisions.
 class TestSink final : public base::DecisionSink {
  public:
   void Record(base::Decision decision) override {
@@ -108,7 +109,7 @@
   TestHost(const TestHost&) = delete;
   TestHost& operator=(const TestHost&) = delete;
 
-  // Stops as the daemon does. Returns how many requests were cut off.
+  // Stops as the daemon does. Returns the number of requests cut off.
   std::size_t Stop() {
     if (!m_service) {
       return 0;
--- a/src/cassiastile/entry/entry_host.cpp
+++ b/src/cassiastile/entry/entry_host.cpp
@@ -38,30 +38,32 @@
   server.address = m_options.listen.ip;
   server.port = m_options.listen.port;
   server.threads = m_options.http_threads;
-  // Above the limit that requests are refused by with a reason.
+  // Above the limit of the entry service, which refuses a larger body with a
+  // reason.
   server.max_body_bytes = 2 * m_options.entry.limits.max_body_bytes;
   auto started = wire::HttpServer::Start(server, MakeRouter());
   if (!started) {
     return tl::unexpected(started.error());
   }
   m_server = std::move(*started);
-  m_log.Info("Takes requests on port " + std::to_string(m_server->Port()) +
+  m_log.Info("Accepting requests on port " + std::to_string(m_server->Port()) +
              ".");
   return {};
 }
 
 void EntryHost::Stop() {
-  m_log.Info("Stops taking requests.");
+  m_log.Info("Draining requests before the shutdown.");
   m_service->StartDrain();
   const std::size_t cut =
       m_server->Drain(m_options.drain_notice, m_options.drain_deadline);
   if (cut > 0) {
-    m_log.Warn(std::to_string(cut) + " requests were cut off.");
+    m_log.Warn(std::to_string(cut) +
+               " requests were cut off at the drain deadline.");
   }
   m_service->ReturnCredits();
   m_service.reset();
   m_member->Stop();
-  m_log.Info("Has stopped.");
+  m_log.Info("Stopped.");
 }
 
 wire::Router EntryHost::MakeRouter() {
--- a/src/cassiastile/entry/entry_hosts_test.cpp
+++ b/src/cassiastile/entry/entry_hosts_test.cpp
@@ -40,7 +40,7 @@
     return future;
   }
 
-  // Calls until the claim's end is in the table.
+  // Repeats the call until the outcome of its claim is in the table.
   wire::HttpResponse CallUntilKnown(const wire::HttpCall& call) {
     constexpr int kConflict = 409;
     while (true) {
@@ -111,8 +111,8 @@
   EXPECT_EQ(m_runner->Log().size(), 1U);
 }
 
-// The limit is in force before the hosts start: one that is edited in between
-// takes hold with the document, a moment later.
+// The limit is in force before the hosts start, because a limit that is edited
+// later takes effect with the document, a moment later.
 TEST_F(EntryHostsTest, TwoHostsNeverExceedATeamsLimit) {
   constexpr std::uint32_t kLimit = 3;
   TestPlatform limited;
--- a/src/cassiastile/entry/entry_service.cpp
+++ b/src/cassiastile/entry/entry_service.cpp
@@ -25,36 +25,38 @@
 
 base::Result<std::unique_ptr<EntryService>> EntryService::Create(
     EntryOptions options,
-    const EntryDependencies& ports) {
+    const EntryDependencies& dependencies) {
   if (options.name.empty() || options.name.find('#') != std::string::npos) {
-    return base::Fail(base::ErrorCode::kInvalid,
-                      "The host's name must be set and have no '#'.");
+    return base::Fail(
+        base::ErrorCode::kInvalid,
+        "The host's name must not be empty and must not contain '#'.");
   }
   if (options.zone.empty()) {
     return base::Fail(base::ErrorCode::kInvalid,
-                      "The host's availability zone must be set.");
+                      "The host's availability zone must not be empty.");
   }
   std::unique_ptr<EntryService> service(
-      new EntryService(std::move(options), ports));
+      new EntryService(std::move(options), dependencies));
   service->Start();
   return service;
 }
 
-EntryService::EntryService(EntryOptions options, const EntryDependencies& ports)
+EntryService::EntryService(EntryOptions options,
+                           const EntryDependencies& dependencies)
     : m_options(std::move(options)),
-      m_ports(ports),
+      m_dependencies(dependencies),
       m_holder(MakeHolderName(m_options.name, m_options.incarnation)),
       m_random(m_options.seed),
       m_watch(m_options.name, m_options.watch),
-      m_team_credits(ports.fleet, [this] { return AllShards(); }),
-      m_team_account(ports.table,
+      m_team_credits(dependencies.fleet, [this] { return AllShards(); }),
+      m_team_account(dependencies.table,
                      work::RequestsLedgerKey(),
                      m_holder,
                      m_random()) {
   wire::HttpClientOptions client;
   client.max_connections_per_host = m_options.connections_per_runner;
   m_client = wire::HttpClient::Create(client);
-  m_claims = std::make_unique<ClaimStore>(ports.table, m_holder,
+  m_claims = std::make_unique<ClaimStore>(dependencies.table, m_holder,
                                           m_options.claims, m_random());
 }
 
@@ -96,87 +98,89 @@
 
 void EntryService::UpdateMetrics() {
   for (const auto& [service, shard] : AllShards()) {
-    const ServiceShard::Stats figures = shard->ReadStats();
+    const ServiceShard::Stats stats = shard->ReadStats();
     const wire::Metrics::Labels labels{{"service", service}};
-    wire::Metrics& metrics = m_ports.metrics;
+    wire::Metrics& metrics = m_dependencies.metrics;
     metrics
         .Gauge("cassiastile_requests_waiting", "Requests waiting for a slot",
                labels)
-        .Set(static_cast<double>(figures.waiting));
+        .Set(static_cast<double>(stats.waiting));
     metrics
         .Gauge("cassiastile_slots_granted", "Slots granted to this host",
                labels)
-        .Set(figures.slots);
+        .Set(stats.slots);
     metrics
         .Gauge("cassiastile_slots_in_use", "Slots taken by this host", labels)
-        .Set(figures.in_use);
+        .Set(stats.in_use);
     metrics
         .Gauge("cassiastile_runners_ejected", "Runners without trust", labels)
-        .Set(figures.ejected);
+        .Set(stats.ejected);
   }
 }
 
 void EntryService::Handle(wire::HttpRequest request,
                           wire::HttpResponder respond) {
-  const base::TimePoint now = m_ports.clock.Now();
-  const auto accepted = m_ports.fleet.Current();
-  const ValidationContext context{accepted.get(), m_ports.fleet.IsFresh(now),
-                                  now};
-  auto intake = ValidateRequest(request, context, m_options.limits);
+  const base::TimePoint now = m_dependencies.clock.Now();
+  const auto accepted = m_dependencies.fleet.Current();
+  const ValidationContext context{accepted.get(),
+                                  m_dependencies.fleet.IsFresh(now), now};
+  auto validated = ValidateRequest(request, context, m_options.limits);
   auto shared = std::make_shared<const wire::HttpRequest>(std::move(request));
-  if (!intake) {
+  if (!validated) {
     work::RequestTicket ticket;
     ticket.arrived = now;
     Answer(shared->path_parameters.at("service"), ticket, *shared,
-           work::Outcome(intake.error()), respond);
+           work::Outcome(validated.error()), respond);
     return;
   }
-  HandleGood(std::move(*intake), shared, std::move(respond));
+  HandleValid(std::move(*validated), shared, std::move(respond));
 }
 
-void EntryService::HandleGood(
-    ValidatedRequest intake,
+void EntryService::HandleValid(
+    ValidatedRequest validated,
     const std::shared_ptr<const wire::HttpRequest>& request,
     wire::HttpResponder respond) {
-  intake.ticket.id = m_next_id.fetch_add(1);
+  validated.ticket.id = m_next_id.fetch_add(1);
   GatewayRequest accepted;
-  accepted.ticket = intake.ticket;
+  accepted.ticket = validated.ticket;
   accepted.http = request;
-  accepted.done = [this, service = intake.service, ticket = intake.ticket,
+  accepted.done = [this, service = validated.service, ticket = validated.ticket,
                    request,
                    respond = std::move(respond)](const work::Outcome& outcome) {
     Answer(service, ticket, *request, outcome, respond);
   };
-  const auto gateway = FindGateway(intake.service);
+  const auto gateway = FindGateway(validated.service);
   if (!gateway) {
     accepted.done(work::NotRun{work::RefusalReason::kStaleConfiguration,
                                std::chrono::seconds(1),
                                "This host does not know the service yet."});
     return;
   }
-  if (intake.idempotency_key) {
-    Claim(intake, *intake.idempotency_key, gateway, std::move(accepted));
+  if (validated.idempotency_key) {
+    Claim(validated, *validated.idempotency_key, gateway, std::move(accepted));
     return;
   }
   gateway->Accept(std::move(accepted));
 }
 
-// Claims the caller's key before the request may be sent.
-void EntryService::Claim(const ValidatedRequest& intake,
+// Claims the caller's idempotency key; the request is sent only if that
+// succeeds.
+void EntryService::Claim(const ValidatedRequest& validated,
                          const std::string& key,
                          const std::shared_ptr<ServiceGateway>& gateway,
                          GatewayRequest request) {
-  auto refusal = gateway->Shard().Preview(request.ticket, m_ports.clock.Now());
+  auto refusal =
+      gateway->Shard().Preview(request.ticket, m_dependencies.clock.Now());
   if (refusal) {
     request.done(std::move(*refusal));
     return;
   }
   work::Claim claim;
-  claim.fingerprint = work::FingerprintOf(intake.service, *request.http);
+  claim.fingerprint = work::FingerprintOf(validated.service, *request.http);
   claim.holder = m_holder;
   claim.nonce = m_holder + "/" + NewId();
-  claim.claimed_at = m_ports.clock.WallNow();
-  const std::string row = work::ClaimKey(intake.ticket.team, key);
+  claim.claimed_at = m_dependencies.clock.WallNow();
+  const std::string row = work::ClaimKey(validated.ticket.team, key);
   auto take = [this, row, claim, gateway, request = std::move(request)](
                   const ClaimResult& result) mutable {
     if (const auto* found = std::get_if<ClaimExists>(&result)) {
@@ -216,16 +220,17 @@
   if (id) {
     response.headers.emplace_back(work::kRequestIdHeader, *id);
   }
-  // Names that callers make up must not become labels.
+  // A service name that the caller made up must not become a label, or callers
+  // could create any number of time series.
   const std::string label = FindGateway(service) ? service : "unknown";
-  m_ports.metrics
+  m_dependencies.metrics
       .Counter("cassiastile_requests_total", "Requests by how they ended",
                {{"service", label}, {"execution", OutcomeLabel(outcome)}})
       .Increment();
-  m_ports.metrics
+  m_dependencies.metrics
       .Histogram("cassiastile_request_seconds", "Time from request to answer",
                  kLatencyBuckets, {{"service", label}})
-      .Observe(SecondsOf(m_ports.clock.Now() - ticket.arrived));
+      .Observe(SecondsOf(m_dependencies.clock.Now() - ticket.arrived));
   respond(std::move(response));
 }
 
@@ -237,13 +242,13 @@
   context.service = service;
   context.ticket = ticket;
   context.version = m_version.load();
-  context.at = m_ports.clock.WallNow();
-  context.now = m_ports.clock.Now();
+  context.at = m_dependencies.clock.WallNow();
+  context.now = m_dependencies.clock.Now();
   const auto gateway = FindGateway(service);
   if (gateway) {
-    context.figures = gateway->Shard().ReadStats();
+    context.stats = gateway->Shard().ReadStats();
   }
-  m_ports.decisions.Record(MakeRefusalDecision(context, outcome));
+  m_dependencies.decisions.Record(MakeRefusalDecision(context, outcome));
   return context.id;
 }
 
--- a/src/cassiastile/entry/entry_service_test.cpp
+++ b/src/cassiastile/entry/entry_service_test.cpp
@@ -37,7 +37,7 @@
     return json.is_object() ? json.value("execution", "") : "";
   }
 
-  // The times that a body was worked on, at both runners.
+  // How often a body was processed, at both runners.
   std::size_t Runs(const std::string& body) const {
     std::size_t count = 0;
     for (const auto* runner : {m_first.get(), m_second.get()}) {
@@ -60,7 +60,7 @@
   std::unique_ptr<wire::HttpClient> m_client = wire::HttpClient::Create();
 };
 
-TEST_F(EntryServiceTest, BringsBackTheRunnersAnswer) {
+TEST_F(EntryServiceTest, ReturnsTheRunnersAnswer) {
   const auto response = Call("POST", "/v1/services/draw/order?x=1", "band 7");
   EXPECT_EQ(response.status, 200);
   EXPECT_EQ(response.body, "band 7");
@@ -115,7 +115,7 @@
   EXPECT_EQ(m_shared.decisions.All().front().id, id);
 }
 
-TEST_F(EntryServiceTest, LimitsAreToldClearly) {
+TEST_F(EntryServiceTest, RequestsOverALimitAreRefused) {
   const auto large =
       Call("POST", "/v1/services/draw/order", std::string(1001, 'x'));
   EXPECT_EQ(large.status, 413);
@@ -130,7 +130,7 @@
   EXPECT_EQ(m_client->Call(timeout)->status, 400);
 }
 
-// Every way in which an answer can be spoilt.
+// All faults that break an answer.
 class BrokenAnswerTest : public EntryServiceTest,
                          public testing::WithParamInterface<BackendFault> {};
 
@@ -167,7 +167,7 @@
                                          BackendFault::kHeaderOnly,
                                          BackendFault::kUnframed));
 
-TEST_F(EntryServiceTest, BytesBehindAnAnswerReachNobody) {
+TEST_F(EntryServiceTest, BytesAfterAnAnswerReachNoCaller) {
   SetFaults(BackendFault::kOverLong, 4);
   for (int i = 0; i < 12; ++i) {
     const std::string body = "entry " + std::to_string(i);
@@ -186,7 +186,7 @@
   EXPECT_EQ(Runs("x"), 0U);
 }
 
-TEST_F(EntryServiceTest, SilentConnectionsDoNotReachCallers) {
+TEST_F(EntryServiceTest, SilentConnectionsAreHiddenFromCallers) {
   for (int i = 0; i < 8; ++i) {
     EXPECT_EQ(Call("GET", "/v1/services/draw/order").status, 200);
   }
@@ -225,7 +225,7 @@
             1U);
 }
 
-TEST_F(EntryServiceTest, CreditsServeWhileTheStoreIsDown) {
+TEST_F(EntryServiceTest, RequestsRunOnGrantedCreditsWhileTheStoreIsDown) {
   EXPECT_EQ(Call("GET", "/v1/services/draw/order").status, 200);
   m_shared.table.SetFaults({.down = true});
   for (int i = 0; i < 10; ++i) {
--- a/src/cassiastile/entry/entry_threads.cpp
+++ b/src/cassiastile/entry/entry_threads.cpp
@@ -5,8 +5,8 @@
 #include "cassiastile/entry/entry_service.hpp"
 #include "cassiastile/member/member_rows.hpp"
 
-// What an entry service does beside answering requests: it follows the
-// configuration and the host list, and keeps its credits.
+// The background threads of an entry service: they follow the configuration and
+// the host list, and synchronize the credits with the table.
 namespace cassiastile::entry {
 
 namespace {
@@ -57,9 +57,9 @@
 void EntryService::RunTicks() {
   while (Sleep(m_options.tick)) {
     ApplyConfiguration();
-    CheckKeys();
+    RecheckKeys();
     for (const auto& [name, shard] : AllShards()) {
-      shard->Tick(m_ports.clock.Now());
+      shard->Tick(m_dependencies.clock.Now());
     }
   }
 }
@@ -68,14 +68,15 @@
   base::TimePoint next_members{};
   do {
     List();
-    if (m_ports.clock.Now() >= next_members) {
+    if (m_dependencies.clock.Now() >= next_members) {
       ReadIncarnations();
-      next_members = m_ports.clock.Now() + m_options.member_read_interval;
+      next_members =
+          m_dependencies.clock.Now() + m_options.member_read_interval;
     }
   } while (Sleep(m_options.listing_interval));
 }
 
-// Exchanges credits now and then, and at once when requests begin to wait.
+// Synchronizes credits periodically, and at once when requests begin to wait.
 void EntryService::RunCredits() {
   std::chrono::milliseconds left{0};
   bool lacked = false;
@@ -95,14 +96,14 @@
   }
 }
 
-// False when the service stops.
+// Returns false when the service stops.
 bool EntryService::Sleep(std::chrono::milliseconds length) {
   std::unique_lock lock(m_stop_mutex);
   return !m_stop_wake.wait_for(lock, length, [this] { return m_stopping; });
 }
 
 void EntryService::ApplyConfiguration() {
-  const auto accepted = m_ports.fleet.Current();
+  const auto accepted = m_dependencies.fleet.Current();
   if (!accepted || accepted->version == m_version.load()) {
     return;
   }
@@ -133,25 +134,26 @@
   options.shard.dispatcher.routing.zone = m_options.zone;
   options.shard.dispatcher.admission.queue_limit = service.queue_limit;
   ServiceSlots slots;
-  slots.gateway = std::make_shared<ServiceGateway>(
-      options, m_ports.clock, *m_client, m_options.seed + m_services.size());
+  slots.gateway =
+      std::make_shared<ServiceGateway>(options, m_dependencies.clock, *m_client,
+                                       m_options.seed + m_services.size());
   slots.shard = {slots.gateway, &slots.gateway->Shard()};
   slots.account = std::make_unique<CreditAccount>(
-      m_ports.table, work::SlotsLedgerKey(service.name), m_holder,
+      m_dependencies.table, work::SlotsLedgerKey(service.name), m_holder,
       m_options.seed + m_services.size() + 1);
   slots.shard->SetRunners(RunnersOf(m_listed, service.name),
-                          m_ports.clock.Now());
+                          m_dependencies.clock.Now());
   m_services.emplace(service.name, std::move(slots));
 }
 
-// Requests that wait under a key that was withdrawn, or that this host can't
-// vouch for any more, are refused before they are sent.
-void EntryService::CheckKeys() {
-  const auto accepted = m_ports.fleet.Current();
+// Refuses waiting requests whose key was withdrawn since they arrived, or can
+// no longer be checked because the configuration is stale.
+void EntryService::RecheckKeys() {
+  const auto accepted = m_dependencies.fleet.Current();
   if (!accepted) {
     return;
   }
-  const bool fresh = m_ports.fleet.IsFresh(m_ports.clock.Now());
+  const bool fresh = m_dependencies.fleet.IsFresh(m_dependencies.clock.Now());
   const std::set<std::string> keys =
       fresh ? KeysOf(accepted->fleet) : std::set<std::string>();
   const auto reason = fresh ? work::RefusalReason::kUnknownKey
@@ -161,13 +163,13 @@
   }
 }
 
-// Reads the list; while it can't be read the last one goes on serving.
+// Reads the host list. While it can't be read, the last one stays in use.
 void EntryService::List() {
-  const auto listed = m_ports.hosts.List();
+  const auto listed = m_dependencies.hosts.List();
   if (!listed) {
     return;
   }
-  const base::TimePoint now = m_ports.clock.Now();
+  const base::TimePoint now = m_dependencies.clock.Now();
   const std::lock_guard lock(m_list_mutex);
   m_listed = *listed;
   m_has_list = true;
@@ -177,13 +179,14 @@
   }
 }
 
-// Learns from the members' rows which processes were replaced.
+// Learns from the member rows which processes were replaced by a newer
+// incarnation.
 void EntryService::ReadIncarnations() {
-  const auto members = member::ReadMembers(m_ports.table);
+  const auto members = member::ReadMembers(m_dependencies.table);
   if (!members) {
     return;
   }
-  const base::TimePoint now = m_ports.clock.Now();
+  const base::TimePoint now = m_dependencies.clock.Now();
   const std::lock_guard lock(m_list_mutex);
   for (const member::MemberRecord& record : *members) {
     m_watch.ObserveIncarnation(record.name, record.incarnation, now);
@@ -218,24 +221,27 @@
   });
 }
 
+// Synchronizes one account, retrying conflicts. Stops all use of its credits
+// when the table is unreachable and other hosts may soon forfeit them.
 CreditSyncResult EntryService::SyncAccount(CreditAccount& account,
-                                           CreditConsumer& user) {
+                                           CreditConsumer& consumer) {
   constexpr int kMaxConflicts = 3;
   const auto find_gone = [this](const std::set<work::HolderName>& holders) {
     const std::lock_guard lock(m_list_mutex);
-    return m_watch.FindGoneHolders(holders, m_ports.clock.Now());
+    return m_watch.FindGoneHolders(holders, m_dependencies.clock.Now());
   };
-  CreditSyncResult step = CreditSyncResult::kConflict;
-  for (int i = 0; i < kMaxConflicts && step == CreditSyncResult::kConflict;
-       ++i) {
-    step = account.Sync(user, find_gone, m_ports.clock.Now());
+  CreditSyncResult sync_result = CreditSyncResult::kConflict;
+  for (int i = 0;
+       i < kMaxConflicts && sync_result == CreditSyncResult::kConflict; ++i) {
+    sync_result = account.Sync(consumer, find_gone, m_dependencies.clock.Now());
   }
   const std::lock_guard lock(m_list_mutex);
-  if (step == CreditSyncResult::kUnreachable &&
-      m_watch.MayBeForfeited(account.LastAnswer(), m_ports.clock.Now())) {
-    user.Allow({}, m_ports.clock.Now());
+  if (sync_result == CreditSyncResult::kUnreachable &&
+      m_watch.MayBeForfeited(account.LastAnswer(),
+                             m_dependencies.clock.Now())) {
+    consumer.Allow({}, m_dependencies.clock.Now());
   }
-  return step;
+  return sync_result;
 }
 
 }  // namespace cassiastile::entry
--- a/src/cassiastile/entry/holder_watch.cpp
+++ b/src/cassiastile/entry/holder_watch.cpp
@@ -12,14 +12,15 @@
   std::uint64_t incarnation = 0;
 };
 
+// Reverses MakeHolderName; nothing for other names.
 std::optional<HolderParts> SplitHolderName(const work::HolderName& holder) {
-  const std::size_t mark = holder.rfind('#');
-  if (mark == std::string::npos) {
+  const std::size_t separator = holder.rfind('#');
+  if (separator == std::string::npos) {
     return std::nullopt;
   }
   HolderParts parts;
-  parts.host = holder.substr(0, mark);
-  const char* begin = holder.data() + mark + 1;
+  parts.host = holder.substr(0, separator);
+  const char* begin = holder.data() + separator + 1;
   const char* end = holder.data() + holder.size();
   const auto [stop, error] = std::from_chars(begin, end, parts.incarnation);
   if (error != std::errc() || stop != end) {
@@ -98,8 +99,8 @@
 
 bool HolderWatch::MayBeForfeited(base::TimePoint last_store_answer,
                                  base::TimePoint now) const {
-  const base::TimePoint last_sign = std::max(last_store_answer, m_self_seen);
-  return now - last_sign >=
+  const base::TimePoint last_contact = std::max(last_store_answer, m_self_seen);
+  return now - last_contact >=
          m_options.max_absence - 2 * m_options.longest_request;
 }
 
--- a/src/cassiastile/entry/refusal_decision.cpp
+++ b/src/cassiastile/entry/refusal_decision.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// The section of the document that a refusal comes from; empty where it comes
-// from the state of the fleet alone.
+// The section of the fleet document that a refusal comes from; empty where it
+// comes from the state of the fleet alone.
 std::string SectionOf(work::RefusalReason reason) {
   switch (reason) {
     case work::RefusalReason::kTeamLimit:
@@ -26,19 +26,20 @@
   }
 }
 
-bool WasTakenIn(const RefusalContext& context) {
+// Whether the request passed validation, which sets its id.
+bool WasAccepted(const RefusalContext& context) {
   return context.ticket.id != 0;
 }
 
 std::string Observe(const RefusalContext& context) {
-  if (!WasTakenIn(context)) {
+  if (!WasAccepted(context)) {
     return "refused on arrival, before it was queued";
   }
-  const ServiceShard::Stats& figures = context.figures;
+  const ServiceShard::Stats& stats = context.stats;
   return fmt::format(
       "{} waiting, {} of {} slots in use, {} runners ejected; {} ms after it "
       "came, {} ms before its deadline",
-      figures.waiting, figures.in_use, figures.slots, figures.ejected,
+      stats.waiting, stats.in_use, stats.slots, stats.ejected,
       base::Milliseconds(context.now - context.ticket.arrived),
       base::Milliseconds(context.ticket.deadline - context.now));
 }
@@ -67,7 +68,7 @@
   decision.id = context.id;
   decision.kind = base::DecisionKind::kRefusal;
   decision.subject =
-      WasTakenIn(context)
+      WasAccepted(context)
           ? fmt::format("request {} for service {}", context.ticket.id,
                         context.service)
           : fmt::format("a request for service {}", context.service);
--- a/src/cassiastile/entry/request_faults_test.cpp
+++ b/src/cassiastile/entry/request_faults_test.cpp
@@ -5,7 +5,7 @@
 namespace cassiastile::standin {
 namespace {
 
-TEST(RequestFaultsTest, PromisesHoldInThousandFaultMixes) {
+TEST(RequestFaultsTest, GuaranteesHoldInThousandFaultMixes) {
   constexpr std::uint64_t kSeeds = 1000;
   FaultMixTally all;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
@@ -15,7 +15,7 @@
     all.not_run += result.tally.not_run;
     all.unknown += result.tally.unknown;
   }
-  // The mixes reach every kind of end, each many times.
+  // The mixes reach every kind of outcome, each many times.
   constexpr std::uint64_t kMany = 10000;
   EXPECT_GT(all.whole, kMany);
   EXPECT_GT(all.not_run, kMany);
--- a/src/cassiastile/entry/request_validation.cpp
+++ b/src/cassiastile/entry/request_validation.cpp
@@ -18,25 +18,25 @@
 constexpr std::array<std::string_view, 5> kIdempotentMethods{
     "GET", "HEAD", "OPTIONS", "PUT", "DELETE"};
 
-// Headers that belong to one connection (RFC 9110, section 7.6.1), or that are
-// this system's to set.
-constexpr std::array<std::string_view, 17> kNotPassedOn{"connection",
-                                                        "keep-alive",
-                                                        "proxy-authenticate",
-                                                        "te",
-                                                        "trailer",
-                                                        "transfer-encoding",
-                                                        "upgrade",
-                                                        "proxy-connection",
-                                                        "proxy-authorization",
-                                                        "host",
-                                                        "content-length",
-                                                        "expect",
-                                                        "authorization",
-                                                        "x-request-id",
-                                                        "request-timeout-ms",
-                                                        "cassiastile-team",
-                                                        "cassiastile-runner"};
+// Headers that belong to one connection (RFC 9110, section 7.6.1) or that this
+// system sets.
+constexpr std::array<std::string_view, 17> kNotForwarded{"connection",
+                                                         "keep-alive",
+                                                         "proxy-authenticate",
+                                                         "te",
+                                                         "trailer",
+                                                         "transfer-encoding",
+                                                         "upgrade",
+                                                         "proxy-connection",
+                                                         "proxy-authorization",
+                                                         "host",
+                                                         "content-length",
+                                                         "expect",
+                                                         "authorization",
+                                                         "x-request-id",
+                                                         "request-timeout-ms",
+                                                         "cassiastile-team",
+                                                         "cassiastile-runner"};
 
 using Read = tl::expected<ValidatedRequest, work::NotRun>;
 
@@ -84,8 +84,8 @@
   return std::nullopt;
 }
 
-// The caller's own timeout or the service's, within the limit; nothing when
-// the header can't be understood.
+// The caller's own timeout or the service's deadline, capped by the limit;
+// nothing when the header is invalid.
 std::optional<std::chrono::milliseconds> ReadTimeout(
     const wire::HttpRequest& request,
     const config::Service& service,
@@ -103,25 +103,26 @@
   return std::min(std::chrono::milliseconds(millis), limits.longest_timeout);
 }
 
-// Urgency as in RFC 9218, from 0, the highest, to 7; 3 without the header.
+// Urgency (RFC 9218) ranges from 0, the highest, to 7; 3 is the default.
 bool IsUrgent(const wire::HttpRequest& request) {
   const auto header = wire::FindHeader(request.headers, "Priority");
   return header && (header->starts_with("u=0") || header->starts_with("u=1"));
 }
 
-// Sets the team that the request's key stands for. Only open services take
+// Sets the team that the request's key belongs to. Only open services accept
 // requests without a key.
 std::optional<work::NotRun> CheckKey(const wire::HttpRequest& request,
                                      const config::Service& service,
                                      const ValidationContext& context,
                                      work::RequestTicket& ticket) {
-  constexpr std::chrono::seconds kFreshAgain{2};
+  constexpr std::chrono::seconds kStaleRetryAfter{2};
   const auto secret = wire::FindBearerToken(request);
   if (!secret && service.open) {
     return std::nullopt;
   }
   if (!context.fresh) {
-    return work::NotRun{work::RefusalReason::kStaleConfiguration, kFreshAgain,
+    return work::NotRun{work::RefusalReason::kStaleConfiguration,
+                        kStaleRetryAfter,
                         "This host can't tell which keys are in force."};
   }
   const config::Key* key =
@@ -143,7 +144,7 @@
     const ValidationContext& context,
     const RequestLimits& limits) {
   using work::RefusalReason;
-  constexpr std::chrono::seconds kSoon{2};
+  constexpr std::chrono::seconds kNoConfigurationRetryAfter{2};
   if (const auto refusal = CheckSize(request, limits)) {
     return tl::unexpected(*refusal);
   }
@@ -152,17 +153,18 @@
   }
   if (context.accepted == nullptr) {
     return Refuse(RefusalReason::kStaleConfiguration,
-                  "This host has no configuration yet.", kSoon);
+                  "This host has no configuration yet.",
+                  kNoConfigurationRetryAfter);
   }
-  ValidatedRequest intake;
-  intake.service = request.path_parameters.at("service");
+  ValidatedRequest validated;
+  validated.service = request.path_parameters.at("service");
   const config::Service* service =
-      config::FindService(context.accepted->fleet, intake.service);
+      config::FindService(context.accepted->fleet, validated.service);
   if (service == nullptr) {
     return Refuse(RefusalReason::kNoSuchService, "");
   }
   if (const auto refusal =
-          CheckKey(request, *service, context, intake.ticket)) {
+          CheckKey(request, *service, context, validated.ticket)) {
     return tl::unexpected(*refusal);
   }
   const auto timeout = ReadTimeout(request, *service, limits);
@@ -170,24 +172,25 @@
     return Refuse(RefusalReason::kMalformed,
                   "Request-Timeout-Ms must be a whole number above zero.");
   }
-  intake.idempotency_key = wire::FindHeader(request.headers, "Idempotency-Key");
-  if (intake.idempotency_key &&
-      !work::IsValidIdempotencyKey(*intake.idempotency_key)) {
+  validated.idempotency_key =
+      wire::FindHeader(request.headers, "Idempotency-Key");
+  if (validated.idempotency_key &&
+      !work::IsValidIdempotencyKey(*validated.idempotency_key)) {
     return Refuse(RefusalReason::kMalformed,
                   "Idempotency-Key must be 1 to 128 letters, digits or ._:-");
   }
-  intake.ticket.urgent = IsUrgent(request);
-  intake.ticket.idempotent =
-      !intake.idempotency_key && IsIn(kIdempotentMethods, request.method);
-  intake.ticket.arrived = context.now;
-  intake.ticket.deadline = context.now + *timeout;
-  return intake;
+  validated.ticket.urgent = IsUrgent(request);
+  validated.ticket.idempotent =
+      !validated.idempotency_key && IsIn(kIdempotentMethods, request.method);
+  validated.ticket.arrived = context.now;
+  validated.ticket.deadline = context.now + *timeout;
+  return validated;
 }
 
 wire::HttpHeaders KeepEndToEndHeaders(const wire::HttpHeaders& headers) {
   wire::HttpHeaders kept;
   for (const auto& [name, value] : headers) {
-    if (!IsIn(kNotPassedOn, ToLower(name))) {
+    if (!IsIn(kNotForwarded, ToLower(name))) {
       kept.emplace_back(name, value);
     }
   }
--- a/src/cassiastile/entry/service_shard.cpp
+++ b/src/cassiastile/entry/service_shard.cpp
@@ -121,8 +121,8 @@
   return demand;
 }
 
-void ServiceShard::DecideTerms(const std::string& team,
-                               const TermsDecision& decide) {
+void ServiceShard::DecideQuota(const std::string& team,
+                               const QuotaDecision& decide) {
   const std::lock_guard lock(m_mutex);
   const std::uint32_t running = m_dispatcher.TeamRunning(team);
   m_dispatcher.SetQuota({{team, decide(running)}});
@@ -130,15 +130,15 @@
 
 ServiceShard::Stats ServiceShard::ReadStats() const {
   const std::lock_guard lock(m_mutex);
-  Stats figures;
-  figures.waiting = m_dispatcher.Waiting();
-  figures.unfinished = m_dispatcher.Unfinished();
+  Stats stats;
+  stats.waiting = m_dispatcher.Waiting();
+  stats.unfinished = m_dispatcher.Unfinished();
   for (const work::Runner& runner : m_dispatcher.AllRunners()) {
-    figures.slots += runner.granted;
-    figures.in_use += runner.in_use;
-    figures.ejected += runner.health == work::RunnerHealth::kHealthy ? 0 : 1;
+    stats.slots += runner.granted;
+    stats.in_use += runner.in_use;
+    stats.ejected += runner.health == work::RunnerHealth::kHealthy ? 0 : 1;
   }
-  return figures;
+  return stats;
 }
 
 void ServiceShard::CarryOut(work::RequestActions actions) {
--- a/src/cassiastile/entry/team_credits.cpp
+++ b/src/cassiastile/entry/team_credits.cpp
@@ -12,9 +12,9 @@
   return share == nullptr ? 1 : std::max(1U, share->weight);
 }
 
-std::uint32_t WithSomeMore(std::uint32_t peak) {
-  constexpr std::uint32_t kPart = 4;
-  return peak == 0 ? 0 : peak + peak / kPart + 1;
+std::uint32_t WithTeamHeadroom(std::uint32_t peak) {
+  constexpr std::uint32_t kHeadroomDivisor = 4;
+  return peak == 0 ? 0 : peak + peak / kHeadroomDivisor + 1;
 }
 
 }  // namespace
@@ -40,7 +40,7 @@
     need.capacity = limit.requests;
     need.in_use = m_running[limit.team];
     for (const auto& [service, demand] : m_demands[limit.team]) {
-      need.wanted += WithSomeMore(demand);
+      need.wanted += WithTeamHeadroom(demand);
     }
   }
   return needs;
@@ -75,16 +75,16 @@
     if (limited.contains(team.name)) {
       continue;
     }
-    const work::TeamQuota terms{WeightOf(accepted->fleet, team.name), {}};
+    const work::TeamQuota quota{WeightOf(accepted->fleet, team.name), {}};
     for (const auto& [service, shard] : m_shards()) {
-      shard->DecideTerms(team.name, [&terms](std::uint32_t) { return terms; });
+      shard->DecideQuota(team.name, [&quota](std::uint32_t) { return quota; });
     }
   }
   return in_use;
 }
 
-// Sets what each service may run for the team. In a second round services take
-// up what others gave back in the first. Returns the sum.
+// Sets how many requests of the team each service may run. The second round
+// gives services what others released in the first. Returns the sum.
 std::uint32_t TeamCredits::SplitAmongShards(const std::string& team,
                                             std::uint32_t weight,
                                             std::uint32_t granted) {
@@ -95,9 +95,10 @@
     m_running[team] = 0;
     for (const auto& [service, shard] : m_shards()) {
       const auto demand = m_demands[team].find(service);
-      const std::uint32_t wanted =
-          demand == m_demands[team].end() ? 0 : WithSomeMore(demand->second);
-      shard->DecideTerms(team, [&, &name = service](std::uint32_t running) {
+      const std::uint32_t wanted = demand == m_demands[team].end()
+                                       ? 0
+                                       : WithTeamHeadroom(demand->second);
+      shard->DecideQuota(team, [&, &name = service](std::uint32_t running) {
         m_running[team] += running;
         split = work::Rebalance(split, name, running, wanted);
         const auto holding = split.holdings.find(name);
