--- a/src/cassiastile/wire/curl_transfer.cpp
+++ b/src/cassiastile/wire/curl_transfer.cpp
@@ -92,9 +92,8 @@
   HttpFailure failure;
   failure.state = SendStateOf(transfer.handle);
   failure.timed_out = code == CURLE_OPERATION_TIMEDOUT;
-  failure.message = transfer.body_too_large
-                        ? "the response body exceeds the size limit"
-                        : curl_easy_strerror(code);
+  failure.message = transfer.body_too_large ? "the answer is too long"
+                                            : curl_easy_strerror(code);
   return tl::unexpected(failure);
 }
 
