--- a/include/cassiastile/control/forward.hpp
+++ b/include/cassiastile/control/forward.hpp
@@ -15,7 +15,7 @@
 
 // What answers a call on the host that owns the shard.
 using ShardHandler = std::function<
-    void(member::ShardGrip, wire::HttpRequest, wire::HttpResponder)>;
+    void(member::ShardLease, wire::HttpRequest, wire::HttpResponder)>;
 
 // Answers calls on the shard's owner, wherever they arrive. All parts outlive
 // it.
--- a/include/cassiastile/member/config_store.hpp
+++ b/include/cassiastile/member/config_store.hpp
@@ -46,7 +46,7 @@
 };
 
 // The edit breaks rules of the document.
-struct EditFaulty {
+struct EditInvalid {
   base::Findings findings;
 };
 
@@ -56,7 +56,7 @@
 };
 
 using EditRefusal =
-    std::variant<EditConflict, EditFaulty, EditDenied, base::Error>;
+    std::variant<EditConflict, EditInvalid, EditDenied, base::Error>;
 using EditResult = tl::expected<EditOutcome, EditRefusal>;
 
 // A version of the history.
--- a/include/cassiastile/member/edit_quorum.hpp
+++ b/include/cassiastile/member/edit_quorum.hpp
@@ -24,7 +24,7 @@
                                      std::uint64_t id) = 0;
 
   // Takes back a prepare whose version certainly was not committed.
-  virtual void Withdraw() = 0;
+  virtual void AbortPrepare() = 0;
 
   // Passes on a version that was committed by a write which started then.
   virtual void Announce(const ConfigHead& head, base::TimePoint started) = 0;
@@ -36,7 +36,7 @@
     std::vector<std::string> missing;
     bool expired = false;
   };
-  virtual Wait WaitForAll(std::uint64_t version) = 0;
+  virtual Wait WaitUntilInForce(std::uint64_t version) = 0;
 };
 
 }  // namespace cassiastile::member
--- a/include/cassiastile/member/member.hpp
+++ b/include/cassiastile/member/member.hpp
@@ -63,16 +63,16 @@
   bool IsFresh(base::TimePoint now) const override;
 
   base::Result<void> Prepare(std::uint64_t version, std::uint64_t id) override;
-  void Withdraw() override;
+  void AbortPrepare() override;
   void Announce(const ConfigHead& head, base::TimePoint started) override;
-  Wait WaitForAll(std::uint64_t version) override;
+  Wait WaitUntilInForce(std::uint64_t version) override;
 
   MemberStatus Status() const;
   // Name and incarnation, which no two processes share.
   std::string OwnerId() const;
   // The owner ids of the control processes not taken for dead, this one
   // included.
-  std::vector<std::string> LiveControls() const;
+  std::vector<std::string> LiveControlOwners() const;
   void SetShards(std::uint16_t shards);
   // Replaces the seeds, as the host list changes.
   void SetSeeds(std::vector<std::string> seeds);
--- a/include/cassiastile/member/membership.hpp
+++ b/include/cassiastile/member/membership.hpp
@@ -120,7 +120,7 @@
   std::optional<base::TimePoint> ConfirmedAt(base::TimePoint now) const;
   bool IsFresh(base::TimePoint now) const;
   // Whether a process that replaced this one has been heard of.
-  bool IsRefused() const { return m_refused; }
+  bool IsSuperseded() const { return m_refused; }
   bool ReachesStore() const { return m_reaches_store; }
   std::vector<MemberView> Members(base::TimePoint now) const;
   const std::vector<MemberRecord>& List() const { return m_list; }
@@ -138,11 +138,11 @@
   // Whether a majority of the listed members has promised.
   bool IsPrepared() const;
   // Ends a prepare whose version certainly was not committed.
-  void Withdraw(base::TimePoint now);
+  void AbortPrepare(base::TimePoint now);
   // The listed members not known to have the version in force.
   std::vector<std::string> Missing(std::uint64_t version) const;
   // Sends the head to all members at once in the next Tick.
-  void SpreadHead() { m_spread = true; }
+  void BroadcastHead() { m_spread = true; }
 
  private:
   struct Peer {
--- a/include/cassiastile/member/shard_lease.hpp
+++ b/include/cassiastile/member/shard_lease.hpp
@@ -42,15 +42,15 @@
     const std::vector<platform::Row>& leases,
     const std::vector<platform::Row>& renewals);
 
-enum class LeaseActKind : std::uint8_t {
+enum class LeaseActionKind : std::uint8_t {
   kTakeOver,
   kRenew,
   kRelease,
 };
 
 // A transaction to be applied, without its nonce.
-struct LeaseAct {
-  LeaseActKind kind = LeaseActKind::kRenew;
+struct LeaseAction {
+  LeaseActionKind kind = LeaseActionKind::kRenew;
   std::vector<std::string> shards;
   platform::Transaction transaction;
 };
@@ -77,19 +77,19 @@
                    base::TimePoint now);
 
   bool IsScanDue(base::TimePoint now) const;
-  std::vector<LeaseAct> Decide(base::TimePoint now);
+  std::vector<LeaseAction> Decide(base::TimePoint now);
   // What became of an act that was started at a time. A conflict or an unknown
   // outcome is found out by the next scan, which falls due soon.
-  void Finish(const LeaseAct& act,
+  void Finish(const LeaseAction& act,
               base::TimePoint started,
               const base::Result<platform::Commit>& outcome);
   // Makes acts that give up all shards; none is acted on from now on.
-  std::vector<LeaseAct> ReleaseAll();
+  std::vector<LeaseAction> ReleaseAll();
 
-  std::optional<ShardGrip> Grip(const std::string& shard,
-                                base::TimePoint now) const;
+  std::optional<ShardLease> CurrentLease(const std::string& shard,
+                                         base::TimePoint now) const;
   std::string OwnerAddress(const std::string& shard) const;
-  std::vector<std::string> Owned(base::TimePoint now) const;
+  std::vector<std::string> OwnedShards(base::TimePoint now) const;
 
  private:
   struct Shard {
@@ -107,10 +107,10 @@
   bool MayTakeOver(const Shard& shard, base::TimePoint now) const;
   bool ShouldHandOver(const Shard& shard, base::TimePoint now) const;
   base::Duration RankDelay(const Shard& shard) const;
-  LeaseAct MakeTakeover(const std::string& name, const Shard& shard) const;
-  LeaseAct MakeRelease(const std::string& name, const Shard& shard) const;
-  std::optional<LeaseAct> MakeRenewal() const;
-  void ForgetRows(const LeaseAct& act);
+  LeaseAction MakeTakeover(const std::string& name, const Shard& shard) const;
+  LeaseAction MakeRelease(const std::string& name, const Shard& shard) const;
+  std::optional<LeaseAction> MakeRenewal() const;
+  void ForgetRows(const LeaseAction& act);
 
   ShardLeaseOptions m_options;
   std::map<std::string, Shard> m_shards;
--- a/include/cassiastile/member/shard_keeper.hpp
+++ b/include/cassiastile/member/shard_lease_manager.hpp
@@ -15,7 +15,7 @@
 namespace cassiastile::member {
 
 // Keeps this process's leases on shards in the table, on a thread of its own.
-class ShardKeeper final : public ShardOwner {
+class ShardLeaseManager final : public ShardOwner {
  public:
   // What there is to own, and who is alive to own it. Called on the thread.
   struct Sources {
@@ -24,12 +24,12 @@
   };
 
   // The table, which should be the guarded one, and the clock outlive it.
-  ShardKeeper(ShardLeaseOptions options,
-              platform::Table& table,
-              const base::Clock& clock,
-              Sources sources,
-              std::uint64_t seed);
-  ~ShardKeeper() override;
+  ShardLeaseManager(ShardLeaseOptions options,
+                    platform::Table& table,
+                    const base::Clock& clock,
+                    Sources sources,
+                    std::uint64_t seed);
+  ~ShardLeaseManager() override;
 
   void Start();
   // Gives up all shards, so that others take them at once.
@@ -37,14 +37,14 @@
   // One round of the thread's work, for tests and for Start.
   void RunOnce();
 
-  std::optional<ShardGrip> Grip(const std::string& shard,
-                                base::TimePoint now) const override;
+  std::optional<ShardLease> CurrentLease(const std::string& shard,
+                                         base::TimePoint now) const override;
   std::string OwnerAddress(const std::string& shard) const override;
-  std::vector<std::string> Owned(base::TimePoint now) const;
+  std::vector<std::string> OwnedShards(base::TimePoint now) const;
 
  private:
   void Scan();
-  void Apply(LeaseAct act);
+  void Apply(LeaseAction act);
 
   platform::Table& m_table;
   const base::Clock& m_clock;
--- a/include/cassiastile/member/shard_owner.hpp
+++ b/include/cassiastile/member/shard_owner.hpp
@@ -11,7 +11,7 @@
 
 // Proof that this host owns a pool's shard. Every transaction made as its owner
 // carries the fence, so that an owner paused past its lease writes nothing.
-struct ShardGrip {
+struct ShardLease {
   std::string shard;        // The pool's name.
   std::uint64_t epoch = 0;  // Grows with every takeover.
   platform::Precondition fence;
@@ -25,8 +25,8 @@
 
   // The grip on a shard, or nothing when another host owns it or this host's
   // lease may be over.
-  virtual std::optional<ShardGrip> Grip(const std::string& shard,
-                                        base::TimePoint now) const = 0;
+  virtual std::optional<ShardLease> CurrentLease(const std::string& shard,
+                                                 base::TimePoint now) const = 0;
 
   // The HTTP address (IP:PORT) of the control process that was last seen to own
   // the shard; empty when none is known.
--- a/include/cassiastile/member/short_text.hpp
+++ b/include/cassiastile/member/short_text.hpp
@@ -15,15 +15,15 @@
 // Writes a text with a length of one byte, so that a bad length can't make the
 // reader take much memory.
 template <typename Archive>
-void SaveText(Archive& archive, const std::string& text) {
+void SaveShortText(Archive& archive, const std::string& text) {
   const std::size_t size = std::min(text.size(), kMaxShortTextBytes);
   archive(static_cast<std::uint8_t>(size));
   archive(cereal::binary_data(text.data(), size));
 }
 
-// Reads what SaveText wrote; throws cereal::Exception when it is cut.
+// Reads what SaveShortText wrote; throws cereal::Exception when it is cut.
 template <typename Archive>
-std::string LoadText(Archive& archive) {
+std::string LoadShortText(Archive& archive) {
   std::uint8_t size = 0;
   archive(size);
   std::string text(size, '\0');
--- a/src/bin/measure_member.cpp
+++ b/src/bin/measure_member.cpp
@@ -13,7 +13,7 @@
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
-#include "cassiastile/member/shard_keeper.hpp"
+#include "cassiastile/member/shard_lease_manager.hpp"
 #include "cassiastile/member/virtual_fleet.hpp"
 #include "cassiastile/platform/memory_platform.hpp"
 
@@ -72,7 +72,7 @@
                 std::uint64_t version) {
   CommitVersion(network, version);
   network.At(proposer).ObserveHead(network.Store().head, network.Now());
-  network.At(proposer).SpreadHead();
+  network.At(proposer).BroadcastHead();
 }
 
 // How long the last of the processes takes that only poll the table.
@@ -224,7 +224,7 @@
   base::ManualClock clock;
   platform::MemoryTable table(kSeed);
   std::set<std::string> dead;
-  std::map<std::string, std::unique_ptr<ShardKeeper>> keepers;
+  std::map<std::string, std::unique_ptr<ShardLeaseManager>> keepers;
   std::vector<std::string> shards;
   shards.reserve(25);
   for (int i = 0; i < 25; ++i) {
@@ -239,9 +239,10 @@
     ShardLeaseOptions options;
     options.owner = name;
     options.scan_period = scan_period;
-    keepers[name] = std::make_unique<ShardKeeper>(
+    keepers[name] = std::make_unique<ShardLeaseManager>(
         options, table, clock,
-        ShardKeeper::Sources{[&] { return shards; }, [&] { return names; }},
+        ShardLeaseManager::Sources{[&] { return shards; },
+                                   [&] { return names; }},
         kSeed + keepers.size());
   }
   const auto run = [&](base::Duration time) {
@@ -258,14 +259,14 @@
   std::vector<double> times;
   for (int i = 0; i < kDeaths; ++i) {
     const std::string victim = names[static_cast<std::size_t>(i)];
-    const auto lost = keepers[victim]->Owned(clock.Now());
+    const auto lost = keepers[victim]->OwnedShards(clock.Now());
     dead.insert(victim);
     run(milliseconds(137));
     const base::TimePoint start = clock.Now() - milliseconds(150);
     const auto taken = [&](const std::string& shard) {
       return std::any_of(names.begin(), names.end(), [&](const auto& name) {
         return name != victim &&
-               keepers[name]->Grip(shard, clock.Now()).has_value();
+               keepers[name]->CurrentLease(shard, clock.Now()).has_value();
       });
     };
     while (!std::all_of(lost.begin(), lost.end(), taken)) {
--- a/src/cassiastile/control/config_answers.cpp
+++ b/src/cassiastile/control/config_answers.cpp
@@ -48,7 +48,7 @@
         problem, {{"version", conflict.version}, {"diff", conflict.diff}});
   }
 
-  wire::HttpResponse operator()(const member::EditFaulty& faulty) const {
+  wire::HttpResponse operator()(const member::EditInvalid& faulty) const {
     const wire::Problem problem{422,
                                 "edit-faulty",
                                 "The edit breaks rules of the document.",
@@ -79,7 +79,7 @@
   std::string operator()(const member::EditConflict& conflict) const {
     return fmt::format("version {} was accepted first", conflict.version);
   }
-  std::string operator()(const member::EditFaulty& faulty) const {
+  std::string operator()(const member::EditInvalid& faulty) const {
     return fmt::format("{} findings", faulty.findings.size());
   }
   std::string operator()(const member::EditDenied&) const {
--- a/src/cassiastile/control/config_service.cpp
+++ b/src/cassiastile/control/config_service.cpp
@@ -230,7 +230,7 @@
     }
     Record(*edit, fmt::format("accepted as version {}", result->version));
     return MakeAcceptedAnswer(*result,
-                              m_parts.member.WaitForAll(result->version));
+                              m_parts.member.WaitUntilInForce(result->version));
   }
 
   // Keeps the decision and returns its id, or nothing where none are kept.
--- a/src/cassiastile/control/control_host.cpp
+++ b/src/cassiastile/control/control_host.cpp
@@ -15,7 +15,7 @@
 #include "cassiastile/control/task_service.hpp"
 #include "cassiastile/daemon/health.hpp"
 #include "cassiastile/member/config_store.hpp"
-#include "cassiastile/member/shard_keeper.hpp"
+#include "cassiastile/member/shard_lease_manager.hpp"
 
 namespace cassiastile::control {
 
@@ -106,7 +106,7 @@
   ChainAppender audit;
   LateHostWork host_work;
   std::unique_ptr<member::Member> member;
-  std::unique_ptr<member::ShardKeeper> shards;
+  std::unique_ptr<member::ShardLeaseManager> shards;
   std::unique_ptr<ShardForwarder> forwarder;
   std::unique_ptr<PoolService> pools;
   std::unique_ptr<TaskService> tasks;
@@ -126,14 +126,14 @@
   member::ShardLeaseOptions lease;
   lease.owner = member->OwnerId();
   lease.address = config::FormatAddress(options.listen);
-  shards = std::make_unique<member::ShardKeeper>(
+  shards = std::make_unique<member::ShardLeaseManager>(
       lease, access.Table(), clock,
-      member::ShardKeeper::Sources{
+      member::ShardLeaseManager::Sources{
           [this] { return PoolNames(*member); },
           [this] {
-            const auto owned = shards->Owned(clock.Now()).size();
+            const auto owned = shards->OwnedShards(clock.Now()).size();
             member->SetShards(static_cast<std::uint16_t>(owned));
-            return member->LiveControls();
+            return member->LiveControlOwners();
           }},
       seed + 1);
   forwarder = std::make_unique<ShardForwarder>(clock, *shards, *client);
@@ -175,7 +175,7 @@
       {"configuration", [this] { return MembersToJson(*member); }},
       {"pools", [this] { return pools->StatusJson(); }},
       {"tasks", [this] { return TasksToJson(tasks->Status()); }},
-      {"shards", [this] { return json(shards->Owned(clock.Now())); }},
+      {"shards", [this] { return json(shards->OwnedShards(clock.Now())); }},
   };
 }
 
--- a/src/cassiastile/control/forward.cpp
+++ b/src/cassiastile/control/forward.cpp
@@ -61,7 +61,7 @@
                             wire::HttpRequest request,
                             wire::HttpResponder respond,
                             const ShardHandler& handler) const {
-  if (const auto grip = m_owner.Grip(shard, m_clock.Now())) {
+  if (const auto grip = m_owner.CurrentLease(shard, m_clock.Now())) {
     handler(*grip, std::move(request), std::move(respond));
     return;
   }
--- a/src/cassiastile/control/pool_service.cpp
+++ b/src/cassiastile/control/pool_service.cpp
@@ -103,7 +103,8 @@
     if (IsStopping()) {
       return;
     }
-    const auto grip = m_ports.owner.Grip(pool.name, m_ports.clock.Now());
+    const auto grip =
+        m_ports.owner.CurrentLease(pool.name, m_ports.clock.Now());
     if (grip) {
       m_reconciler.Tick(pool.name, grip->fence);
     }
@@ -115,7 +116,8 @@
 void PoolService::TickOrphans() {
   const config::Fleet& fleet = m_document->fleet;
   if (fleet.pools.empty() ||
-      !m_ports.owner.Grip(fleet.pools.front().name, m_ports.clock.Now())) {
+      !m_ports.owner.CurrentLease(fleet.pools.front().name,
+                                  m_ports.clock.Now())) {
     return;
   }
   std::vector<std::string> orphans;
--- a/src/cassiastile/control/pool_service_test.cpp
+++ b/src/cassiastile/control/pool_service_test.cpp
@@ -29,13 +29,13 @@
 
 class FakeOwner final : public member::ShardOwner {
  public:
-  std::optional<member::ShardGrip> Grip(
+  std::optional<member::ShardLease> CurrentLease(
       const std::string& shard,
       base::TimePoint /*now*/) const override {
     if (!owned.contains(shard)) {
       return std::nullopt;
     }
-    return member::ShardGrip{shard, 1, {"lease/" + shard, 0}};
+    return member::ShardLease{shard, 1, {"lease/" + shard, 0}};
   }
   std::string OwnerAddress(const std::string& /*shard*/) const override {
     return {};
--- a/src/cassiastile/control/task_pump.cpp
+++ b/src/cassiastile/control/task_pump.cpp
@@ -119,7 +119,7 @@
   const base::TimePoint now = m_parts.clock.Now();
   m_batch_due = now + m_options.batch_interval;
   RefreshViews(now);
-  const auto grip = m_parts.owner.Grip(m_pool, now);
+  const auto grip = m_parts.owner.CurrentLease(m_pool, now);
   if (!grip) {
     Refuse(items, PumpRefusal::kNotOwner);
     RefreshStatus(now, false);
--- a/src/cassiastile/control/task_service.cpp
+++ b/src/cassiastile/control/task_service.cpp
@@ -163,7 +163,7 @@
   spec->team = queue->team;
   spec->urgent = queue->urgent;
   m_forwarder.Handle(queue->pool, std::move(request), std::move(respond),
-                     [this, spec = *spec](const member::ShardGrip& grip,
+                     [this, spec = *spec](const member::ShardLease& grip,
                                           const wire::HttpRequest&,
                                           const wire::HttpResponder& answer) {
                        PumpOf(grip.shard)
@@ -203,7 +203,7 @@
   const std::string key = TaskKeyOf(request);
   m_forwarder.Handle(
       queue->pool, std::move(request), std::move(respond),
-      [this, key, call = std::move(call)](const member::ShardGrip& grip,
+      [this, key, call = std::move(call)](const member::ShardLease& grip,
                                           const wire::HttpRequest&,
                                           const wire::HttpResponder& answer) {
         call(*PumpOf(grip.shard), key, answer);
@@ -234,7 +234,7 @@
   const work::ResolveEvent event{key, *outcome, *who};
   m_forwarder.Handle(
       queue->pool, std::move(request), std::move(respond),
-      [this, event](const member::ShardGrip& grip, const wire::HttpRequest&,
+      [this, event](const member::ShardLease& grip, const wire::HttpRequest&,
                     const wire::HttpResponder& answer) {
         PumpOf(grip.shard)->Submit(event, event.key, AnswerWithTask(answer));
       });
@@ -265,7 +265,7 @@
       };
   m_forwarder.Handle(
       pool, std::move(request), std::move(renew_without_owner),
-      [this, poll = *poll, home](const member::ShardGrip& grip,
+      [this, poll = *poll, home](const member::ShardLease& grip,
                                  const wire::HttpRequest&,
                                  const wire::HttpResponder& answer) {
         PumpOf(grip.shard)->Submit(poll, "", [answer, home](PumpResult result) {
--- a/src/cassiastile/control/task_service_test.cpp
+++ b/src/cassiastile/control/task_service_test.cpp
@@ -37,12 +37,13 @@
 
 class FixedOwner final : public member::ShardOwner {
  public:
-  std::optional<member::ShardGrip> Grip(const std::string& shard,
-                                        base::TimePoint) const override {
+  std::optional<member::ShardLease> CurrentLease(
+      const std::string& shard,
+      base::TimePoint) const override {
     if (!owns) {
       return std::nullopt;
     }
-    return member::ShardGrip{shard, 1, {"lease/" + shard, 0}};
+    return member::ShardLease{shard, 1, {"lease/" + shard, 0}};
   }
   std::string OwnerAddress(const std::string&) const override { return ""; }
 
--- a/src/cassiastile/member/config_store.cpp
+++ b/src/cassiastile/member/config_store.cpp
@@ -26,7 +26,7 @@
 }
 
 tl::unexpected<EditRefusal> RefuseText(const base::Error& error) {
-  return Refuse(EditFaulty{{{{kFileName, 0, 0}, "", error.message}}});
+  return Refuse(EditInvalid{{{{kFileName, 0, 0}, "", error.message}}});
 }
 
 std::string Label(std::uint64_t version) {
@@ -131,7 +131,7 @@
   candidate.after = std::move(*after);
   auto fleet = config::ReadFleet(candidate.after, kFileName);
   if (!fleet) {
-    return Refuse(EditFaulty{std::move(fleet.error())});
+    return Refuse(EditInvalid{std::move(fleet.error())});
   }
   candidate.fleet = std::move(*fleet);
   config::Fleet fleet_before;
@@ -260,12 +260,12 @@
   const base::TimePoint asked = m_clock.Now();
   const auto prepared = m_quorum.Prepare(version, m_random());
   if (!prepared) {
-    m_quorum.Withdraw();
+    m_quorum.AbortPrepare();
     return Refuse(prepared.error());
   }
   const base::TimePoint started = m_clock.Now();
   if (started - asked > kPromiseLife) {
-    m_quorum.Withdraw();
+    m_quorum.AbortPrepare();
     return Refuse(base::Error{base::ErrorCode::kConflict,
                               "The promises were too old to commit on."});
   }
@@ -273,7 +273,7 @@
   if (!committed) {
     // While it is unknown, the promises must stand.
     if (committed.error().code != base::ErrorCode::kUnknown) {
-      m_quorum.Withdraw();
+      m_quorum.AbortPrepare();
     }
     return Refuse(committed.error());
   }
--- a/src/cassiastile/member/config_store_test.cpp
+++ b/src/cassiastile/member/config_store_test.cpp
@@ -32,11 +32,11 @@
     }
     return base::Fail(base::ErrorCode::kUnavailable, "No majority.");
   }
-  void Withdraw() override { ++withdrawn; }
+  void AbortPrepare() override { ++withdrawn; }
   void Announce(const ConfigHead& head, base::TimePoint) override {
     announced = head;
   }
-  Wait WaitForAll(std::uint64_t) override { return {}; }
+  Wait WaitUntilInForce(std::uint64_t) override { return {}; }
 
   bool heard = true;
   int withdrawn = 0;
@@ -57,7 +57,7 @@
     if (result) {
       return "accepted";
     }
-    if (const auto* faulty = std::get_if<EditFaulty>(&result.error())) {
+    if (const auto* faulty = std::get_if<EditInvalid>(&result.error())) {
       return base::FormatFindings(faulty->findings);
     }
     if (const auto* error = std::get_if<base::Error>(&result.error())) {
@@ -167,7 +167,7 @@
                     {}};
   const EditResult result = m_store.Accept(queues);
   ASSERT_FALSE(result);
-  EXPECT_TRUE(std::holds_alternative<EditFaulty>(result.error()));
+  EXPECT_TRUE(std::holds_alternative<EditInvalid>(result.error()));
   EXPECT_EQ(m_store.Head()->head.version, 2U);
 }
 
--- a/src/cassiastile/member/member.cpp
+++ b/src/cassiastile/member/member.cpp
@@ -155,7 +155,7 @@
       status.in_force = membership.InForce();
       status.fresh = membership.IsFresh(now);
       status.reaches_store = membership.ReachesStore();
-      status.refused = membership.IsRefused();
+      status.refused = membership.IsSuperseded();
       status.members = membership.Members(now);
       status.faults = membership.Faults();
       return status;
@@ -184,7 +184,7 @@
         "A majority of the members can't be heard; nothing was accepted.");
   }
 
-  Wait WaitForAll(std::uint64_t version) {
+  Wait WaitUntilInForce(std::uint64_t version) {
     const base::TimePoint end =
         m_clock.Now() + m_options.times.freshness + kExpiryMargin;
     Wait wait;
@@ -208,7 +208,7 @@
   void Publish() {
     const base::TimePoint now = m_clock.Now();
     const auto confirmed = m_membership->ConfirmedAt(now);
-    const bool valid = confirmed && !m_membership->IsRefused();
+    const bool valid = confirmed && !m_membership->IsSuperseded();
     m_confirmed =
         valid ? confirmed->time_since_epoch().count() : kNever.count();
   }
@@ -443,9 +443,9 @@
   return m_impl->Prepare(version, id);
 }
 
-void Member::Withdraw() {
+void Member::AbortPrepare() {
   m_impl->With([this](Membership& membership) {
-    membership.Withdraw(m_impl->Now());
+    membership.AbortPrepare(m_impl->Now());
     return true;
   });
 }
@@ -453,13 +453,13 @@
 void Member::Announce(const ConfigHead& head, base::TimePoint started) {
   m_impl->With([&](Membership& membership) {
     membership.ObserveHead(head, started);
-    membership.SpreadHead();
+    membership.BroadcastHead();
     return true;
   });
 }
 
-EditQuorum::Wait Member::WaitForAll(std::uint64_t version) {
-  return m_impl->WaitForAll(version);
+EditQuorum::Wait Member::WaitUntilInForce(std::uint64_t version) {
+  return m_impl->WaitUntilInForce(version);
 }
 
 MemberStatus Member::Status() const {
@@ -470,7 +470,7 @@
   return MakeOwnerId(m_impl->Self());
 }
 
-std::vector<std::string> Member::LiveControls() const {
+std::vector<std::string> Member::LiveControlOwners() const {
   std::vector<std::string> owners;
   for (const MemberView& view : Status().members) {
     if (view.record.role == MemberRole::kControl &&
--- a/src/cassiastile/member/member_test.cpp
+++ b/src/cassiastile/member/member_test.cpp
@@ -60,7 +60,7 @@
 TEST_F(MemberTest, JoinsLearnsTheHeadAndPullsTheBody) {
   const auto first = MakeMember("a", {}, m_table);
   const auto second = MakeMember("b", {first->Address()}, m_table);
-  ASSERT_TRUE(WaitFor([&] { return second->LiveControls().size() == 2; }));
+  ASSERT_TRUE(WaitFor([&] { return second->LiveControlOwners().size() == 2; }));
   ConfigStore store(m_table, m_clock, *first, 1);
   ASSERT_TRUE(WaitFor([&] {
     return store
@@ -72,7 +72,7 @@
            second->IsFresh(m_clock.Now());
   }));
   EXPECT_EQ(second->Current()->fleet.name, "plechovy-hlas");
-  EXPECT_TRUE(first->WaitForAll(1).missing.empty());
+  EXPECT_TRUE(first->WaitUntilInForce(1).missing.empty());
 }
 
 TEST_F(MemberTest, PullsFromAPeerWhatTheTableDoesNotGive) {
--- a/src/cassiastile/member/membership.cpp
+++ b/src/cassiastile/member/membership.cpp
@@ -290,7 +290,7 @@
   return static_cast<std::size_t>(promised) >= Majority();
 }
 
-void Membership::Withdraw(base::TimePoint now) {
+void Membership::AbortPrepare(base::TimePoint now) {
   if (m_proposal) {
     m_promises.erase(m_proposal->id);
     m_withdrawn = std::move(m_proposal);
--- a/src/cassiastile/member/membership_test.cpp
+++ b/src/cassiastile/member/membership_test.cpp
@@ -90,7 +90,7 @@
     m_network.RunUntil(seconds(2), [&] { return committer.IsPrepared(); });
     CommitVersion(m_network, version);
     committer.ObserveHead(m_network.Store().head, m_network.Now());
-    committer.SpreadHead();
+    committer.BroadcastHead();
     m_network.RunUntil(seconds(3), [&] {
       fewest = std::min(fewest, CountFresh());
       return false;
@@ -140,7 +140,7 @@
 
 TEST_F(FleetTest, WithdrawnPrepareLetsTheMajorityGoOn) {
   ASSERT_TRUE(PrepareAt("h06-1", 2));
-  m_network.At("h06-1").Withdraw(m_network.Now());
+  m_network.At("h06-1").AbortPrepare(m_network.Now());
   m_network.Run(seconds(1));
   m_network.Store().down = true;
   m_network.Run(seconds(10));
@@ -242,7 +242,7 @@
   ASSERT_EQ(answers.size(), 1U);
   static_cast<void>(paused.Receive(answers[0].bytes, "10.0.0.1:7400",
                                    m_network.Now(), random));
-  EXPECT_TRUE(paused.IsRefused());
+  EXPECT_TRUE(paused.IsSuperseded());
   EXPECT_FALSE(paused.IsFresh(m_network.Now()));
   EXPECT_TRUE(paused.Tick(m_network.Now(), random).datagrams.empty());
 }
--- a/src/cassiastile/member/message.cpp
+++ b/src/cassiastile/member/message.cpp
@@ -138,23 +138,23 @@
 
 void SaveRecord(cereal::PortableBinaryOutputArchive& archive,
                 const MemberRecord& record) {
-  SaveText(archive, record.name);
+  SaveShortText(archive, record.name);
   archive(record.incarnation, static_cast<std::uint8_t>(record.role));
-  SaveText(archive, record.zone);
-  SaveText(archive, record.address);
-  SaveText(archive, record.http_address);
+  SaveShortText(archive, record.zone);
+  SaveShortText(archive, record.address);
+  SaveShortText(archive, record.http_address);
   archive(record.shards);
 }
 
 MemberRecord LoadRecord(cereal::PortableBinaryInputArchive& archive) {
   MemberRecord record;
   std::uint8_t role = 0;
-  record.name = LoadText(archive);
+  record.name = LoadShortText(archive);
   archive(record.incarnation, role);
   record.role = role == 0 ? MemberRole::kEntry : MemberRole::kControl;
-  record.zone = LoadText(archive);
-  record.address = LoadText(archive);
-  record.http_address = LoadText(archive);
+  record.zone = LoadShortText(archive);
+  record.address = LoadShortText(archive);
+  record.http_address = LoadShortText(archive);
   archive(record.shards);
   return record;
 }
@@ -164,10 +164,10 @@
   std::uint8_t flags = message.reaches_store ? kReachesStoreFlag : 0;
   flags |= message.agrees ? kAgreesFlag : 0;
   archive(static_cast<std::uint8_t>(message.kind), flags);
-  SaveText(archive, message.sender);
+  SaveShortText(archive, message.sender);
   archive(message.incarnation, message.sequence, message.echo);
   archive(message.head.version);
-  SaveText(archive, PackDigest(message.head.digest));
+  SaveShortText(archive, PackDigest(message.head.digest));
   archive(message.in_force, message.promise_version, message.promise_id);
   archive(message.store_age, message.list_hash);
 }
@@ -180,10 +180,10 @@
   message.kind = static_cast<MessageKind>(kind);
   message.reaches_store = (flags & kReachesStoreFlag) != 0;
   message.agrees = (flags & kAgreesFlag) != 0;
-  message.sender = LoadText(archive);
+  message.sender = LoadShortText(archive);
   archive(message.incarnation, message.sequence, message.echo);
   archive(message.head.version);
-  message.head.digest = UnpackDigest(LoadText(archive));
+  message.head.digest = UnpackDigest(LoadShortText(archive));
   archive(message.in_force, message.promise_version, message.promise_id);
   archive(message.store_age, message.list_hash);
   return message;
--- a/src/cassiastile/member/peer_frame.cpp
+++ b/src/cassiastile/member/peer_frame.cpp
@@ -34,22 +34,22 @@
 
 void SaveRecord(cereal::PortableBinaryOutputArchive& archive,
                 const MemberRecord& record) {
-  SaveText(archive, record.name);
+  SaveShortText(archive, record.name);
   archive(record.incarnation, static_cast<std::uint8_t>(record.role));
-  SaveText(archive, record.zone);
-  SaveText(archive, record.address);
-  SaveText(archive, record.http_address);
+  SaveShortText(archive, record.zone);
+  SaveShortText(archive, record.address);
+  SaveShortText(archive, record.http_address);
 }
 
 MemberRecord LoadRecord(cereal::PortableBinaryInputArchive& archive) {
   MemberRecord record;
   std::uint8_t role = 0;
-  record.name = LoadText(archive);
+  record.name = LoadShortText(archive);
   archive(record.incarnation, role);
   record.role = role == 0 ? MemberRole::kEntry : MemberRole::kControl;
-  record.zone = LoadText(archive);
-  record.address = LoadText(archive);
-  record.http_address = LoadText(archive);
+  record.zone = LoadShortText(archive);
+  record.address = LoadShortText(archive);
+  record.http_address = LoadShortText(archive);
   return record;
 }
 
@@ -60,7 +60,7 @@
   std::uint8_t format = 0;
   std::uint16_t records = 0;
   archive(format, reply.version, records);
-  reply.nonce = LoadText(archive);
+  reply.nonce = LoadShortText(archive);
   for (std::uint16_t i = 0; i < records; ++i) {
     reply.list.push_back(LoadRecord(archive));
   }
@@ -78,7 +78,7 @@
   std::ostringstream stream;
   cereal::PortableBinaryOutputArchive archive(stream);
   archive(kFormat, request.version);
-  SaveText(archive, request.nonce);
+  SaveShortText(archive, request.nonce);
   return AddSeal(stream.str(), secret);
 }
 
@@ -87,7 +87,7 @@
   cereal::PortableBinaryOutputArchive archive(stream);
   archive(kFormat, reply.version,
           static_cast<std::uint16_t>(reply.list.size()));
-  SaveText(archive, reply.nonce);
+  SaveShortText(archive, reply.nonce);
   for (const MemberRecord& record : reply.list) {
     SaveRecord(archive, record);
   }
@@ -107,7 +107,7 @@
     PeerRequest request;
     std::uint8_t format = 0;
     archive(format, request.version);
-    request.nonce = LoadText(archive);
+    request.nonce = LoadShortText(archive);
     return request;
   } catch (const std::exception&) {
     return base::Fail(base::ErrorCode::kInvalid, "Not a peer's request.");
--- a/src/cassiastile/member/shard_lease.cpp
+++ b/src/cassiastile/member/shard_lease.cpp
@@ -135,8 +135,8 @@
   return shard.observed && shard.rows.owner == m_options.owner;
 }
 
-std::vector<LeaseAct> ShardLeases::Decide(base::TimePoint now) {
-  std::vector<LeaseAct> acts;
+std::vector<LeaseAction> ShardLeases::Decide(base::TimePoint now) {
+  std::vector<LeaseAction> acts;
   if (m_released) {
     return acts;
   }
@@ -189,9 +189,9 @@
          now - shard.ranked_since >= m_options.settle;
 }
 
-LeaseAct ShardLeases::MakeTakeover(const std::string& name,
-                                   const Shard& shard) const {
-  LeaseAct act{LeaseActKind::kTakeOver, {name}, {}};
+LeaseAction ShardLeases::MakeTakeover(const std::string& name,
+                                      const Shard& shard) const {
+  LeaseAction act{LeaseActionKind::kTakeOver, {name}, {}};
   act.transaction.preconditions = {
       {kLeasePrefix + name, shard.rows.lease_version},
       {kRenewalPrefix + name, shard.rows.renewal_version}};
@@ -202,9 +202,9 @@
   return act;
 }
 
-LeaseAct ShardLeases::MakeRelease(const std::string& name,
-                                  const Shard& shard) const {
-  LeaseAct act{LeaseActKind::kRelease, {name}, {}};
+LeaseAction ShardLeases::MakeRelease(const std::string& name,
+                                     const Shard& shard) const {
+  LeaseAction act{LeaseActionKind::kRelease, {name}, {}};
   act.transaction.preconditions = {
       {kLeasePrefix + name, shard.rows.lease_version}};
   act.transaction.writes = {
@@ -213,8 +213,8 @@
 }
 
 // All shards owned are renewed together, in one write to the table.
-std::optional<LeaseAct> ShardLeases::MakeRenewal() const {
-  LeaseAct act{LeaseActKind::kRenew, {}, {}};
+std::optional<LeaseAction> ShardLeases::MakeRenewal() const {
+  LeaseAction act{LeaseActionKind::kRenew, {}, {}};
   for (const auto& [name, shard] : m_shards) {
     if (!IsOwn(shard)) {
       continue;
@@ -230,8 +230,8 @@
 }
 
 // What is not known to hold is not tried again before the next scan.
-void ShardLeases::ForgetRows(const LeaseAct& act) {
-  if (act.kind != LeaseActKind::kTakeOver) {
+void ShardLeases::ForgetRows(const LeaseAction& act) {
+  if (act.kind != LeaseActionKind::kTakeOver) {
     return;
   }
   for (const std::string& name : act.shards) {
@@ -242,7 +242,7 @@
   }
 }
 
-void ShardLeases::Finish(const LeaseAct& act,
+void ShardLeases::Finish(const LeaseAction& act,
                          base::TimePoint started,
                          const base::Result<platform::Commit>& outcome) {
   if (!outcome) {
@@ -258,17 +258,17 @@
     }
     Shard& shard = found->second;
     switch (act.kind) {
-      case LeaseActKind::kTakeOver:
+      case LeaseActionKind::kTakeOver:
         ++shard.rows.lease_version;
         ++shard.rows.epoch;
         shard.rows.owner = m_options.owner;
         shard.rows.address = m_options.address;
         shard.renewed_at = started;
         break;
-      case LeaseActKind::kRenew:
+      case LeaseActionKind::kRenew:
         shard.renewed_at = started;
         break;
-      case LeaseActKind::kRelease:
+      case LeaseActionKind::kRelease:
         ++shard.rows.lease_version;
         shard.rows.owner.clear();
         shard.rows.address.clear();
@@ -278,9 +278,9 @@
   }
 }
 
-std::vector<LeaseAct> ShardLeases::ReleaseAll() {
+std::vector<LeaseAction> ShardLeases::ReleaseAll() {
   m_released = true;
-  std::vector<LeaseAct> acts;
+  std::vector<LeaseAction> acts;
   for (auto& [name, shard] : m_shards) {
     shard.renewed_at.reset();
     if (IsOwn(shard)) {
@@ -290,8 +290,8 @@
   return acts;
 }
 
-std::optional<ShardGrip> ShardLeases::Grip(const std::string& shard,
-                                           base::TimePoint now) const {
+std::optional<ShardLease> ShardLeases::CurrentLease(const std::string& shard,
+                                                    base::TimePoint now) const {
   const auto found = m_shards.find(shard);
   if (found == m_shards.end() || !IsOwn(found->second) ||
       !found->second.renewed_at ||
@@ -299,7 +299,7 @@
     return std::nullopt;
   }
   const LeaseRows& rows = found->second.rows;
-  return ShardGrip{
+  return ShardLease{
       shard, rows.epoch, {kLeasePrefix + shard, rows.lease_version}};
 }
 
@@ -308,10 +308,10 @@
   return found == m_shards.end() ? "" : found->second.rows.address;
 }
 
-std::vector<std::string> ShardLeases::Owned(base::TimePoint now) const {
+std::vector<std::string> ShardLeases::OwnedShards(base::TimePoint now) const {
   std::vector<std::string> owned;
   for (const auto& [name, shard] : m_shards) {
-    if (Grip(name, now)) {
+    if (CurrentLease(name, now)) {
       owned.push_back(name);
     }
   }
--- a/src/cassiastile/member/shard_keeper.cpp
+++ b/src/cassiastile/member/shard_lease_manager.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/member/shard_keeper.hpp"
+#include "cassiastile/member/shard_lease_manager.hpp"
 
 #include <utility>
 
@@ -10,22 +10,22 @@
 
 }  // namespace
 
-ShardKeeper::ShardKeeper(ShardLeaseOptions options,
-                         platform::Table& table,
-                         const base::Clock& clock,
-                         Sources sources,
-                         std::uint64_t seed)
+ShardLeaseManager::ShardLeaseManager(ShardLeaseOptions options,
+                                     platform::Table& table,
+                                     const base::Clock& clock,
+                                     Sources sources,
+                                     std::uint64_t seed)
     : m_table(table),
       m_clock(clock),
       m_sources(std::move(sources)),
       m_leases(std::move(options)),
       m_random(seed) {}
 
-ShardKeeper::~ShardKeeper() {
+ShardLeaseManager::~ShardLeaseManager() {
   Stop();
 }
 
-void ShardKeeper::Start() {
+void ShardLeaseManager::Start() {
   m_thread = std::thread([this] {
     std::unique_lock lock(m_mutex);
     while (!m_stopping) {
@@ -37,7 +37,7 @@
   });
 }
 
-void ShardKeeper::Stop() {
+void ShardLeaseManager::Stop() {
   {
     const std::lock_guard lock(m_mutex);
     m_stopping = true;
@@ -47,17 +47,17 @@
     return;
   }
   m_thread.join();
-  std::vector<LeaseAct> acts;
+  std::vector<LeaseAction> acts;
   {
     const std::lock_guard lock(m_mutex);
     acts = m_leases.ReleaseAll();
   }
-  for (LeaseAct& act : acts) {
+  for (LeaseAction& act : acts) {
     Apply(std::move(act));
   }
 }
 
-void ShardKeeper::RunOnce() {
+void ShardLeaseManager::RunOnce() {
   const std::vector<std::string> shards = m_sources.shards();
   std::vector<std::string> candidates = m_sources.candidates();
   const base::TimePoint now = m_clock.Now();
@@ -71,17 +71,17 @@
   if (scan_due) {
     Scan();
   }
-  std::vector<LeaseAct> acts;
+  std::vector<LeaseAction> acts;
   {
     const std::lock_guard lock(m_mutex);
     acts = m_leases.Decide(m_clock.Now());
   }
-  for (LeaseAct& act : acts) {
+  for (LeaseAction& act : acts) {
     Apply(std::move(act));
   }
 }
 
-void ShardKeeper::Scan() {
+void ShardLeaseManager::Scan() {
   const auto leases = platform::ScanAll(m_table, "lease/");
   const auto renewals = platform::ScanAll(m_table, "renewal/");
   if (leases && renewals) {
@@ -91,7 +91,7 @@
   }
 }
 
-void ShardKeeper::Apply(LeaseAct act) {
+void ShardLeaseManager::Apply(LeaseAction act) {
   {
     const std::lock_guard lock(m_mutex);
     act.transaction.nonce = base::MakeId(m_random);
@@ -102,20 +102,22 @@
   m_leases.Finish(act, started, outcome);
 }
 
-std::optional<ShardGrip> ShardKeeper::Grip(const std::string& shard,
-                                           base::TimePoint now) const {
+std::optional<ShardLease> ShardLeaseManager::CurrentLease(
+    const std::string& shard,
+    base::TimePoint now) const {
   const std::lock_guard lock(m_mutex);
-  return m_leases.Grip(shard, now);
+  return m_leases.CurrentLease(shard, now);
 }
 
-std::string ShardKeeper::OwnerAddress(const std::string& shard) const {
+std::string ShardLeaseManager::OwnerAddress(const std::string& shard) const {
   const std::lock_guard lock(m_mutex);
   return m_leases.OwnerAddress(shard);
 }
 
-std::vector<std::string> ShardKeeper::Owned(base::TimePoint now) const {
+std::vector<std::string> ShardLeaseManager::OwnedShards(
+    base::TimePoint now) const {
   const std::lock_guard lock(m_mutex);
-  return m_leases.Owned(now);
+  return m_leases.OwnedShards(now);
 }
 
 }  // namespace cassiastile::member
--- a/src/cassiastile/member/shard_lease_test.cpp
+++ b/src/cassiastile/member/shard_lease_test.cpp
@@ -5,7 +5,7 @@
 
 #include <gtest/gtest.h>
 
-#include "cassiastile/member/shard_keeper.hpp"
+#include "cassiastile/member/shard_lease_manager.hpp"
 #include "cassiastile/platform/memory_platform.hpp"
 
 namespace cassiastile::member {
@@ -33,13 +33,13 @@
     ShardLeaseOptions options;
     options.owner = name;
     options.address = name + ":80";
-    m_keepers[name] = std::make_unique<ShardKeeper>(
+    m_keepers[name] = std::make_unique<ShardLeaseManager>(
         options, m_table, m_clock,
-        ShardKeeper::Sources{[this] { return m_shards; },
-                             [this] {
-                               return std::vector<std::string>(m_alive.begin(),
-                                                               m_alive.end());
-                             }},
+        ShardLeaseManager::Sources{[this] { return m_shards; },
+                                   [this] {
+                                     return std::vector<std::string>(
+                                         m_alive.begin(), m_alive.end());
+                                   }},
         m_keepers.size() + 1);
   }
 
@@ -61,7 +61,7 @@
     for (const std::string& shard : m_shards) {
       std::size_t owners = 0;
       for (const auto& [name, keeper] : m_keepers) {
-        owners += keeper->Grip(shard, m_clock.Now()) ? 1 : 0;
+        owners += keeper->CurrentLease(shard, m_clock.Now()) ? 1 : 0;
       }
       ASSERT_LE(owners, 1U) << shard;
     }
@@ -70,7 +70,7 @@
   std::map<std::string, std::string> Owners() {
     std::map<std::string, std::string> owners;
     for (const auto& [name, keeper] : m_keepers) {
-      for (const std::string& shard : keeper->Owned(m_clock.Now())) {
+      for (const std::string& shard : keeper->OwnedShards(m_clock.Now())) {
         owners[shard] = name;
       }
     }
@@ -78,7 +78,7 @@
   }
 
   std::size_t CountOf(const std::string& name) {
-    return m_keepers.at(name)->Owned(m_clock.Now()).size();
+    return m_keepers.at(name)->OwnedShards(m_clock.Now()).size();
   }
 
   base::ManualClock m_clock;
@@ -86,7 +86,7 @@
   std::vector<std::string> m_shards;
   std::set<std::string> m_alive;
   std::set<std::string> m_paused;
-  std::map<std::string, std::unique_ptr<ShardKeeper>> m_keepers;
+  std::map<std::string, std::unique_ptr<ShardLeaseManager>> m_keepers;
 };
 
 TEST_F(ShardLeaseTest, AllShardsAreOwnedAndBalanced) {
@@ -105,11 +105,12 @@
 }
 
 TEST_F(ShardLeaseTest, PausedOwnerStopsActingAndWritesNothing) {
-  const std::string shard = m_keepers.at("a#1")->Owned(m_clock.Now()).front();
-  const auto grip = m_keepers.at("a#1")->Grip(shard, m_clock.Now());
+  const std::string shard =
+      m_keepers.at("a#1")->OwnedShards(m_clock.Now()).front();
+  const auto grip = m_keepers.at("a#1")->CurrentLease(shard, m_clock.Now());
   m_paused.insert("a#1");
   Run(seconds(5));
-  EXPECT_FALSE(m_keepers.at("a#1")->Grip(shard, m_clock.Now()));
+  EXPECT_FALSE(m_keepers.at("a#1")->CurrentLease(shard, m_clock.Now()));
   // Even one that checked its grip before the pause is stopped by the fence.
   const auto late =
       m_table.Apply({"late", {grip->fence}, {{"pool/" + shard, "x"}}});
