--- a/include/cassiastile/base/findings.hpp
+++ b/include/cassiastile/base/findings.hpp
@@ -8,19 +8,19 @@
 
 // A position in a text file; lines and columns count from one, and zero means
 // that the position is not known.
-struct Place {
+struct TextPosition {
   std::string file;
   std::size_t line = 0;
   std::size_t column = 0;
 
-  bool operator==(const Place&) const = default;
+  bool operator==(const TextPosition&) const = default;
 };
 
 // One thing wrong with an input: where it stands, the path of the value within
 // the document (such as pools[2].hosts[0].zone), what is wrong and what would
 // be right.
 struct Finding {
-  Place place;
+  TextPosition place;
   std::string path;
   std::string message;
 
--- a/include/cassiastile/config/placed_json.hpp
+++ b/include/cassiastile/config/placed_json.hpp
@@ -70,7 +70,8 @@
 
 // Where the value at a path such as pools[2].hosts[0].zone stands. Where the
 // path leads nowhere, the place of its last part that exists.
-base::Place FindPlace(const PlacedDocument& document, std::string_view path);
+base::TextPosition FindPlace(const PlacedDocument& document,
+                             std::string_view path);
 
 // What kind of JSON value it is, in words such as "a number".
 std::string_view KindOf(const PlacedValue& value);
--- a/include/cassiastile/control/chain_appender.hpp
+++ b/include/cassiastile/control/audit_chain_appender.hpp
@@ -6,10 +6,10 @@
 namespace cassiastile::control {
 
 // Appends operators' acts on hosts and waves to the one audit chain.
-class ChainAppender final : public fleet::AuditAppender {
+class AuditChainAppender final : public fleet::AuditAppender {
  public:
   // The table outlives the appender.
-  explicit ChainAppender(platform::Table& table);
+  explicit AuditChainAppender(platform::Table& table);
 
   base::Result<fleet::AuditAddition> Append(
       const fleet::AuditEntry& entry) override;
--- a/include/cassiastile/control/config_service.hpp
+++ b/include/cassiastile/control/config_service.hpp
@@ -15,7 +15,7 @@
 namespace cassiastile::control {
 
 // What the service stands on; all of it outlives the service.
-struct ConfigServiceParts {
+struct ConfigServiceDependencies {
   member::ConfigStore& store;
   member::Member& member;
   platform::Table& table;
@@ -29,7 +29,7 @@
 // write the table run on threads of the service's own.
 class ConfigService {
  public:
-  static std::unique_ptr<ConfigService> Create(ConfigServiceParts parts);
+  static std::unique_ptr<ConfigService> Create(ConfigServiceDependencies parts);
   // Waits for the calls under way.
   ~ConfigService();
   ConfigService(const ConfigService&) = delete;
--- a/include/cassiastile/control/control_host.hpp
+++ b/include/cassiastile/control/control_host.hpp
@@ -20,7 +20,7 @@
   std::size_t http_threads = 4;
   member::MemberOptions member;
   daemon::PlatformAccessOptions platform;
-  std::chrono::milliseconds pool_round{1000};  // Between looks at the pools.
+  std::chrono::milliseconds pool_interval{1000};  // Between looks at the pools.
   // How long a rebooted host must stay up before it is trusted with work.
   std::chrono::milliseconds probe_time{10000};
   std::chrono::milliseconds drain_notice{500};
--- a/include/cassiastile/control/pool_service.hpp
+++ b/include/cassiastile/control/pool_service.hpp
@@ -28,7 +28,7 @@
 struct PoolSnapshot;  // What one round leaves for readers.
 
 // What the service works with; all of it outlives the service.
-struct PoolServicePorts {
+struct PoolServiceDependencies {
   const base::Clock& clock;
   const config::FleetSource& source;
   const member::ShardOwner& owner;
@@ -44,7 +44,7 @@
   std::string name;        // This process's, as it stands in the rows.
   std::uint64_t seed = 0;  // Of the nonces and decision ids.
   std::chrono::milliseconds interval{1000};  // Between two rounds.
-  std::size_t max_waiting_acts = 64;
+  std::size_t max_queued_actions = 64;
   fleet::ReconcilerOptions reconciler;
 };
 
@@ -54,7 +54,7 @@
  public:
   // Fails when the name is empty.
   static base::Result<std::unique_ptr<PoolService>> Create(
-      PoolServicePorts ports,
+      PoolServiceDependencies ports,
       PoolServiceOptions options);
   ~PoolService() override;
   PoolService(const PoolService&) = delete;
@@ -78,34 +78,35 @@
 
  private:
   // An operator's act that waits for its turn.
-  struct Act {
+  struct OperatorAction {
     fleet::AuditEntry entry;
     std::function<base::Result<void>(const fleet::AuditAddition&)> run;
     std::function<nlohmann::json()> answer;
     wire::HttpResponder respond;
   };
 
-  PoolService(PoolServicePorts ports, PoolServiceOptions options);
+  PoolService(PoolServiceDependencies ports, PoolServiceOptions options);
 
-  void TakeHostAct(const wire::HttpRequest& request,
-                   const wire::HttpResponder& respond,
-                   const std::string& act);
-  void TakeWaveAct(const wire::HttpRequest& request,
-                   const wire::HttpResponder& respond);
+  void HandleHostAction(const wire::HttpRequest& request,
+                        const wire::HttpResponder& respond,
+                        const std::string& act);
+  void HandleWaveAction(const wire::HttpRequest& request,
+                        const wire::HttpResponder& respond);
   void AnswerWave(const wire::HttpRequest& request,
                   const wire::HttpResponder& respond) const;
-  base::Result<std::string> OperatorOwning(const wire::HttpRequest& request,
-                                           config::SectionName section) const;
-  void Enqueue(Act act);
-  void RunActs();
-  base::Result<void> RunAct(const Act& act);
+  base::Result<std::string> AuthorizeSectionOwner(
+      const wire::HttpRequest& request,
+      config::SectionName section) const;
+  void Enqueue(OperatorAction act);
+  void RunActions();
+  base::Result<void> RunAction(const OperatorAction& act);
   void TickOwnedPools();
   bool IsStopping() const;
-  void TickOrphans();
+  void TickRemovedPools();
   void Publish();
   std::shared_ptr<const PoolSnapshot> Latest() const;
 
-  PoolServicePorts m_ports;
+  PoolServiceDependencies m_ports;
   PoolServiceOptions m_options;
   base::Log m_log{"pools"};
 
@@ -114,7 +115,7 @@
   std::shared_ptr<const config::AcceptedFleet> m_document;
 
   mutable std::mutex m_mutex;
-  std::deque<Act> m_acts;
+  std::deque<OperatorAction> m_actions;
   std::shared_ptr<const PoolSnapshot> m_published;
   bool m_stopping = false;
   std::condition_variable m_wake;
--- a/include/cassiastile/control/task_pump.hpp
+++ b/include/cassiastile/control/task_event_batcher.hpp
@@ -25,7 +25,7 @@
 namespace cassiastile::control {
 
 // What a pump and the task service work with. All outlive them.
-struct TaskParts {
+struct TaskServiceDependencies {
   platform::Table& table;
   const config::FleetSource& fleet;
   const member::ShardOwner& owner;
@@ -34,7 +34,7 @@
   const base::Clock& clock;
 };
 
-struct TaskPumpOptions {
+struct TaskEventBatcherOptions {
   work::TaskOwnerOptions owner;
   // The least time between two batches, and between one that wrote rows and
   // the next. The second bounds the shard's writes.
@@ -48,7 +48,7 @@
 };
 
 // A task in doubt or a worker in quarantine, with what that rests on.
-struct TaskTrouble {
+struct TaskIssue {
   std::string subject;
   std::string evidence;
 };
@@ -60,40 +60,40 @@
   std::size_t tasks = 0;
   std::size_t waiting = 0;
   std::size_t runs = 0;
-  std::vector<TaskTrouble> in_doubt;
-  std::vector<TaskTrouble> quarantined;
+  std::vector<TaskIssue> in_doubt;
+  std::vector<TaskIssue> quarantined;
   std::map<std::string, fleet::HostWork> hosts;
 };
 
 // Why a pump did nothing with an event.
-enum class PumpRefusal : std::uint8_t {
+enum class BatcherRefusal : std::uint8_t {
   kNone,
   kNotOwner,
   kFull,
   kStopping,
 };
 
-struct PumpResult {
-  PumpRefusal refusal = PumpRefusal::kNone;
+struct BatcherResult {
+  BatcherRefusal refusal = BatcherRefusal::kNone;
   work::TaskResult result;
   std::optional<work::Task> task;  // The task after the event, if confirmed.
   std::string explanation;         // Why it waits, is in doubt or ended.
 };
 
-using PumpCompletion = std::function<void(PumpResult)>;
+using BatcherCompletion = std::function<void(BatcherResult)>;
 
 // Collects the events of one pool's shard for a few milliseconds and hands them
 // to its owner together, on a thread of its own. Safe for use by several
 // threads.
-class TaskPump {
+class TaskEventBatcher {
  public:
-  TaskPump(std::string pool,
-           TaskPumpOptions options,
-           TaskParts parts,
-           base::Random random);
-  ~TaskPump();
-  TaskPump(const TaskPump&) = delete;
-  TaskPump& operator=(const TaskPump&) = delete;
+  TaskEventBatcher(std::string pool,
+                   TaskEventBatcherOptions options,
+                   TaskServiceDependencies parts,
+                   base::Random random);
+  ~TaskEventBatcher();
+  TaskEventBatcher(const TaskEventBatcher&) = delete;
+  TaskEventBatcher& operator=(const TaskEventBatcher&) = delete;
 
   void Start();
   // Handles what waits, then ends.
@@ -103,9 +103,9 @@
   // must not block.
   void Submit(work::TaskEvent event,
               std::string key,
-              PumpCompletion completion);
+              BatcherCompletion completion);
   // Reads a task between two batches.
-  void Read(std::string key, PumpCompletion completion);
+  void Read(std::string key, BatcherCompletion completion);
 
   void RequestEvacuation(const std::string& host);
   TaskPoolStatus Status() const;
@@ -114,7 +114,7 @@
   struct Item {
     std::optional<work::TaskEvent> event;
     std::string key;
-    PumpCompletion completion;
+    BatcherCompletion completion;
   };
 
   void Push(Item item);
@@ -125,11 +125,11 @@
   void RefreshStatus(base::TimePoint now, bool owned);
   TaskPoolStatus MakeStatus(base::TimePoint now) const;
   void Complete(Item& item, work::TaskResult result) const;
-  static void Refuse(std::vector<Item>& items, PumpRefusal refusal);
+  static void Refuse(std::vector<Item>& items, BatcherRefusal refusal);
 
   const std::string m_pool;
-  const TaskPumpOptions m_options;
-  TaskParts m_parts;
+  const TaskEventBatcherOptions m_options;
+  TaskServiceDependencies m_parts;
   work::TaskOwner m_owner;  // Used by the pump's thread alone, as is the rest.
   std::uint64_t m_fleet_version = 0;
   base::TimePoint m_views_at{};
@@ -139,7 +139,7 @@
   mutable std::mutex m_mutex;  // Guards what follows.
   std::condition_variable m_changed;
   std::deque<Item> m_items;
-  std::set<std::string> m_leave;
+  std::set<std::string> m_hosts_to_evacuate;
   TaskPoolStatus m_status;
   bool m_stopping = false;
   std::thread m_thread;
--- a/include/cassiastile/control/task_service.hpp
+++ b/include/cassiastile/control/task_service.hpp
@@ -10,15 +10,15 @@
 #include <vector>
 
 #include "cassiastile/base/log.hpp"
-#include "cassiastile/control/forward.hpp"
-#include "cassiastile/control/task_pump.hpp"
+#include "cassiastile/control/shard_forwarder.hpp"
+#include "cassiastile/control/task_event_batcher.hpp"
 #include "cassiastile/fleet/host_view.hpp"
 #include "cassiastile/wire/router.hpp"
 
 namespace cassiastile::control {
 
 struct TaskServiceOptions {
-  TaskPumpOptions pump;
+  TaskEventBatcherOptions pump;
   std::uint64_t seed = 1;  // For nonces, decision ids and jitter.
 };
 
@@ -28,7 +28,7 @@
 class TaskService final : public fleet::HostWorkSource {
  public:
   // All parts and the forwarder outlive the service.
-  static std::unique_ptr<TaskService> Create(TaskParts parts,
+  static std::unique_ptr<TaskService> Create(TaskServiceDependencies parts,
                                              const ShardForwarder& forwarder,
                                              TaskServiceOptions options);
   ~TaskService() override;
@@ -47,34 +47,35 @@
   std::vector<TaskPoolStatus> Status() const;
 
  private:
-  TaskService(TaskParts parts,
+  TaskService(TaskServiceDependencies parts,
               const ShardForwarder& forwarder,
               TaskServiceOptions options);
 
   // What a caller's call on one task asks of the owner's pump.
-  using TaskCall = std::function<
-      void(TaskPump&, const std::string& key, const wire::HttpResponder&)>;
+  using TaskCall = std::function<void(TaskEventBatcher&,
+                                      const std::string& key,
+                                      const wire::HttpResponder&)>;
 
   void HandleSubmit(wire::HttpRequest request, wire::HttpResponder respond);
   void HandleRead(wire::HttpRequest request, wire::HttpResponder respond);
   void HandleCancel(wire::HttpRequest request, wire::HttpResponder respond);
   // Runs the call on the owner of the task that the request names.
-  void OnTask(wire::HttpRequest request,
-              wire::HttpResponder respond,
-              TaskCall call);
+  void ForwardTaskCall(wire::HttpRequest request,
+                       wire::HttpResponder respond,
+                       TaskCall call);
   void HandleResolve(wire::HttpRequest request, wire::HttpResponder respond);
   void HandlePoll(wire::HttpRequest request, wire::HttpResponder respond);
 
   // The queue that a call names, if the caller's key is for it.
-  base::Result<config::Queue> AdmitCaller(
+  base::Result<config::Queue> AuthorizeCaller(
       const wire::HttpRequest& request) const;
   std::string PoolOfHost(const std::string& host) const;
   void RefreshHostPools();
-  std::shared_ptr<TaskPump> PumpOf(const std::string& pool);
-  std::shared_ptr<TaskPump> FindPump(const std::string& pool) const;
+  std::shared_ptr<TaskEventBatcher> BatcherOf(const std::string& pool);
+  std::shared_ptr<TaskEventBatcher> FindBatcher(const std::string& pool) const;
   void WatchPools();
 
-  TaskParts m_parts;
+  TaskServiceDependencies m_parts;
   const ShardForwarder& m_forwarder;
   TaskServiceOptions m_options;
   base::Log m_log{"tasks"};
@@ -82,7 +83,7 @@
   mutable std::mutex m_mutex;  // Guards what follows.
   std::condition_variable m_changed;
   base::Random m_random;
-  std::map<std::string, std::shared_ptr<TaskPump>> m_pumps;
+  std::map<std::string, std::shared_ptr<TaskEventBatcher>> m_batchers;
   std::map<std::string, std::string> m_host_pools;
   bool m_stopping = false;
   std::thread m_watcher;
--- a/include/cassiastile/daemon/command_line.hpp
+++ b/include/cassiastile/daemon/command_line.hpp
@@ -20,18 +20,18 @@
 
 // A command line that was answered already, with the status to exit with: 0
 // after --help or --version, 2 after wrong usage.
-struct Answered {
+struct EarlyExit {
   int exit_status = 0;
 };
 
-inline constexpr int kExitDone = 0;
-inline constexpr int kExitRefused = 1;
+inline constexpr int kExitSuccess = 0;
+inline constexpr int kExitInvalidSettings = 1;
 inline constexpr int kExitUsage = 2;
-inline constexpr int kExitUnreachable = 3;
+inline constexpr int kExitStartFailed = 3;
 
 // Reads --help, --version, --config FILE, --log-level LEVEL and --check.
-std::variant<Invocation, Answered> ReadCommandLine(const Program& program,
-                                                   int argc,
-                                                   const char* const* argv);
+std::variant<Invocation, EarlyExit> ReadCommandLine(const Program& program,
+                                                    int argc,
+                                                    const char* const* argv);
 
 }  // namespace cassiastile::daemon
--- a/include/cassiastile/daemon/run_daemon.hpp
+++ b/include/cassiastile/daemon/run_daemon.hpp
@@ -42,14 +42,14 @@
 
 // Loads the settings that the command line names and starts the log, or says on
 // standard error what is wrong.
-std::variant<config::Settings, Answered> LoadSettings(
+std::variant<config::Settings, EarlyExit> LoadSettings(
     const Invocation& invocation);
 
 // Prints findings on standard error. True when there were none.
 bool AreClean(const base::Findings& findings);
 
 // Says on standard error why a program can't start.
-int RefuseStart(const Program& program, const base::Error& error);
+int ReportStartFailure(const Program& program, const base::Error& error);
 
 // A daemon's main: reads the command line and the settings, starts the daemon,
 // waits for the signal to stop and stops it. `read` turns settings into
@@ -63,29 +63,29 @@
               const Start& start) {
   const StopSignal signal;
   const auto command = ReadCommandLine(program, argc, argv);
-  if (const auto* answered = std::get_if<Answered>(&command)) {
+  if (const auto* answered = std::get_if<EarlyExit>(&command)) {
     return answered->exit_status;
   }
   const auto& invocation = std::get<Invocation>(command);
   auto loaded = LoadSettings(invocation);
-  if (const auto* answered = std::get_if<Answered>(&loaded)) {
+  if (const auto* answered = std::get_if<EarlyExit>(&loaded)) {
     return answered->exit_status;
   }
   auto& settings = std::get<config::Settings>(loaded);
   auto options = read(settings);
   if (!AreClean(settings.Finish())) {
-    return kExitRefused;
+    return kExitInvalidSettings;
   }
   if (invocation.check_only) {
-    return kExitDone;
+    return kExitSuccess;
   }
   auto daemon = start(std::move(options));
   if (!daemon) {
-    return RefuseStart(program, daemon.error());
+    return ReportStartFailure(program, daemon.error());
   }
   signal.Wait();
   (*daemon)->Stop();
-  return kExitDone;
+  return kExitSuccess;
 }
 
 }  // namespace cassiastile::daemon
--- a/src/bin/cassia_control.cpp
+++ b/src/bin/cassia_control.cpp
@@ -20,8 +20,8 @@
   options.platform = daemon::ReadPlatformOptions(settings);
   options.platform.process =
       options.member.name + "-" + std::to_string(options.member.incarnation);
-  options.pool_round =
-      settings.Milliseconds("pool_round_ms", options.pool_round);
+  options.pool_interval =
+      settings.Milliseconds("pool_round_ms", options.pool_interval);
   options.probe_time = settings.Milliseconds("probe_ms", options.probe_time);
   options.drain_notice =
       settings.Milliseconds("drain_notice_ms", options.drain_notice);
--- a/src/cassiastile/base/findings.cpp
+++ b/src/cassiastile/base/findings.cpp
@@ -8,7 +8,7 @@
 namespace cassiastile::base {
 
 std::string FormatFinding(const Finding& finding) {
-  const Place& place = finding.place;
+  const TextPosition& place = finding.place;
   if (finding.path.empty()) {
     return fmt::format("{}:{}:{}: error: {}", place.file, place.line,
                        place.column, finding.message);
--- a/src/cassiastile/config/placed_json.cpp
+++ b/src/cassiastile/config/placed_json.cpp
@@ -246,7 +246,8 @@
   return found == object->end() ? nullptr : &*found;
 }
 
-base::Place FindPlace(const PlacedDocument& document, std::string_view path) {
+base::TextPosition FindPlace(const PlacedDocument& document,
+                             std::string_view path) {
   const PlacedValue* value = &document.root;
   while (!path.empty()) {
     const PlacedValue* next = StepInto(*value, path);
--- a/src/cassiastile/config/placed_json_test.cpp
+++ b/src/cassiastile/config/placed_json_test.cpp
@@ -25,7 +25,7 @@
   const auto document = ParsePlacedJson(text, "f");
   ASSERT_TRUE(document);
   const auto slice = [&](std::string_view path) {
-    const base::Place place = FindPlace(*document, path);
+    const base::TextPosition place = FindPlace(*document, path);
     return std::to_string(place.line) + ":" + std::to_string(place.column);
   };
   EXPECT_EQ(slice("a"), "2:8");
--- a/src/cassiastile/control/chain_appender.cpp
+++ b/src/cassiastile/control/audit_chain_appender.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/control/chain_appender.hpp"
+#include "cassiastile/control/audit_chain_appender.hpp"
 
 #include <utility>
 
@@ -6,9 +6,10 @@
 
 namespace cassiastile::control {
 
-ChainAppender::ChainAppender(platform::Table& table) : m_table(table) {}
+AuditChainAppender::AuditChainAppender(platform::Table& table)
+    : m_table(table) {}
 
-base::Result<fleet::AuditAddition> ChainAppender::Append(
+base::Result<fleet::AuditAddition> AuditChainAppender::Append(
     const fleet::AuditEntry& entry) {
   const auto head = member::ReadAuditHead(m_table);
   if (!head) {
--- a/src/cassiastile/control/access.cpp
+++ b/src/cassiastile/control/authentication.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/control/access.hpp"
+#include "cassiastile/control/authentication.hpp"
 
 namespace cassiastile::control {
 
@@ -16,9 +16,10 @@
 
 }  // namespace
 
-base::Result<std::string> OperatorOf(const config::FleetSource& source,
-                                     const wire::HttpRequest& request,
-                                     base::TimePoint now) {
+base::Result<std::string> AuthenticateOperator(
+    const config::FleetSource& source,
+    const wire::HttpRequest& request,
+    base::TimePoint now) {
   const auto accepted = source.Current();
   if (!accepted) {
     return NoDocument();
@@ -37,9 +38,9 @@
   return found->name;
 }
 
-base::Result<std::string> TeamOf(const config::FleetSource& source,
-                                 const wire::HttpRequest& request,
-                                 base::TimePoint now) {
+base::Result<std::string> AuthenticateTeam(const config::FleetSource& source,
+                                           const wire::HttpRequest& request,
+                                           base::TimePoint now) {
   const auto secret = wire::FindBearerToken(request);
   if (!secret) {
     return std::string();
--- a/src/cassiastile/control/config_service.cpp
+++ b/src/cassiastile/control/config_service.cpp
@@ -11,7 +11,7 @@
 
 #include "cassiastile/base/hash.hpp"
 #include "cassiastile/base/random.hpp"
-#include "cassiastile/control/access.hpp"
+#include "cassiastile/control/authentication.hpp"
 #include "cassiastile/control/config_answers.hpp"
 #include "cassiastile/member/member_rows.hpp"
 #include "cassiastile/wire/problem.hpp"
@@ -81,7 +81,7 @@
 
 class ConfigService::Impl {
  public:
-  explicit Impl(ConfigServiceParts parts)
+  explicit Impl(ConfigServiceDependencies parts)
       : m_parts(std::move(parts)),
         m_random(base::MakeRandom()),
         m_reads(kReadThreads),
@@ -113,8 +113,8 @@
                  std::move(respond));
             return;
           }
-          const auto reader =
-              OperatorOf(m_parts.member, request, m_parts.clock.Now());
+          const auto reader = AuthenticateOperator(m_parts.member, request,
+                                                   m_parts.clock.Now());
           if (!reader) {
             respond(wire::MakeErrorResponse(reader.error()));
             return;
@@ -259,7 +259,7 @@
     return id;
   }
 
-  ConfigServiceParts m_parts;
+  ConfigServiceDependencies m_parts;
   std::mutex m_mutex;
   base::Random m_random;
   std::atomic<std::size_t> m_waiting{0};
@@ -267,7 +267,8 @@
   asio::thread_pool m_edits;
 };
 
-std::unique_ptr<ConfigService> ConfigService::Create(ConfigServiceParts parts) {
+std::unique_ptr<ConfigService> ConfigService::Create(
+    ConfigServiceDependencies parts) {
   return std::unique_ptr<ConfigService>(
       new ConfigService(std::make_unique<Impl>(std::move(parts))));
 }
--- a/src/cassiastile/control/control_host.cpp
+++ b/src/cassiastile/control/control_host.cpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 
 #include "cassiastile/base/log.hpp"
-#include "cassiastile/control/chain_appender.hpp"
+#include "cassiastile/control/audit_chain_appender.hpp"
 #include "cassiastile/control/config_answers.hpp"
 #include "cassiastile/control/config_service.hpp"
 #include "cassiastile/control/decision_service.hpp"
@@ -50,9 +50,9 @@
   return names;
 }
 
-json TroublesToJson(const std::vector<TaskTrouble>& troubles) {
+json TroublesToJson(const std::vector<TaskIssue>& troubles) {
   json list = json::array();
-  for (const TaskTrouble& trouble : troubles) {
+  for (const TaskIssue& trouble : troubles) {
     list.push_back(
         {{"subject", trouble.subject}, {"evidence", trouble.evidence}});
   }
@@ -103,7 +103,7 @@
   std::atomic<bool> draining{false};
   daemon::PlatformAccess access;
   std::unique_ptr<wire::HttpClient> client;
-  ChainAppender audit;
+  AuditChainAppender audit;
   LateHostWork host_work;
   std::unique_ptr<member::Member> member;
   std::unique_ptr<member::ShardLeaseManager> shards;
@@ -140,7 +140,7 @@
   PoolServiceOptions pool_options;
   pool_options.name = member->OwnerId();
   pool_options.seed = seed + 2;
-  pool_options.interval = options.pool_round;
+  pool_options.interval = options.pool_interval;
   pool_options.reconciler.progress.probe_time = options.probe_time;
   auto pool_service = PoolService::Create(
       {clock, *member, *shards, access.Table(), access.Machines(), host_work,
--- a/src/cassiastile/control/decision_service.cpp
+++ b/src/cassiastile/control/decision_service.cpp
@@ -2,7 +2,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "cassiastile/control/access.hpp"
+#include "cassiastile/control/authentication.hpp"
 #include "cassiastile/platform/decision_json.hpp"
 #include "cassiastile/wire/problem.hpp"
 
@@ -50,7 +50,7 @@
 
 wire::HttpResponse DecisionService::AnswerGaps(
     const wire::HttpRequest& request) {
-  const auto reader = OperatorOf(m_source, request, m_clock.Now());
+  const auto reader = AuthenticateOperator(m_source, request, m_clock.Now());
   if (!reader) {
     return wire::MakeErrorResponse(reader.error());
   }
@@ -82,11 +82,11 @@
 base::Result<void> DecisionService::CheckReader(
     const wire::HttpRequest& request,
     const base::Decision& decision) const {
-  const auto reader = OperatorOf(m_source, request, m_clock.Now());
+  const auto reader = AuthenticateOperator(m_source, request, m_clock.Now());
   if (reader) {
     return {};
   }
-  const auto team = TeamOf(m_source, request, m_clock.Now());
+  const auto team = AuthenticateTeam(m_source, request, m_clock.Now());
   if (team && !team->empty() && *team == decision.team) {
     return {};
   }
--- a/src/cassiastile/control/pool_acts.cpp
+++ b/src/cassiastile/control/pool_operator_actions.cpp
@@ -3,7 +3,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "cassiastile/control/access.hpp"
+#include "cassiastile/control/authentication.hpp"
 #include "cassiastile/control/pool_service.hpp"
 #include "cassiastile/wire/problem.hpp"
 #include "pool_status.hpp"
@@ -15,7 +15,7 @@
     router.Add("POST", "/v1/hosts/:host/" + act,
                [this, act](const wire::HttpRequest& request,
                            const wire::HttpResponder& respond) {
-                 TakeHostAct(request, respond, act);
+                 HandleHostAction(request, respond, act);
                });
   }
   router.Add("GET", "/v1/waves/:wave",
@@ -26,15 +26,15 @@
   router.Add("POST", "/v1/waves/:wave/:act",
              [this](const wire::HttpRequest& request,
                     const wire::HttpResponder& respond) {
-               TakeWaveAct(request, respond);
+               HandleWaveAction(request, respond);
              });
 }
 
-base::Result<std::string> PoolService::OperatorOwning(
+base::Result<std::string> PoolService::AuthorizeSectionOwner(
     const wire::HttpRequest& request,
     config::SectionName section) const {
   base::Result<std::string> name =
-      OperatorOf(m_ports.source, request, m_ports.clock.Now());
+      AuthenticateOperator(m_ports.source, request, m_ports.clock.Now());
   if (!name) {
     return name;
   }
@@ -52,10 +52,10 @@
   return name;
 }
 
-void PoolService::TakeHostAct(const wire::HttpRequest& request,
-                              const wire::HttpResponder& respond,
-                              const std::string& act) {
-  const auto name = OperatorOwning(request, config::SectionName::kPools);
+void PoolService::HandleHostAction(const wire::HttpRequest& request,
+                                   const wire::HttpResponder& respond,
+                                   const std::string& act) {
+  const auto name = AuthorizeSectionOwner(request, config::SectionName::kPools);
   if (!name) {
     respond(wire::MakeErrorResponse(name.error()));
     return;
@@ -63,7 +63,7 @@
   const std::string host = request.path_parameters.at("host");
   const std::string& actor = *name;
   const bool drain = act == "drain";
-  Act next;
+  OperatorAction next;
   next.entry = {"host " + host + " " + act, actor, m_ports.clock.WallNow(), ""};
   next.run = [this, host, actor, drain](const fleet::AuditAddition& audit) {
     return drain ? m_reconciler.DrainHost(host, actor, audit)
@@ -81,9 +81,9 @@
   Enqueue(std::move(next));
 }
 
-void PoolService::TakeWaveAct(const wire::HttpRequest& request,
-                              const wire::HttpResponder& respond) {
-  const auto name = OperatorOwning(request, config::SectionName::kWaves);
+void PoolService::HandleWaveAction(const wire::HttpRequest& request,
+                                   const wire::HttpResponder& respond) {
+  const auto name = AuthorizeSectionOwner(request, config::SectionName::kWaves);
   if (!name) {
     respond(wire::MakeErrorResponse(name.error()));
     return;
@@ -97,7 +97,7 @@
     return;
   }
   const std::string& actor = *name;
-  Act next;
+  OperatorAction next;
   next.entry = {"wave " + wave + " " + std::string(fleet::NameOf(*act)), actor,
                 m_ports.clock.WallNow(), ""};
   next.run = [this, wave, actor, act](const fleet::AuditAddition& audit) {
@@ -118,7 +118,8 @@
 
 void PoolService::AnswerWave(const wire::HttpRequest& request,
                              const wire::HttpResponder& respond) const {
-  const auto name = OperatorOf(m_ports.source, request, m_ports.clock.Now());
+  const auto name =
+      AuthenticateOperator(m_ports.source, request, m_ports.clock.Now());
   if (!name) {
     respond(wire::MakeErrorResponse(name.error()));
     return;
--- a/src/cassiastile/control/pool_service.cpp
+++ b/src/cassiastile/control/pool_service.cpp
@@ -5,7 +5,7 @@
 #include <fmt/format.h>
 #include <nlohmann/json.hpp>
 
-#include "cassiastile/control/access.hpp"
+#include "cassiastile/control/authentication.hpp"
 #include "cassiastile/wire/problem.hpp"
 #include "pool_status.hpp"
 
@@ -16,7 +16,7 @@
 // How often an act is decided anew when others change its rows.
 constexpr int kActAttempts = 4;
 
-fleet::ReconcilerPorts MakePorts(const PoolServicePorts& ports) {
+fleet::ReconcilerPorts MakePorts(const PoolServiceDependencies& ports) {
   return {ports.table,  ports.machines, ports.work,
           ports.demand, ports.clock,    ports.decisions};
 }
@@ -24,7 +24,7 @@
 }  // namespace
 
 base::Result<std::unique_ptr<PoolService>> PoolService::Create(
-    PoolServicePorts ports,
+    PoolServiceDependencies ports,
     PoolServiceOptions options) {
   if (options.name.empty()) {
     return base::Fail(base::ErrorCode::kInvalid,
@@ -34,7 +34,8 @@
       new PoolService(ports, std::move(options)));
 }
 
-PoolService::PoolService(PoolServicePorts ports, PoolServiceOptions options)
+PoolService::PoolService(PoolServiceDependencies ports,
+                         PoolServiceOptions options)
     : m_ports(ports),
       m_options(std::move(options)),
       m_reconciler(m_options.name,
@@ -54,23 +55,23 @@
       RunOnce();
       lock.lock();
       m_wake.wait_for(lock, m_options.interval,
-                      [this] { return m_stopping || !m_acts.empty(); });
+                      [this] { return m_stopping || !m_actions.empty(); });
     }
   });
 }
 
 void PoolService::Stop() {
-  std::deque<Act> refused;
+  std::deque<OperatorAction> refused;
   {
     const std::lock_guard lock(m_mutex);
     m_stopping = true;
-    refused.swap(m_acts);
+    refused.swap(m_actions);
   }
   m_wake.notify_all();
   if (m_thread.joinable()) {
     m_thread.join();
   }
-  for (const Act& act : refused) {
+  for (const OperatorAction& act : refused) {
     act.respond(wire::MakeErrorResponse(
         {base::ErrorCode::kUnavailable, "This host is stopping."}));
   }
@@ -82,14 +83,14 @@
   if (m_document == nullptr) {
     return;
   }
-  RunActs();
+  RunActions();
   const base::Result<void> read = m_reconciler.Refresh(m_document);
   if (!read) {
     m_log.Warn("The rows can't be read: " + read.error().message);
     return;
   }
   TickOwnedPools();
-  TickOrphans();
+  TickRemovedPools();
   Publish();
 }
 
@@ -113,7 +114,7 @@
 
 // The hosts of pools that the document no longer has are drained by the owner
 // of its first pool.
-void PoolService::TickOrphans() {
+void PoolService::TickRemovedPools() {
   const config::Fleet& fleet = m_document->fleet;
   if (fleet.pools.empty() ||
       !m_ports.owner.CurrentLease(fleet.pools.front().name,
@@ -178,12 +179,12 @@
   return body;
 }
 
-void PoolService::Enqueue(Act act) {
+void PoolService::Enqueue(OperatorAction act) {
   base::Error refusal{base::ErrorCode::kUnavailable, "This host is stopping."};
   {
     const std::lock_guard lock(m_mutex);
-    if (!m_stopping && m_acts.size() < m_options.max_waiting_acts) {
-      m_acts.push_back(std::move(act));
+    if (!m_stopping && m_actions.size() < m_options.max_queued_actions) {
+      m_actions.push_back(std::move(act));
       m_wake.notify_all();
       return;
     }
@@ -195,14 +196,14 @@
   act.respond(wire::MakeErrorResponse(refusal));
 }
 
-void PoolService::RunActs() {
-  std::deque<Act> acts;
+void PoolService::RunActions() {
+  std::deque<OperatorAction> acts;
   {
     const std::lock_guard lock(m_mutex);
-    acts.swap(m_acts);
+    acts.swap(m_actions);
   }
-  for (const Act& act : acts) {
-    const base::Result<void> done = RunAct(act);
+  for (const OperatorAction& act : acts) {
+    const base::Result<void> done = RunAction(act);
     if (done) {
       m_log.Info(fmt::format("{} by {}.", act.entry.what, act.entry.who));
       constexpr int kOk = 200;
@@ -213,7 +214,7 @@
   }
 }
 
-base::Result<void> PoolService::RunAct(const Act& act) {
+base::Result<void> PoolService::RunAction(const OperatorAction& act) {
   base::Result<void> done;
   for (int attempt = 0; attempt < kActAttempts; ++attempt) {
     done = m_reconciler.Refresh(m_document);
--- a/src/cassiastile/control/forward.cpp
+++ b/src/cassiastile/control/shard_forwarder.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/control/forward.hpp"
+#include "cassiastile/control/shard_forwarder.hpp"
 
 #include <utility>
 
--- a/src/cassiastile/control/status_service.cpp
+++ b/src/cassiastile/control/status_service.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "cassiastile/control/access.hpp"
+#include "cassiastile/control/authentication.hpp"
 #include "cassiastile/wire/problem.hpp"
 
 namespace cassiastile::control {
@@ -24,7 +24,7 @@
 wire::HttpResponse StatusService::Answer(
     const wire::HttpRequest& request) const {
   constexpr int kOk = 200;
-  const auto reader = OperatorOf(m_source, request, m_clock.Now());
+  const auto reader = AuthenticateOperator(m_source, request, m_clock.Now());
   if (!reader) {
     return wire::MakeErrorResponse(reader.error());
   }
--- a/src/cassiastile/control/task_pump.cpp
+++ b/src/cassiastile/control/task_event_batcher.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/control/task_pump.hpp"
+#include "cassiastile/control/task_event_batcher.hpp"
 
 #include <algorithm>
 
@@ -16,10 +16,10 @@
 
 }  // namespace
 
-TaskPump::TaskPump(std::string pool,
-                   TaskPumpOptions options,
-                   TaskParts parts,
-                   base::Random random)
+TaskEventBatcher::TaskEventBatcher(std::string pool,
+                                   TaskEventBatcherOptions options,
+                                   TaskServiceDependencies parts,
+                                   base::Random random)
     : m_pool(std::move(pool)),
       m_options(options),
       m_parts(parts),
@@ -27,15 +27,15 @@
   m_status.pool = m_pool;
 }
 
-TaskPump::~TaskPump() {
+TaskEventBatcher::~TaskEventBatcher() {
   Stop();
 }
 
-void TaskPump::Start() {
+void TaskEventBatcher::Start() {
   m_thread = std::thread([this] { Run(); });
 }
 
-void TaskPump::Stop() {
+void TaskEventBatcher::Stop() {
   {
     const std::lock_guard lock(m_mutex);
     m_stopping = true;
@@ -46,27 +46,27 @@
   }
 }
 
-void TaskPump::Submit(work::TaskEvent event,
-                      std::string key,
-                      PumpCompletion completion) {
+void TaskEventBatcher::Submit(work::TaskEvent event,
+                              std::string key,
+                              BatcherCompletion completion) {
   Push({std::move(event), std::move(key), std::move(completion)});
 }
 
-void TaskPump::Read(std::string key, PumpCompletion completion) {
+void TaskEventBatcher::Read(std::string key, BatcherCompletion completion) {
   Push({std::nullopt, std::move(key), std::move(completion)});
 }
 
-void TaskPump::RequestEvacuation(const std::string& host) {
+void TaskEventBatcher::RequestEvacuation(const std::string& host) {
   const std::lock_guard lock(m_mutex);
-  m_leave.insert(host);
+  m_hosts_to_evacuate.insert(host);
 }
 
-TaskPoolStatus TaskPump::Status() const {
+TaskPoolStatus TaskEventBatcher::Status() const {
   const std::lock_guard lock(m_mutex);
   return m_status;
 }
 
-void TaskPump::Push(Item item) {
+void TaskEventBatcher::Push(Item item) {
   std::unique_lock lock(m_mutex);
   if (!m_stopping && m_items.size() < m_options.max_waiting) {
     m_items.push_back(std::move(item));
@@ -74,13 +74,14 @@
     m_changed.notify_all();
     return;
   }
-  PumpResult result;
-  result.refusal = m_stopping ? PumpRefusal::kStopping : PumpRefusal::kFull;
+  BatcherResult result;
+  result.refusal =
+      m_stopping ? BatcherRefusal::kStopping : BatcherRefusal::kFull;
   lock.unlock();
   item.completion(std::move(result));
 }
 
-void TaskPump::Run() {
+void TaskEventBatcher::Run() {
   while (true) {
     std::vector<Item> items = WaitForItems();
     const bool nothing = items.empty();
@@ -92,7 +93,7 @@
   }
 }
 
-std::vector<TaskPump::Item> TaskPump::WaitForItems() {
+std::vector<TaskEventBatcher::Item> TaskEventBatcher::WaitForItems() {
   std::unique_lock lock(m_mutex);
   m_changed.wait_for(lock, m_options.tick,
                      [this] { return m_stopping || !m_items.empty(); });
@@ -115,13 +116,13 @@
   return taken;
 }
 
-void TaskPump::HandleItems(std::vector<Item> items) {
+void TaskEventBatcher::HandleItems(std::vector<Item> items) {
   const base::TimePoint now = m_parts.clock.Now();
   m_batch_due = now + m_options.batch_interval;
   RefreshViews(now);
   const auto grip = m_parts.owner.CurrentLease(m_pool, now);
   if (!grip) {
-    Refuse(items, PumpRefusal::kNotOwner);
+    Refuse(items, BatcherRefusal::kNotOwner);
     RefreshStatus(now, false);
     return;
   }
@@ -150,7 +151,7 @@
   RefreshStatus(now, m_owner.IsSettled());
 }
 
-void TaskPump::RefreshViews(base::TimePoint now) {
+void TaskEventBatcher::RefreshViews(base::TimePoint now) {
   const auto accepted = m_parts.fleet.Current();
   if (accepted && accepted->version != m_fleet_version) {
     m_fleet_version = accepted->version;
@@ -163,14 +164,14 @@
   std::set<std::string> leave;
   {
     const std::lock_guard lock(m_mutex);
-    leave.swap(m_leave);
+    leave.swap(m_hosts_to_evacuate);
   }
   for (const std::string& host : leave) {
     m_owner.Shard().RequestEvacuation(host, now);
   }
 }
 
-void TaskPump::RefreshStatus(base::TimePoint now, bool owned) {
+void TaskEventBatcher::RefreshStatus(base::TimePoint now, bool owned) {
   if (m_status_at != base::TimePoint{} && now - m_status_at < kStatusInterval) {
     return;
   }
@@ -184,7 +185,7 @@
   m_status = std::move(status);
 }
 
-TaskPoolStatus TaskPump::MakeStatus(base::TimePoint now) const {
+TaskPoolStatus TaskEventBatcher::MakeStatus(base::TimePoint now) const {
   const work::TaskShard& shard = m_owner.Shard();
   TaskPoolStatus status;
   status.pool = m_pool;
@@ -211,8 +212,8 @@
   return status;
 }
 
-void TaskPump::Complete(Item& item, work::TaskResult result) const {
-  PumpResult done;
+void TaskEventBatcher::Complete(Item& item, work::TaskResult result) const {
+  BatcherResult done;
   const bool confirmed = result.effect == work::Effect::kCommitted;
   const work::TaskEntry* entry =
       confirmed ? m_owner.Shard().Find(item.key) : nullptr;
@@ -224,9 +225,10 @@
   item.completion(std::move(done));
 }
 
-void TaskPump::Refuse(std::vector<Item>& items, PumpRefusal refusal) {
+void TaskEventBatcher::Refuse(std::vector<Item>& items,
+                              BatcherRefusal refusal) {
   for (Item& item : items) {
-    PumpResult result;
+    BatcherResult result;
     result.refusal = refusal;
     item.completion(std::move(result));
   }
--- a/src/cassiastile/control/task_http.cpp
+++ b/src/cassiastile/control/task_http.cpp
@@ -46,23 +46,24 @@
   return wire::MakeProblemResponse(problem);
 }
 
-std::optional<wire::HttpResponse> MakePumpRefusal(PumpRefusal refusal) {
+std::optional<wire::HttpResponse> MakePumpRefusal(BatcherRefusal refusal) {
   switch (refusal) {
-    case PumpRefusal::kNone:
+    case BatcherRefusal::kNone:
       return std::nullopt;
-    case PumpRefusal::kNotOwner:
+    case BatcherRefusal::kNotOwner:
       return Refuse(kUnavailable, "no-owner",
                     "This host no longer owns the pool's shard.");
-    case PumpRefusal::kFull:
+    case BatcherRefusal::kFull:
       return Refuse(kUnavailable, "queue-full",
                     "Too many calls wait for the pool's shard.");
-    case PumpRefusal::kStopping:
+    case BatcherRefusal::kStopping:
       return Refuse(kUnavailable, "stopping", "This host is stopping.");
   }
   return std::nullopt;
 }
 
-std::optional<wire::HttpResponse> MakeEffectRefusal(const PumpResult& result) {
+std::optional<wire::HttpResponse> MakeEffectRefusal(
+    const BatcherResult& result) {
   if (auto refused = MakePumpRefusal(result.refusal)) {
     return refused;
   }
@@ -128,9 +129,9 @@
 
 }  // namespace
 
-wire::HttpResponse MakeSubmitResponse(const PumpResult& result,
+wire::HttpResponse MakeSubmitResponse(const BatcherResult& result,
                                       const work::TaskSpec& spec) {
-  if (result.refusal == PumpRefusal::kNone) {
+  if (result.refusal == BatcherRefusal::kNone) {
     if (auto refused = MakeVerdictRefusal(result.result.reply)) {
       return *refused;
     }
@@ -142,7 +143,7 @@
       kCreated, {{"id", spec.id}, {"queue", spec.queue}, {"team", spec.team}});
 }
 
-wire::HttpResponse MakeTaskResponse(const PumpResult& result) {
+wire::HttpResponse MakeTaskResponse(const BatcherResult& result) {
   if (auto refused = MakeEffectRefusal(result)) {
     return *refused;
   }
@@ -156,7 +157,7 @@
                                 DescribeTask(*result.task, result.explanation));
 }
 
-wire::HttpResponse MakePollResponse(const PumpResult& result) {
+wire::HttpResponse MakePollResponse(const BatcherResult& result) {
   if (auto refused = MakePumpRefusal(result.refusal)) {
     return *refused;
   }
@@ -184,7 +185,7 @@
   return response;
 }
 
-bool SaysNoOwner(const wire::HttpResponse& response) {
+bool IsNoOwnerResponse(const wire::HttpResponse& response) {
   if (response.status != kUnavailable) {
     return false;
   }
--- a/src/cassiastile/control/task_service.cpp
+++ b/src/cassiastile/control/task_service.cpp
@@ -4,7 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
-#include "cassiastile/control/access.hpp"
+#include "cassiastile/control/authentication.hpp"
 #include "cassiastile/control/task_http.hpp"
 #include "cassiastile/wire/problem.hpp"
 
@@ -51,8 +51,8 @@
                     "outcome must be queued, succeeded, failed or cancelled");
 }
 
-PumpCompletion AnswerWithTask(const wire::HttpResponder& respond) {
-  return [respond](const PumpResult& result) {
+BatcherCompletion AnswerWithTask(const wire::HttpResponder& respond) {
+  return [respond](const BatcherResult& result) {
     respond(MakeTaskResponse(result));
   };
 }
@@ -60,14 +60,14 @@
 }  // namespace
 
 std::unique_ptr<TaskService> TaskService::Create(
-    TaskParts parts,
+    TaskServiceDependencies parts,
     const ShardForwarder& forwarder,
     TaskServiceOptions options) {
   return std::unique_ptr<TaskService>(
       new TaskService(parts, forwarder, options));
 }
 
-TaskService::TaskService(TaskParts parts,
+TaskService::TaskService(TaskServiceDependencies parts,
                          const ShardForwarder& forwarder,
                          TaskServiceOptions options)
     : m_parts(parts),
@@ -105,11 +105,11 @@
 }
 
 void TaskService::Stop() {
-  std::map<std::string, std::shared_ptr<TaskPump>> pumps;
+  std::map<std::string, std::shared_ptr<TaskEventBatcher>> pumps;
   {
     const std::lock_guard lock(m_mutex);
     m_stopping = true;
-    pumps = m_pumps;
+    pumps = m_batchers;
   }
   m_changed.notify_all();
   if (m_watcher.joinable()) {
@@ -122,7 +122,7 @@
 
 fleet::HostWork TaskService::WorkOn(const std::string& host) const {
   const fleet::HostWork not_known{1, 1, kNotKnownRemaining};
-  const auto pump = FindPump(PoolOfHost(host));
+  const auto pump = FindBatcher(PoolOfHost(host));
   if (pump == nullptr) {
     return not_known;
   }
@@ -133,7 +133,7 @@
 }
 
 void TaskService::RequestEvacuation(const std::string& host) {
-  if (const auto pump = FindPump(PoolOfHost(host))) {
+  if (const auto pump = FindBatcher(PoolOfHost(host))) {
     pump->RequestEvacuation(host);
   }
 }
@@ -141,7 +141,7 @@
 std::vector<TaskPoolStatus> TaskService::Status() const {
   const std::lock_guard lock(m_mutex);
   std::vector<TaskPoolStatus> statuses;
-  for (const auto& [pool, pump] : m_pumps) {
+  for (const auto& [pool, pump] : m_batchers) {
     statuses.push_back(pump->Status());
   }
   return statuses;
@@ -149,7 +149,7 @@
 
 void TaskService::HandleSubmit(wire::HttpRequest request,
                                wire::HttpResponder respond) {
-  const auto queue = AdmitCaller(request);
+  const auto queue = AuthorizeCaller(request);
   if (!queue) {
     RespondWithError(respond, queue.error());
     return;
@@ -166,36 +166,38 @@
                      [this, spec = *spec](const member::ShardLease& grip,
                                           const wire::HttpRequest&,
                                           const wire::HttpResponder& answer) {
-                       PumpOf(grip.shard)
-                           ->Submit(work::SubmitEvent{spec}, work::KeyOf(spec),
-                                    [spec, answer](const PumpResult& result) {
-                                      answer(MakeSubmitResponse(result, spec));
-                                    });
+                       BatcherOf(grip.shard)
+                           ->Submit(
+                               work::SubmitEvent{spec}, work::KeyOf(spec),
+                               [spec, answer](const BatcherResult& result) {
+                                 answer(MakeSubmitResponse(result, spec));
+                               });
                      });
 }
 
 void TaskService::HandleRead(wire::HttpRequest request,
                              wire::HttpResponder respond) {
-  OnTask(std::move(request), std::move(respond),
-         [](TaskPump& pump, const std::string& key,
-            const wire::HttpResponder& answer) {
-           pump.Read(key, AnswerWithTask(answer));
-         });
+  ForwardTaskCall(std::move(request), std::move(respond),
+                  [](TaskEventBatcher& pump, const std::string& key,
+                     const wire::HttpResponder& answer) {
+                    pump.Read(key, AnswerWithTask(answer));
+                  });
 }
 
 void TaskService::HandleCancel(wire::HttpRequest request,
                                wire::HttpResponder respond) {
-  OnTask(std::move(request), std::move(respond),
-         [](TaskPump& pump, const std::string& key,
-            const wire::HttpResponder& answer) {
-           pump.Submit(work::CancelEvent{key}, key, AnswerWithTask(answer));
-         });
+  ForwardTaskCall(std::move(request), std::move(respond),
+                  [](TaskEventBatcher& pump, const std::string& key,
+                     const wire::HttpResponder& answer) {
+                    pump.Submit(work::CancelEvent{key}, key,
+                                AnswerWithTask(answer));
+                  });
 }
 
-void TaskService::OnTask(wire::HttpRequest request,
-                         wire::HttpResponder respond,
-                         TaskCall call) {
-  const auto queue = AdmitCaller(request);
+void TaskService::ForwardTaskCall(wire::HttpRequest request,
+                                  wire::HttpResponder respond,
+                                  TaskCall call) {
+  const auto queue = AuthorizeCaller(request);
   if (!queue) {
     RespondWithError(respond, queue.error());
     return;
@@ -206,13 +208,14 @@
       [this, key, call = std::move(call)](const member::ShardLease& grip,
                                           const wire::HttpRequest&,
                                           const wire::HttpResponder& answer) {
-        call(*PumpOf(grip.shard), key, answer);
+        call(*BatcherOf(grip.shard), key, answer);
       });
 }
 
 void TaskService::HandleResolve(wire::HttpRequest request,
                                 wire::HttpResponder respond) {
-  const auto who = OperatorOf(m_parts.fleet, request, m_parts.clock.Now());
+  const auto who =
+      AuthenticateOperator(m_parts.fleet, request, m_parts.clock.Now());
   if (!who) {
     RespondWithError(respond, who.error());
     return;
@@ -236,7 +239,7 @@
       queue->pool, std::move(request), std::move(respond),
       [this, event](const member::ShardLease& grip, const wire::HttpRequest&,
                     const wire::HttpResponder& answer) {
-        PumpOf(grip.shard)->Submit(event, event.key, AnswerWithTask(answer));
+        BatcherOf(grip.shard)->Submit(event, event.key, AnswerWithTask(answer));
       });
 }
 
@@ -259,7 +262,7 @@
   auto renew_without_owner =
       [respond = std::move(respond), pool, lease = shard.lease,
        poll_after = shard.poll_after](wire::HttpResponse response) {
-        respond(SaysNoOwner(response)
+        respond(IsNoOwnerResponse(response)
                     ? MakeRenewalResponse(pool, lease, poll_after)
                     : std::move(response));
       };
@@ -268,16 +271,17 @@
       [this, poll = *poll, home](const member::ShardLease& grip,
                                  const wire::HttpRequest&,
                                  const wire::HttpResponder& answer) {
-        PumpOf(grip.shard)->Submit(poll, "", [answer, home](PumpResult result) {
-          if (result.result.answer) {
-            result.result.answer->home_pool = home;
-          }
-          answer(MakePollResponse(result));
-        });
+        BatcherOf(grip.shard)
+            ->Submit(poll, "", [answer, home](BatcherResult result) {
+              if (result.result.answer) {
+                result.result.answer->home_pool = home;
+              }
+              answer(MakePollResponse(result));
+            });
       });
 }
 
-base::Result<config::Queue> TaskService::AdmitCaller(
+base::Result<config::Queue> TaskService::AuthorizeCaller(
     const wire::HttpRequest& request) const {
   const auto accepted = m_parts.fleet.Current();
   if (!accepted) {
@@ -292,7 +296,8 @@
   if (queue->team.empty()) {
     return *queue;
   }
-  const auto team = TeamOf(m_parts.fleet, request, m_parts.clock.Now());
+  const auto team =
+      AuthenticateTeam(m_parts.fleet, request, m_parts.clock.Now());
   if (!team) {
     return tl::unexpected(team.error());
   }
@@ -316,7 +321,7 @@
   }
   std::map<std::string, std::string> host_pools;
   for (const config::Pool& pool : accepted->fleet.pools) {
-    PumpOf(pool.name);
+    BatcherOf(pool.name);
     for (const fleet::HostView& view : m_parts.pools.Hosts(pool.name)) {
       host_pools[view.host.name] = pool.name;
     }
@@ -325,12 +330,13 @@
   m_host_pools = std::move(host_pools);
 }
 
-std::shared_ptr<TaskPump> TaskService::PumpOf(const std::string& pool) {
+std::shared_ptr<TaskEventBatcher> TaskService::BatcherOf(
+    const std::string& pool) {
   const std::lock_guard lock(m_mutex);
-  auto& pump = m_pumps[pool];
+  auto& pump = m_batchers[pool];
   if (pump == nullptr) {
-    pump = std::make_shared<TaskPump>(pool, m_options.pump, m_parts,
-                                      base::Random(m_random()));
+    pump = std::make_shared<TaskEventBatcher>(pool, m_options.pump, m_parts,
+                                              base::Random(m_random()));
     if (m_stopping) {
       pump->Stop();
     } else {
@@ -340,10 +346,11 @@
   return pump;
 }
 
-std::shared_ptr<TaskPump> TaskService::FindPump(const std::string& pool) const {
+std::shared_ptr<TaskEventBatcher> TaskService::FindBatcher(
+    const std::string& pool) const {
   const std::lock_guard lock(m_mutex);
-  const auto found = m_pumps.find(pool);
-  return found == m_pumps.end() ? nullptr : found->second;
+  const auto found = m_batchers.find(pool);
+  return found == m_batchers.end() ? nullptr : found->second;
 }
 
 void TaskService::WatchPools() {
--- a/src/cassiastile/daemon/command_line.cpp
+++ b/src/cassiastile/daemon/command_line.cpp
@@ -36,16 +36,16 @@
             << ".jsonc --log-level debug\n";
 }
 
-Answered RefuseUsage(const Program& program, const std::string& reason) {
+EarlyExit RefuseUsage(const Program& program, const std::string& reason) {
   std::cerr << program.name << ": " << reason << "; see --help\n";
   return {kExitUsage};
 }
 
 }  // namespace
 
-std::variant<Invocation, Answered> ReadCommandLine(const Program& program,
-                                                   int argc,
-                                                   const char* const* argv) {
+std::variant<Invocation, EarlyExit> ReadCommandLine(const Program& program,
+                                                    int argc,
+                                                    const char* const* argv) {
   Invocation invocation;
   const options::options_description description = Describe(invocation);
   options::variables_map values;
@@ -58,11 +58,11 @@
   }
   if (values.count("help") > 0) {
     PrintHelp(program, description);
-    return Answered{kExitDone};
+    return EarlyExit{kExitSuccess};
   }
   if (values.count("version") > 0) {
     std::cout << program.name << ' ' << base::kVersion << '\n';
-    return Answered{kExitDone};
+    return EarlyExit{kExitSuccess};
   }
   if (invocation.settings_path.empty()) {
     return RefuseUsage(program, "--config FILE is missing");
--- a/src/cassiastile/daemon/daemon_test.cpp
+++ b/src/cassiastile/daemon/daemon_test.cpp
@@ -6,17 +6,17 @@
 namespace cassiastile::daemon {
 namespace {
 
-std::variant<Invocation, Answered> Read(std::vector<const char*> arguments) {
+std::variant<Invocation, EarlyExit> Read(std::vector<const char*> arguments) {
   arguments.insert(arguments.begin(), "cassia-test");
   return ReadCommandLine({"cassia-test", "is tested"},
                          static_cast<int>(arguments.size()), arguments.data());
 }
 
 TEST(CommandLineTest, TellsHelpFromWrongUsage) {
-  EXPECT_EQ(std::get<Answered>(Read({"--help"})).exit_status, kExitDone);
-  EXPECT_EQ(std::get<Answered>(Read({"--version"})).exit_status, kExitDone);
-  EXPECT_EQ(std::get<Answered>(Read({})).exit_status, kExitUsage);
-  EXPECT_EQ(std::get<Answered>(Read({"--nothing"})).exit_status, kExitUsage);
+  EXPECT_EQ(std::get<EarlyExit>(Read({"--help"})).exit_status, kExitSuccess);
+  EXPECT_EQ(std::get<EarlyExit>(Read({"--version"})).exit_status, kExitSuccess);
+  EXPECT_EQ(std::get<EarlyExit>(Read({})).exit_status, kExitUsage);
+  EXPECT_EQ(std::get<EarlyExit>(Read({"--nothing"})).exit_status, kExitUsage);
 }
 
 TEST(CommandLineTest, TakesTheSettingsFile) {
--- a/src/cassiastile/daemon/run_daemon.cpp
+++ b/src/cassiastile/daemon/run_daemon.cpp
@@ -6,17 +6,17 @@
 
 namespace cassiastile::daemon {
 
-std::variant<config::Settings, Answered> LoadSettings(
+std::variant<config::Settings, EarlyExit> LoadSettings(
     const Invocation& invocation) {
   if (!base::StartLogging(invocation.log_level)) {
     std::cerr << "The log level must be debug, info, warn or error, not \""
               << invocation.log_level << "\".\n";
-    return Answered{kExitUsage};
+    return EarlyExit{kExitUsage};
   }
   auto settings = config::Settings::Load(invocation.settings_path);
   if (!settings) {
     AreClean(settings.error());
-    return Answered{kExitRefused};
+    return EarlyExit{kExitInvalidSettings};
   }
   return std::move(*settings);
 }
@@ -26,9 +26,9 @@
   return findings.empty();
 }
 
-int RefuseStart(const Program& program, const base::Error& error) {
+int ReportStartFailure(const Program& program, const base::Error& error) {
   std::cerr << program.name << ": can't start: " << error.message << '\n';
-  return kExitUnreachable;
+  return kExitStartFailed;
 }
 
 }  // namespace cassiastile::daemon
--- a/src/cassiastile/operator/documents.cpp
+++ b/src/cassiastile/operator/documents.cpp
@@ -39,7 +39,7 @@
   if (!parsed) {
     return place;
   }
-  const base::Place start =
+  const base::TextPosition start =
       config::FindPlace(*parsed, config::NameOf(edit.section));
   const std::size_t first =
       std::min(edit.text.find_first_not_of(" \t\r\n"), edit.text.size());
@@ -58,7 +58,7 @@
 void Relocate(base::Finding& finding,
               const SectionPlace& section,
               const SectionEdit& edit) {
-  base::Place& place = finding.place;
+  base::TextPosition& place = finding.place;
   const bool before =
       place.line < section.line ||
       (place.line == section.line && place.column < section.column);
