--- a/include/cassiastile/config/diff.hpp
+++ b/include/cassiastile/config/diff.hpp
@@ -35,7 +35,7 @@
 };
 
 // What a team has running now.
-struct TeamUse {
+struct TeamUsage {
   std::string team;
   std::uint32_t requests = 0;
   std::uint32_t tasks = 0;
@@ -58,7 +58,7 @@
 // The use of teams that are not listed counts as none.
 FleetChange CompareFleets(const Fleet& before,
                           const Fleet& after,
-                          const std::vector<TeamUse>& use = {});
+                          const std::vector<TeamUsage>& use = {});
 
 nlohmann::json ToJson(const FleetChange& change);
 
--- a/include/cassiastile/config/field_reader.hpp
+++ b/include/cassiastile/config/field_reader.hpp
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "cassiastile/base/findings.hpp"
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 
 namespace cassiastile::config {
 
@@ -32,8 +32,8 @@
 class FieldReader {
  public:
   // A value that is not an object is a finding; all its fields are then absent.
-  FieldReader(const PlacedDocument& document,
-              const PlacedValue& value,
+  FieldReader(const PositionedDocument& document,
+              const PositionedValue& value,
               std::string path,
               base::Findings& findings);
 
@@ -63,22 +63,22 @@
 
   // Adds a finding for each field that was never asked for, with the nearest
   // known name.
-  void RefuseUnknown();
+  void ReportUnknownFields();
 
  private:
-  const PlacedValue* Find(std::string_view name);
-  const PlacedValue* Require(std::string_view name);
+  const PositionedValue* Find(std::string_view name);
+  const PositionedValue* Require(std::string_view name);
   std::string PathOf(std::string_view name) const;
   std::int64_t ReadNumber(std::string_view name,
-                          const PlacedValue& value,
+                          const PositionedValue& value,
                           NumberRange range,
                           std::int64_t fallback);
   void ReportKind(std::string_view name,
-                  const PlacedValue& value,
+                  const PositionedValue& value,
                   std::string_view wanted);
 
-  const PlacedDocument& m_document;
-  const PlacedValue& m_value;
+  const PositionedDocument& m_document;
+  const PositionedValue& m_value;
   std::string m_path;
   base::Findings& m_findings;
   std::vector<std::string> m_known;
--- a/include/cassiastile/config/fleet_check.hpp
+++ b/include/cassiastile/config/fleet_check.hpp
@@ -2,7 +2,7 @@
 
 #include "cassiastile/base/findings.hpp"
 #include "cassiastile/config/fleet.hpp"
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 
 namespace cassiastile::config {
 
@@ -10,7 +10,7 @@
 // the findings their places and must be the one the fleet was read from. What
 // was found about single fields is passed in, as nothing follows from them.
 base::Findings CheckFleet(const Fleet& fleet,
-                          const PlacedDocument& document,
+                          const PositionedDocument& document,
                           const base::Findings& faults = {});
 
 }  // namespace cassiastile::config
--- a/include/cassiastile/config/fleet_reader.hpp
+++ b/include/cassiastile/config/fleet_reader.hpp
@@ -7,13 +7,13 @@
 
 #include "cassiastile/base/findings.hpp"
 #include "cassiastile/config/fleet.hpp"
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 
 namespace cassiastile::config {
 
 // Reads the fields of a parsed document. Faults are added to the findings and
 // read as defaults; the items of each list keep their positions.
-Fleet ReadFields(const PlacedDocument& document, base::Findings& findings);
+Fleet ReadFields(const PositionedDocument& document, base::Findings& findings);
 
 // Reads a whole fleet document: its syntax, its fields and whether its sections
 // agree (CheckFleet). Returns all findings at once. `file` is the name shown in
--- a/include/cassiastile/config/placed_json.hpp
+++ b/include/cassiastile/config/positioned_json.hpp
@@ -13,22 +13,22 @@
 
 namespace cassiastile::config {
 
-struct PlacedMember;
-struct PlacedValue;
+struct PositionedMember;
+struct PositionedValue;
 
-using PlacedList = std::vector<PlacedValue>;
-using PlacedObject = std::vector<PlacedMember>;
+using PositionedList = std::vector<PositionedValue>;
+using PositionedObject = std::vector<PositionedMember>;
 
 // A JSON value that knows where it stands in the text. Integers beyond 64 bits
 // are kept as floating-point numbers.
-struct PlacedValue {
+struct PositionedValue {
   std::variant<std::nullptr_t,
                bool,
                std::int64_t,
                double,
                std::string,
-               PlacedList,
-               PlacedObject>
+               PositionedList,
+               PositionedObject>
       content;
   std::size_t line = 0;  // Of the first character; lines count from one.
   std::size_t column = 0;
@@ -37,17 +37,17 @@
 };
 
 // A name and its value, in the order of the text.
-struct PlacedMember {
+struct PositionedMember {
   std::string name;
   std::size_t line = 0;  // Of the name.
   std::size_t column = 0;
-  PlacedValue value;
+  PositionedValue value;
 };
 
 // JSON with comments as it was read from a file.
-struct PlacedDocument {
+struct PositionedDocument {
   std::string file;
-  PlacedValue root;
+  PositionedValue root;
   // Names that stand twice in one object. The first value is kept.
   base::Findings duplicates;
 };
@@ -60,20 +60,21 @@
 
 // Parses JSON in which both kinds of C++ comments are ignored. Any text gives
 // either a document or findings; syntax is read up to the first error.
-tl::expected<PlacedDocument, base::Findings> ParsePlacedJson(
+tl::expected<PositionedDocument, base::Findings> ParsePositionedJson(
     std::string_view text,
     const std::string& file);
 
 // The member of an object, or null when there is none or the value is not an
 // object.
-const PlacedMember* FindMember(const PlacedValue& value, std::string_view name);
+const PositionedMember* FindMember(const PositionedValue& value,
+                                   std::string_view name);
 
 // Where the value at a path such as pools[2].hosts[0].zone stands. Where the
 // path leads nowhere, the place of its last part that exists.
-base::TextPosition FindPlace(const PlacedDocument& document,
-                             std::string_view path);
+base::TextPosition FindTextPosition(const PositionedDocument& document,
+                                    std::string_view path);
 
 // What kind of JSON value it is, in words such as "a number".
-std::string_view KindOf(const PlacedValue& value);
+std::string_view KindOf(const PositionedValue& value);
 
 }  // namespace cassiastile::config
--- a/include/cassiastile/config/section_edit.hpp
+++ b/include/cassiastile/config/section_edit.hpp
@@ -27,7 +27,7 @@
 // sections or their order.
 struct DocumentDifference {
   std::vector<SectionName> sections;
-  bool outside = false;
+  bool outside_sections = false;
 };
 
 // Fails when either document can't be parsed.
@@ -35,16 +35,16 @@
                                                   std::string_view after);
 
 // The operator who owns a section, or an empty text.
-std::string FindOwner(const Fleet& fleet, SectionName section);
+std::string FindSectionOwner(const Fleet& fleet, SectionName section);
 
 // Whether an operator may make an edit: each section that differs must be the
 // operator's own in the fleet as it was before. What stands outside the
 // sections belongs to the owner of the section "ownership". Findings name the
 // sections that are not the operator's and who owns them.
-base::Findings CheckOwner(std::string_view before,
-                          std::string_view after,
-                          const Fleet& fleet_before,
-                          std::string_view editor,
-                          const std::string& file);
+base::Findings CheckEditPermission(std::string_view before,
+                                   std::string_view after,
+                                   const Fleet& fleet_before,
+                                   std::string_view editor,
+                                   const std::string& file);
 
 }  // namespace cassiastile::config
--- a/include/cassiastile/control/config_service.hpp
+++ b/include/cassiastile/control/config_service.hpp
@@ -22,7 +22,7 @@
   const base::Clock& clock;
   base::DecisionSink* decisions = nullptr;  // May be null.
   // What teams have running, for dry runs; may be empty.
-  std::function<std::vector<config::TeamUse>()> team_use;
+  std::function<std::vector<config::TeamUsage>()> team_use;
 };
 
 // The configuration and audit interfaces for operators. Calls that read or
--- a/include/cassiastile/member/config_store.hpp
+++ b/include/cassiastile/member/config_store.hpp
@@ -28,7 +28,8 @@
   std::uint64_t base_version = 0;  // The version that the edit was made from.
   std::string key;                 // The operator's secret.
   bool dry_run = false;
-  std::vector<config::TeamUse> use;  // What teams have running, for a dry run.
+  std::vector<config::TeamUsage>
+      use;  // What teams have running, for a dry run.
 };
 
 struct EditOutcome {
--- a/include/cassiastile/soak/loopback_proxy.hpp
+++ b/include/cassiastile/soak/loopback_proxy.hpp
@@ -33,7 +33,7 @@
   void Set(const Spoil& spoil);
   void ResetConnections();
   // Open connections carry nothing any more; new ones do.
-  void SilenceConnections();
+  void BlackholeConnections();
 
  private:
   class Impl;
--- a/include/cassiastile/standin/backend.hpp
+++ b/include/cassiastile/standin/backend.hpp
@@ -31,8 +31,8 @@
 };
 
 struct BackendCounts {
-  std::uint32_t most_running = 0;      // At once.
-  std::uint32_t most_connections = 0;  // At once.
+  std::uint32_t peak_running = 0;      // At once.
+  std::uint32_t peak_connections = 0;  // At once.
   std::uint64_t over_slots = 0;        // Starts above the slots.
 };
 
@@ -58,7 +58,7 @@
   void SetServiceTime(std::chrono::milliseconds service_time);
   // The connections that are open now swallow all that is sent on them from now
   // on; new ones work.
-  void SilenceConnections();
+  void BlackholeConnections();
 
   std::vector<LoggedExecution> Log() const;
   BackendCounts Counts() const;
--- a/include/cassiastile/standin/backend_fault_mix.hpp
+++ b/include/cassiastile/standin/backend_fault_mix.hpp
@@ -12,7 +12,7 @@
 struct FaultMixViolations {
   std::uint64_t ran_twice = 0;        // Requests that are not idempotent.
   std::uint64_t not_run_but_ran = 0;  // The caller was told "not run".
-  std::uint64_t foreign_answers = 0;  // Not the whole answer to the request.
+  std::uint64_t wrong_answers = 0;    // Not the whole answer to the request.
   std::uint64_t without_answer = 0;
   std::uint64_t answered_twice = 0;
   std::uint64_t over_slots = 0;  // Starts above a runner's slots.
--- a/include/cassiastile/standin/backend_model.hpp
+++ b/include/cassiastile/standin/backend_model.hpp
@@ -28,7 +28,7 @@
   std::chrono::milliseconds mean_service{50};
   bool stalled = false;  // Takes requests and answers none.
   // Kept connections swallow what is sent until then; new ones work.
-  base::TimePoint kept_silent_until{};
+  base::TimePoint blackhole_until{};
   bool refuses = false;
   // How often a request meets the fault, from 0 to 1.
   std::map<BackendFault, double> faults;
@@ -40,7 +40,7 @@
   std::string request;  // The caller's own name for the request.
   std::string request_id;
   base::TimePoint timeout{};  // When the client gives up.
-  bool tells_stop = true;     // Whether the runner knows and then stops.
+  bool sends_timeout = true;  // Whether the runner knows and then stops.
   bool fresh_connection = false;
 };
 
@@ -66,7 +66,7 @@
 
   const std::vector<Execution>& Log() const { return m_log; }
   // Starts of work that found all slots of the runner taken.
-  std::uint64_t OverLimit() const { return m_over_limit; }
+  std::uint64_t StartsOverSlots() const { return m_over_limit; }
 
  private:
   enum class EventKind : std::uint8_t { kArrive, kCut, kEnd, kTimeout };
--- a/include/cassiastile/standin/worker.hpp
+++ b/include/cassiastile/standin/worker.hpp
@@ -13,7 +13,7 @@
 namespace cassiastile::standin {
 
 // What a worker did, for those who judge from outside.
-enum class WorkerAct : std::uint8_t {
+enum class WorkerEvent : std::uint8_t {
   kStarted,
   kSucceeded,
   kFailed,
@@ -22,11 +22,11 @@
   kNotStarted,
 };
 
-std::string_view NameOf(WorkerAct act);
+std::string_view NameOf(WorkerEvent act);
 
-struct WorkerLogLine {
+struct WorkerLogEntry {
   base::TimePoint at{};
-  WorkerAct act = WorkerAct::kStarted;
+  WorkerEvent act = WorkerEvent::kStarted;
   std::string worker;
   std::string key;
   std::uint64_t epoch = 0;
@@ -49,7 +49,7 @@
 // hands it the answers.
 class Worker {
  public:
-  using Log = std::function<void(const WorkerLogLine&)>;
+  using Log = std::function<void(const WorkerLogEntry&)>;
 
   Worker(WorkerOptions options, Log log);
 
@@ -77,7 +77,7 @@
   void Restart(base::TimePoint now);
 
   // Whether a run ended since the last poll was made.
-  bool HasNews() const;
+  bool HasUnreportedRuns() const;
 
   const std::string& Name() const;
   std::size_t RunCount() const;
@@ -112,7 +112,7 @@
   void StopLapsed();
   void Obey(const work::PollAnswer& answer);
   void BeginCheckpoint(Run& run);
-  void Note(WorkerAct act, const Run& run);
+  void Note(WorkerEvent act, const Run& run);
 
   WorkerOptions m_options;
   Log m_log;
--- a/include/cassiastile/standin/worker_agent.hpp
+++ b/include/cassiastile/standin/worker_agent.hpp
@@ -50,7 +50,7 @@
   void PollOnce();
   bool PollPool(const std::string& pool);
   wire::HttpResponse SetFaults(const std::string& body);
-  void LogLine(const WorkerLogLine& line) const;
+  void LogLine(const WorkerLogEntry& line) const;
 
   const base::Clock& m_clock;
   const WorkerAgentOptions m_options;
--- a/src/bin/measure_requests.cpp
+++ b/src/bin/measure_requests.cpp
@@ -124,7 +124,7 @@
   figures.slow_part = late / std::max(1.0, total);
   figures.p99_ms = Percentile99(answered);
   figures.refused_p99_ms = Percentile99(refused);
-  figures.over_slots = simulation.Backends().OverLimit();
+  figures.over_slots = simulation.Backends().StartsOverSlots();
   return figures;
 }
 
@@ -148,7 +148,7 @@
       simulation.Backends().RunnerOptions(RequestSimulation::RunnerName(0));
   runner.stalled = scenario.one_stalled;
   if (scenario.silent_link) {
-    runner.kept_silent_until = from + ToDuration(2 * kMeasured);
+    runner.blackhole_until = from + ToDuration(2 * kMeasured);
   }
   simulation.RunUntil(from + ToDuration(kMeasured + kSettling));
   return Judge(simulation, requests, from, capacity * kMeasured.count());
@@ -189,7 +189,7 @@
     const auto found = standin::RunFaultMix(seed, policy).violations;
     sum.ran_twice += found.ran_twice;
     sum.not_run_but_ran += found.not_run_but_ran;
-    sum.foreign_answers += found.foreign_answers;
+    sum.wrong_answers += found.wrong_answers;
     sum.over_slots += found.over_slots;
   }
   return sum;
@@ -207,8 +207,7 @@
   };
   print("at_most_once_violations", ours.ran_twice, baseline.ran_twice);
   print("not_run_violations", ours.not_run_but_ran, baseline.not_run_but_ran);
-  print("whole_answer_violations", ours.foreign_answers,
-        baseline.foreign_answers);
+  print("whole_answer_violations", ours.wrong_answers, baseline.wrong_answers);
   print("slot_violations", ours.over_slots, baseline.over_slots);
 }
 
--- a/src/bin/measure_tasks_faults.hpp
+++ b/src/bin/measure_tasks_faults.hpp
@@ -64,8 +64,8 @@
   std::vector<double> waits;
   double busy = 0;
   TimePoint from{};
-  const auto log = [&](const standin::WorkerLogLine& line) {
-    if (line.act == standin::WorkerAct::kStarted) {
+  const auto log = [&](const standin::WorkerLogEntry& line) {
+    if (line.act == standin::WorkerEvent::kStarted) {
       running[line.key] = {line.at, line.usage.cores};
       const auto push = submitted.find(line.key);
       if (push != submitted.end()) {
@@ -145,9 +145,9 @@
   accepted.fleet.limits = {{"a", 0, kLimit}};
   std::int64_t running = 0;
   std::int64_t most = 0;
-  const auto log = [&](const standin::WorkerLogLine& line) {
-    const bool starts = line.act == standin::WorkerAct::kStarted;
-    const bool ends = line.act != standin::WorkerAct::kNotStarted;
+  const auto log = [&](const standin::WorkerLogEntry& line) {
+    const bool starts = line.act == standin::WorkerEvent::kStarted;
+    const bool ends = line.act != standin::WorkerEvent::kNotStarted;
     running += starts ? 1 : (ends ? -1 : 0);
     most = std::max(most, running);
   };
@@ -215,8 +215,8 @@
     owners[index]->SetHosts(ViewsOf(accepted.fleet.pools[0]));
     fleets.push_back(std::make_unique<standin::WorkerFleet>(
         accepted.fleet.pools[0].hosts, Random(index),
-        [&running, index](const standin::WorkerLogLine& line) {
-          running[index] += line.act == standin::WorkerAct::kStarted ? 1 : -1;
+        [&running, index](const standin::WorkerLogEntry& line) {
+          running[index] += line.act == standin::WorkerEvent::kStarted ? 1 : -1;
         }));
   }
   const auto run = [&](seconds length, std::vector<work::TaskEvent> first) {
--- a/src/bin/measure_tasks_growth.hpp
+++ b/src/bin/measure_tasks_growth.hpp
@@ -79,7 +79,7 @@
   owner.SetFleet(accepted);
   owner.SetHosts(ViewsOf(accepted.fleet.pools[0]));
   standin::WorkerFleet workers(accepted.fleet.pools[0].hosts, Random(kSeed),
-                               [](const standin::WorkerLogLine&) {});
+                               [](const standin::WorkerLogEntry&) {});
   const TimePoint start = clock.Now();
   const auto now = [&] {
     return std::chrono::duration<double>(clock.Now() - start).count();
--- a/src/bin/measure_tasks_run.hpp
+++ b/src/bin/measure_tasks_run.hpp
@@ -100,8 +100,8 @@
   std::map<std::string, TimePoint> started;
   std::unique_ptr<ShardRun> run;
   double ended = 0;
-  const auto log = [&](const standin::WorkerLogLine& line) {
-    if (line.act == standin::WorkerAct::kStarted) {
+  const auto log = [&](const standin::WorkerLogEntry& line) {
+    if (line.act == standin::WorkerEvent::kStarted) {
       started[line.key] = line.at;
       return;
     }
--- a/src/cassiastile/config/check_context.hpp
+++ b/src/cassiastile/config/check_context.hpp
@@ -13,14 +13,14 @@
 #include "cassiastile/config/field_reader.hpp"
 #include "cassiastile/config/fleet.hpp"
 #include "cassiastile/config/nearest_name.hpp"
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 
 namespace cassiastile::config {
 
 // What the checks of a document share: where to report a contradiction.
 class CheckContext {
  public:
-  CheckContext(const PlacedDocument& document, const base::Findings& faults)
+  CheckContext(const PositionedDocument& document, const base::Findings& faults)
       : m_document(document) {
     for (const base::Finding& fault : faults) {
       m_faulty.insert(fault.path);
@@ -34,23 +34,24 @@
 
   void Report(const std::string& path, std::string message) {
     if (!IsFaulty(path)) {
-      AddFinding(m_findings,
-                 {FindPlace(m_document, path), path, std::move(message)});
+      AddFinding(m_findings, {FindTextPosition(m_document, path), path,
+                              std::move(message)});
     }
   }
 
   // Whether a section is there as a list. Nothing is missed in one that could
   // not be read.
   bool IsRead(SectionName section) const {
-    const PlacedMember* member = FindMember(m_document.root, NameOf(section));
+    const PositionedMember* member =
+        FindMember(m_document.root, NameOf(section));
     return member != nullptr &&
-           std::holds_alternative<PlacedList>(member->value.content);
+           std::holds_alternative<PositionedList>(member->value.content);
   }
 
   base::Findings Take() { return std::move(m_findings); }
 
  private:
-  const PlacedDocument& m_document;
+  const PositionedDocument& m_document;
   std::unordered_set<std::string> m_faulty;
   base::Findings m_findings;
 };
--- a/src/cassiastile/config/field_reader.cpp
+++ b/src/cassiastile/config/field_reader.cpp
@@ -52,15 +52,15 @@
   }
 }
 
-FieldReader::FieldReader(const PlacedDocument& document,
-                         const PlacedValue& value,
+FieldReader::FieldReader(const PositionedDocument& document,
+                         const PositionedValue& value,
                          std::string path,
                          base::Findings& findings)
     : m_document(document),
       m_value(value),
       m_path(std::move(path)),
       m_findings(findings) {
-  if (!std::holds_alternative<PlacedObject>(value.content)) {
+  if (!std::holds_alternative<PositionedObject>(value.content)) {
     AddFinding(m_findings,
                {{m_document.file, value.line, value.column},
                 m_path,
@@ -69,7 +69,7 @@
 }
 
 std::string FieldReader::Text(std::string_view name) {
-  const PlacedValue* value = Require(name);
+  const PositionedValue* value = Require(name);
   if (value == nullptr) {
     return "";
   }
@@ -85,7 +85,7 @@
 }
 
 std::string FieldReader::Text(std::string_view name, std::string_view absent) {
-  const PlacedValue* value = Find(name);
+  const PositionedValue* value = Find(name);
   if (value == nullptr) {
     return std::string(absent);
   }
@@ -109,7 +109,7 @@
 }
 
 bool FieldReader::Flag(std::string_view name, bool absent) {
-  const PlacedValue* value = Find(name);
+  const PositionedValue* value = Find(name);
   if (value == nullptr) {
     return absent;
   }
@@ -124,19 +124,19 @@
 std::int64_t FieldReader::Number(std::string_view name,
                                  NumberRange range,
                                  std::int64_t absent) {
-  const PlacedValue* value = Find(name);
+  const PositionedValue* value = Find(name);
   return value == nullptr ? absent : ReadNumber(name, *value, range, absent);
 }
 
 std::int64_t FieldReader::RequiredNumber(std::string_view name,
                                          NumberRange range) {
-  const PlacedValue* value = Require(name);
+  const PositionedValue* value = Require(name);
   return value == nullptr ? range.least
                           : ReadNumber(name, *value, range, range.least);
 }
 
 std::int64_t FieldReader::ReadNumber(std::string_view name,
-                                     const PlacedValue& value,
+                                     const PositionedValue& value,
                                      NumberRange range,
                                      std::int64_t fallback) {
   const auto* number = std::get_if<std::int64_t>(&value.content);
@@ -155,18 +155,18 @@
 }
 
 std::vector<std::string> FieldReader::TextList(std::string_view name) {
-  const PlacedValue* value = Find(name);
+  const PositionedValue* value = Find(name);
   if (value == nullptr) {
     return {};
   }
-  const auto* list = std::get_if<PlacedList>(&value->content);
+  const auto* list = std::get_if<PositionedList>(&value->content);
   if (list == nullptr) {
     ReportKind(name, *value, "a list of text");
     return {};
   }
   std::vector<std::string> texts;
   for (std::size_t i = 0; i < list->size(); ++i) {
-    const PlacedValue& item = (*list)[i];
+    const PositionedValue& item = (*list)[i];
     const auto* text = std::get_if<std::string>(&item.content);
     if (text == nullptr) {
       ReportKind(fmt::format("{}[{}]", name, i), item, "text");
@@ -179,11 +179,11 @@
 void FieldReader::ForEach(std::string_view name,
                           bool required,
                           const std::function<void(FieldReader&)>& read) {
-  const PlacedValue* value = required ? Require(name) : Find(name);
+  const PositionedValue* value = required ? Require(name) : Find(name);
   if (value == nullptr) {
     return;
   }
-  const auto* list = std::get_if<PlacedList>(&value->content);
+  const auto* list = std::get_if<PositionedList>(&value->content);
   if (list == nullptr) {
     ReportKind(name, *value, "a list of objects");
     return;
@@ -192,22 +192,22 @@
     FieldReader reader(m_document, (*list)[i],
                        fmt::format("{}[{}]", PathOf(name), i), m_findings);
     read(reader);
-    reader.RefuseUnknown();
+    reader.ReportUnknownFields();
   }
 }
 
 void FieldReader::Report(std::string_view name, std::string message) {
   const std::string path = PathOf(name);
   AddFinding(m_findings,
-             {FindPlace(m_document, path), path, std::move(message)});
+             {FindTextPosition(m_document, path), path, std::move(message)});
 }
 
-void FieldReader::RefuseUnknown() {
-  const auto* object = std::get_if<PlacedObject>(&m_value.content);
+void FieldReader::ReportUnknownFields() {
+  const auto* object = std::get_if<PositionedObject>(&m_value.content);
   if (object == nullptr) {
     return;
   }
-  for (const PlacedMember& member : *object) {
+  for (const PositionedMember& member : *object) {
     if (m_findings.size() > kMaxFindings) {
       return;
     }
@@ -226,18 +226,18 @@
   }
 }
 
-const PlacedValue* FieldReader::Find(std::string_view name) {
+const PositionedValue* FieldReader::Find(std::string_view name) {
   if (std::find(m_known.begin(), m_known.end(), name) == m_known.end()) {
     m_known.emplace_back(name);
   }
-  const PlacedMember* member = FindMember(m_value, name);
+  const PositionedMember* member = FindMember(m_value, name);
   return member == nullptr ? nullptr : &member->value;
 }
 
-const PlacedValue* FieldReader::Require(std::string_view name) {
-  const PlacedValue* value = Find(name);
+const PositionedValue* FieldReader::Require(std::string_view name) {
+  const PositionedValue* value = Find(name);
   if (value == nullptr &&
-      std::holds_alternative<PlacedObject>(m_value.content)) {
+      std::holds_alternative<PositionedObject>(m_value.content)) {
     Report(name, "is missing, but must be given");
   }
   return value;
@@ -249,7 +249,7 @@
 }
 
 void FieldReader::ReportKind(std::string_view name,
-                             const PlacedValue& value,
+                             const PositionedValue& value,
                              std::string_view wanted) {
   Report(name, fmt::format("is {}, but must be {}", KindOf(value), wanted));
 }
--- a/src/cassiastile/config/fleet_change.cpp
+++ b/src/cassiastile/config/fleet_change.cpp
@@ -103,9 +103,9 @@
 }
 
 std::vector<std::string> TeamsOverLimit(const Fleet& after,
-                                        const std::vector<TeamUse>& use) {
+                                        const std::vector<TeamUsage>& use) {
   std::vector<std::string> teams;
-  for (const TeamUse& row : use) {
+  for (const TeamUsage& row : use) {
     const Limit* limit = FindLimit(after, row.team);
     const Limit known = limit == nullptr ? Limit{} : *limit;
     if (row.requests > known.requests || row.tasks > known.tasks) {
@@ -147,7 +147,7 @@
 
 FleetChange CompareFleets(const Fleet& before,
                           const Fleet& after,
-                          const std::vector<TeamUse>& use) {
+                          const std::vector<TeamUsage>& use) {
   FleetChange change;
   change.hosts = CompareHosts(before, after);
   change.keys_gone = MissingKeys(before.keys, after.keys);
--- a/src/cassiastile/config/fleet_check.cpp
+++ b/src/cassiastile/config/fleet_check.cpp
@@ -5,7 +5,7 @@
 namespace cassiastile::config {
 
 base::Findings CheckFleet(const Fleet& fleet,
-                          const PlacedDocument& document,
+                          const PositionedDocument& document,
                           const base::Findings& faults) {
   CheckContext context(document, faults);
   CheckNames(fleet, context);
--- a/src/cassiastile/config/fleet_reader.cpp
+++ b/src/cassiastile/config/fleet_reader.cpp
@@ -230,7 +230,7 @@
 
 }  // namespace
 
-Fleet ReadFields(const PlacedDocument& document, base::Findings& findings) {
+Fleet ReadFields(const PositionedDocument& document, base::Findings& findings) {
   Fleet fleet;
   FieldReader reader(document, document.root, "", findings);
   fleet.name = reader.Name("fleet");
@@ -245,13 +245,13 @@
   ReadSection(reader, SectionName::kShares, fleet.shares, ReadShare);
   ReadSection(reader, SectionName::kLimits, fleet.limits, ReadLimit);
   ReadSection(reader, SectionName::kWaves, fleet.waves, ReadWave);
-  reader.RefuseUnknown();
+  reader.ReportUnknownFields();
   return fleet;
 }
 
 tl::expected<Fleet, base::Findings> ReadFleet(std::string_view text,
                                               const std::string& file) {
-  const auto document = ParsePlacedJson(text, file);
+  const auto document = ParsePositionedJson(text, file);
   if (!document) {
     return tl::make_unexpected(document.error());
   }
--- a/src/cassiastile/config/list_edit.cpp
+++ b/src/cassiastile/config/list_edit.cpp
@@ -4,7 +4,7 @@
 
 #include <fmt/format.h>
 
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 #include "text_cursor.hpp"
 
 namespace cassiastile::config {
@@ -15,13 +15,13 @@
 constexpr std::string_view kItemIndent = "    ";
 constexpr std::string_view kListIndent = "  ";
 
-base::Result<PlacedList> ParseList(std::string_view text) {
-  auto document = ParsePlacedJson(text, "list");
+base::Result<PositionedList> ParseList(std::string_view text) {
+  auto document = ParsePositionedJson(text, "list");
   if (!document) {
     return base::Fail(base::ErrorCode::kInvalid,
                       base::FormatFinding(document.error().front()));
   }
-  auto* list = std::get_if<PlacedList>(&document->root.content);
+  auto* list = std::get_if<PositionedList>(&document->root.content);
   if (list == nullptr) {
     return base::Fail(base::ErrorCode::kInvalid, "the text is not a list");
   }
@@ -76,7 +76,7 @@
   if (index >= items->size()) {
     return base::Fail(base::ErrorCode::kNotFound, "the list has no such item");
   }
-  const PlacedValue& item = (*items)[index];
+  const PositionedValue& item = (*items)[index];
   std::string text(list);
   if (index + 1 < items->size()) {
     const std::size_t comma = FindComma(list, item.end);
--- a/src/cassiastile/config/placed_json.cpp
+++ b/src/cassiastile/config/positioned_json.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -20,8 +20,8 @@
 
 // What is being read: an open list or object.
 struct Frame {
-  PlacedValue value;
-  PlacedMember member;  // The name last read, in an object.
+  PositionedValue value;
+  PositionedMember member;  // The name last read, in an object.
   std::unordered_set<std::string> names;
   bool skip = false;  // Whether the name was a duplicate.
 };
@@ -49,22 +49,23 @@
     return AddScalar(value);
   }
   bool string(std::string& value) {
-    PlacedValue placed = StartValue(std::move(value));
+    PositionedValue placed = StartValue(std::move(value));
     m_cursor.SkipString();
     return Finish(std::move(placed));
   }
   bool binary(nlohmann::json::binary_t& /*value*/) { return false; }
 
-  bool start_object(std::size_t /*size*/) { return Open(PlacedObject{}); }
+  bool start_object(std::size_t /*size*/) { return Open(PositionedObject{}); }
   bool end_object() { return Close(); }
-  bool start_array(std::size_t /*size*/) { return Open(PlacedList{}); }
+  bool start_array(std::size_t /*size*/) { return Open(PositionedList{}); }
   bool end_array() { return Close(); }
 
   bool key(std::string& name) {
     m_cursor.SkipToToken();
     Frame& frame = m_open.back();
     frame.skip = !frame.names.insert(name).second;
-    frame.member = PlacedMember{name, m_cursor.Line(), m_cursor.Column(), {}};
+    frame.member =
+        PositionedMember{name, m_cursor.Line(), m_cursor.Column(), {}};
     if (frame.skip && m_document.duplicates.size() < kMaxDuplicates) {
       m_document.duplicates.push_back(
           FindingHere("the name stands twice here; keep one"));
@@ -86,7 +87,7 @@
     return false;
   }
 
-  tl::expected<PlacedDocument, base::Findings> Take() {
+  tl::expected<PositionedDocument, base::Findings> Take() {
     if (!m_errors.empty()) {
       return tl::make_unexpected(std::move(m_errors));
     }
@@ -95,9 +96,9 @@
 
  private:
   template <typename Content>
-  PlacedValue StartValue(Content content) {
+  PositionedValue StartValue(Content content) {
     m_cursor.SkipToToken();
-    PlacedValue value;
+    PositionedValue value;
     value.content = std::move(content);
     value.line = m_cursor.Line();
     value.column = m_cursor.Column();
@@ -107,14 +108,14 @@
 
   template <typename Content>
   bool AddScalar(Content content) {
-    PlacedValue value = StartValue(content);
+    PositionedValue value = StartValue(content);
     m_cursor.SkipScalar();
     return Finish(std::move(value));
   }
 
   template <typename Content>
   bool Open(Content content) {
-    PlacedValue value = StartValue(std::move(content));
+    PositionedValue value = StartValue(std::move(content));
     if (m_open.size() >= kMaxDocumentDepth) {
       m_errors.push_back(FindingHere(fmt::format(
           "is nested deeper than the {} levels allowed", kMaxDocumentDepth)));
@@ -128,13 +129,13 @@
   bool Close() {
     m_cursor.SkipToToken();
     m_cursor.Step();
-    PlacedValue value = std::move(m_open.back().value);
+    PositionedValue value = std::move(m_open.back().value);
     m_open.pop_back();
     return Finish(std::move(value));
   }
 
   // Ends a value where the cursor stands and puts it where it belongs.
-  bool Finish(PlacedValue value) {
+  bool Finish(PositionedValue value) {
     value.end = m_cursor.Offset();
     if (++m_values > kMaxDocumentValues) {
       m_errors.push_back(FindingHere(
@@ -147,11 +148,11 @@
       return true;
     }
     Frame& frame = m_open.back();
-    if (auto* list = std::get_if<PlacedList>(&frame.value.content)) {
+    if (auto* list = std::get_if<PositionedList>(&frame.value.content)) {
       list->push_back(std::move(value));
     } else if (!frame.skip) {
       frame.member.value = std::move(value);
-      std::get<PlacedObject>(frame.value.content)
+      std::get<PositionedObject>(frame.value.content)
           .push_back(std::move(frame.member));
     }
     return true;
@@ -167,7 +168,8 @@
   std::string OpenPath() const {
     std::string path;
     for (const Frame& frame : m_open) {
-      if (const auto* list = std::get_if<PlacedList>(&frame.value.content)) {
+      if (const auto* list =
+              std::get_if<PositionedList>(&frame.value.content)) {
         path += fmt::format("[{}]", list->size());
       } else {
         path += path.empty() ? "" : ".";
@@ -180,7 +182,7 @@
   std::string_view m_text;
   TextCursor m_cursor;
   std::vector<Frame> m_open;
-  PlacedDocument m_document;
+  PositionedDocument m_document;
   base::Findings m_errors;
   std::size_t m_values = 0;
 };
@@ -196,25 +198,26 @@
 }
 
 // The value one step down the path, or null. Takes the step off the path.
-const PlacedValue* StepInto(const PlacedValue& value, std::string_view& path) {
+const PositionedValue* StepInto(const PositionedValue& value,
+                                std::string_view& path) {
   if (path.front() == '[') {
     const std::size_t close = path.find(']');
     std::size_t index = 0;
     std::from_chars(path.data() + 1, path.data() + path.size(), index);
     path.remove_prefix(std::min(path.size(), close + 1));
-    const auto* list = std::get_if<PlacedList>(&value.content);
+    const auto* list = std::get_if<PositionedList>(&value.content);
     return list == nullptr || index >= list->size() ? nullptr : &(*list)[index];
   }
   path.remove_prefix(path.front() == '.' ? 1 : 0);
   const std::size_t end = std::min(path.find_first_of(".["), path.size());
-  const PlacedMember* member = FindMember(value, path.substr(0, end));
+  const PositionedMember* member = FindMember(value, path.substr(0, end));
   path.remove_prefix(end);
   return member == nullptr ? nullptr : &member->value;
 }
 
 }  // namespace
 
-tl::expected<PlacedDocument, base::Findings> ParsePlacedJson(
+tl::expected<PositionedDocument, base::Findings> ParsePositionedJson(
     std::string_view text,
     const std::string& file) {
   if (text.size() > kMaxDocumentBytes) {
@@ -234,23 +237,23 @@
   return builder.Take();
 }
 
-const PlacedMember* FindMember(const PlacedValue& value,
-                               std::string_view name) {
-  const auto* object = std::get_if<PlacedObject>(&value.content);
+const PositionedMember* FindMember(const PositionedValue& value,
+                                   std::string_view name) {
+  const auto* object = std::get_if<PositionedObject>(&value.content);
   if (object == nullptr) {
     return nullptr;
   }
   const auto found = std::find_if(
       object->begin(), object->end(),
-      [name](const PlacedMember& member) { return member.name == name; });
+      [name](const PositionedMember& member) { return member.name == name; });
   return found == object->end() ? nullptr : &*found;
 }
 
-base::TextPosition FindPlace(const PlacedDocument& document,
-                             std::string_view path) {
-  const PlacedValue* value = &document.root;
+base::TextPosition FindTextPosition(const PositionedDocument& document,
+                                    std::string_view path) {
+  const PositionedValue* value = &document.root;
   while (!path.empty()) {
-    const PlacedValue* next = StepInto(*value, path);
+    const PositionedValue* next = StepInto(*value, path);
     if (next == nullptr) {
       break;
     }
@@ -259,7 +262,7 @@
   return {document.file, value->line, value->column};
 }
 
-std::string_view KindOf(const PlacedValue& value) {
+std::string_view KindOf(const PositionedValue& value) {
   constexpr std::string_view kKinds[] = {
       "null", "true or false", "a whole number", "a number",
       "text", "a list",        "an object"};
--- a/src/cassiastile/config/placed_json_test.cpp
+++ b/src/cassiastile/config/positioned_json_test.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 
 #include <string>
 
@@ -11,7 +11,7 @@
 
 // The only finding that a text gives, as printed.
 std::string FindingOf(const std::string& text) {
-  const auto document = ParsePlacedJson(text, "f");
+  const auto document = ParsePositionedJson(text, "f");
   if (document || document.error().size() != 1) {
     return "no single finding";
   }
@@ -22,10 +22,10 @@
   const std::string text =
       "// head\n{ \"a\": [1,/*,:*/ -2.5e3/* x */, \"\\\"]\"],\n"
       "  /* ž */ \"b\": {\"c\": true}, \"d\": null }";
-  const auto document = ParsePlacedJson(text, "f");
+  const auto document = ParsePositionedJson(text, "f");
   ASSERT_TRUE(document);
   const auto slice = [&](std::string_view path) {
-    const base::TextPosition place = FindPlace(*document, path);
+    const base::TextPosition place = FindTextPosition(*document, path);
     return std::to_string(place.line) + ":" + std::to_string(place.column);
   };
   EXPECT_EQ(slice("a"), "2:8");
@@ -35,7 +35,7 @@
   EXPECT_EQ(slice("b.c"), "3:22");
   EXPECT_EQ(slice("d"), "3:34");
   EXPECT_EQ(slice("b.nothing"), "3:16");
-  const PlacedValue& list = FindMember(document->root, "a")->value;
+  const PositionedValue& list = FindMember(document->root, "a")->value;
   EXPECT_EQ(text.substr(list.begin, list.end - list.begin),
             "[1,/*,:*/ -2.5e3/* x */, \"\\\"]\"]");
 }
@@ -73,12 +73,12 @@
             std::string::npos);
   const std::string allowed =
       std::string(kMaxDocumentDepth, '[') + std::string(kMaxDocumentDepth, ']');
-  EXPECT_TRUE(ParsePlacedJson(allowed, "f"));
+  EXPECT_TRUE(ParsePositionedJson(allowed, "f"));
 }
 
 TEST(PlacedJsonTest, ReportsDuplicatesWithTheirPaths) {
   const auto document =
-      ParsePlacedJson("{\"a\": [{\"b\": 1,\n\"b\": {\"b\": 2}}]}", "f");
+      ParsePositionedJson("{\"a\": [{\"b\": 1,\n\"b\": {\"b\": 2}}]}", "f");
   ASSERT_TRUE(document);
   ASSERT_EQ(document->duplicates.size(), 1U);
   EXPECT_EQ(document->duplicates[0].path, "a[0].b");
@@ -88,7 +88,7 @@
 RC_GTEST_PROP(PlacedJsonPropertyTest,
               AnyBytesGiveAValueOrFindings,
               (const std::string& text)) {
-  const auto document = ParsePlacedJson(text, "f");
+  const auto document = ParsePositionedJson(text, "f");
   RC_ASSERT(document.has_value() || !document.error().empty());
 }
 
@@ -101,7 +101,7 @@
   for (const std::string& token : tokens) {
     text += token;
   }
-  const auto document = ParsePlacedJson(text, "f");
+  const auto document = ParsePositionedJson(text, "f");
   RC_ASSERT(document.has_value() || !document.error().empty());
   const bool valid = nlohmann::json::accept(text, true);
   RC_ASSERT(document.has_value() == valid);
--- a/src/cassiastile/config/section_edit.cpp
+++ b/src/cassiastile/config/section_edit.cpp
@@ -5,7 +5,7 @@
 
 #include <fmt/format.h>
 
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 
 namespace cassiastile::config {
 
@@ -24,8 +24,8 @@
   std::size_t end = 0;
 };
 
-base::Result<PlacedDocument> Parse(std::string_view text) {
-  auto document = ParsePlacedJson(text, "document");
+base::Result<PositionedDocument> Parse(std::string_view text) {
+  auto document = ParsePositionedJson(text, "document");
   if (!document) {
     return Fail(ErrorCode::kInvalid,
                 base::FormatFinding(document.error().front()));
@@ -44,11 +44,11 @@
     return tl::make_unexpected(document.error());
   }
   std::vector<Span> spans;
-  const auto* root = std::get_if<PlacedObject>(&document->root.content);
+  const auto* root = std::get_if<PositionedObject>(&document->root.content);
   if (root == nullptr) {
     return Fail(ErrorCode::kInvalid, "the document is not an object");
   }
-  for (const PlacedMember& member : *root) {
+  for (const PositionedMember& member : *root) {
     if (const auto section = FindSection(member.name)) {
       spans.push_back({*section, member.value.begin, member.value.end});
     }
@@ -121,8 +121,8 @@
                          std::string message) {
   base::Finding finding{
       {file, 1, 1}, std::string(NameOf(section)), std::move(message)};
-  if (const auto document = ParsePlacedJson(after, file)) {
-    finding.place = FindPlace(*document, finding.path);
+  if (const auto document = ParsePositionedJson(after, file)) {
+    finding.place = FindTextPosition(*document, finding.path);
   }
   return finding;
 }
@@ -144,7 +144,8 @@
   if (!list) {
     return tl::make_unexpected(list.error());
   }
-  const bool is_list = std::holds_alternative<PlacedList>(list->root.content);
+  const bool is_list =
+      std::holds_alternative<PositionedList>(list->root.content);
   if (!is_list || list->root.begin != 0 || list->root.end != trimmed.size()) {
     return Fail(ErrorCode::kInvalid,
                 fmt::format("the text of section \"{}\" must be one list that "
@@ -171,7 +172,7 @@
     return tl::make_unexpected(after_spans.error());
   }
   DocumentDifference difference;
-  difference.outside =
+  difference.outside_sections =
       TextOutside(before, *before_spans) != TextOutside(after, *after_spans);
   for (auto i = static_cast<int>(SectionName::kOperators);
        i <= static_cast<int>(SectionName::kWaves); ++i) {
@@ -183,7 +184,7 @@
   return difference;
 }
 
-std::string FindOwner(const Fleet& fleet, SectionName section) {
+std::string FindSectionOwner(const Fleet& fleet, SectionName section) {
   for (const Ownership& row : fleet.ownership) {
     if (row.section == section) {
       return row.owner;
@@ -192,18 +193,18 @@
   return "";
 }
 
-base::Findings CheckOwner(std::string_view before,
-                          std::string_view after,
-                          const Fleet& fleet_before,
-                          std::string_view editor,
-                          const std::string& file) {
+base::Findings CheckEditPermission(std::string_view before,
+                                   std::string_view after,
+                                   const Fleet& fleet_before,
+                                   std::string_view editor,
+                                   const std::string& file) {
   const auto difference = CompareDocuments(before, after);
   if (!difference) {
     return {{{file, 1, 1}, "", difference.error().message}};
   }
   base::Findings findings;
   for (const SectionName section : difference->sections) {
-    const std::string owner = FindOwner(fleet_before, section);
+    const std::string owner = FindSectionOwner(fleet_before, section);
     if (owner != editor) {
       findings.push_back(RefuseEdit(
           after, file, section,
@@ -212,8 +213,9 @@
                       owner, editor)));
     }
   }
-  const std::string owner = FindOwner(fleet_before, SectionName::kOwnership);
-  if (difference->outside && owner != editor) {
+  const std::string owner =
+      FindSectionOwner(fleet_before, SectionName::kOwnership);
+  if (difference->outside_sections && owner != editor) {
     findings.push_back(
         {{file, 1, 1},
          "",
--- a/src/cassiastile/config/section_edit_test.cpp
+++ b/src/cassiastile/config/section_edit_test.cpp
@@ -66,8 +66,10 @@
   const std::string before = Example();
   const Fleet fleet = *ReadFleet(before, "f");
   const std::string after = Replaced(before, "\"weight\": 4", "\"weight\": 5");
-  EXPECT_TRUE(CheckOwner(before, after, fleet, "contest-office", "f").empty());
-  const auto refused = CheckOwner(before, after, fleet, "key-desk", "f");
+  EXPECT_TRUE(
+      CheckEditPermission(before, after, fleet, "contest-office", "f").empty());
+  const auto refused =
+      CheckEditPermission(before, after, fleet, "key-desk", "f");
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].path, "shares");
   EXPECT_NE(refused[0].message.find("owned by \"contest-office\""),
@@ -81,16 +83,20 @@
       Replaced(Replaced(before, R"("keys", "owner": "key-desk")",
                         R"("keys", "owner": "contest-office")"),
                "\"brno-region-key-1\"", "\"brno-region-key-2\"");
-  EXPECT_EQ(CheckOwner(before, after, fleet, "contest-office", "f").size(), 2U);
+  EXPECT_EQ(
+      CheckEditPermission(before, after, fleet, "contest-office", "f").size(),
+      2U);
 }
 
 TEST(SectionEditTest, TextOutsideBelongsToTheOwnerOfOwnership) {
   const std::string before = Example();
   const Fleet fleet = *ReadFleet(before, "f");
   const std::string after = Replaced(before, "// Nights only", "// Days only");
-  EXPECT_TRUE(CheckOwner(before, after, fleet, "audit-board", "f").empty());
-  EXPECT_EQ(CheckOwner(before, after, fleet, "platform-office", "f").size(),
-            1U);
+  EXPECT_TRUE(
+      CheckEditPermission(before, after, fleet, "audit-board", "f").empty());
+  EXPECT_EQ(
+      CheckEditPermission(before, after, fleet, "platform-office", "f").size(),
+      1U);
 }
 
 TEST(DiffTest, ShowsLinesInTheUnifiedFormat) {
@@ -158,8 +164,8 @@
                    "\"requests\": 140, \"tasks\": 160");
   const Fleet old_fleet = *ReadFleet(before, "f");
   const Fleet new_fleet = *ReadFleet(after, "f");
-  const std::vector<TeamUse> use{{"brno-region", 150, 3},
-                                 {"praha-region", 150, 3}};
+  const std::vector<TeamUsage> use{{"brno-region", 150, 3},
+                                   {"praha-region", 150, 3}};
   const FleetChange change = CompareFleets(old_fleet, new_fleet, use);
   EXPECT_EQ(DescribeChange(change),
             "host entries-01 leaves pool entries and the fleet\n"
--- a/src/cassiastile/config/settings.cpp
+++ b/src/cassiastile/config/settings.cpp
@@ -9,7 +9,7 @@
 #include <fmt/format.h>
 
 #include "cassiastile/config/field_reader.hpp"
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 #include "cassiastile/config/text_file.hpp"
 
 namespace cassiastile::config {
@@ -39,12 +39,12 @@
 }  // namespace
 
 struct Settings::State {
-  explicit State(PlacedDocument parsed)
+  explicit State(PositionedDocument parsed)
       : document(std::move(parsed)),
         findings(document.duplicates),
         reader(document, document.root, "", findings) {}
 
-  PlacedDocument document;
+  PositionedDocument document;
   base::Findings findings;
   FieldReader reader;
 };
@@ -77,7 +77,7 @@
 tl::expected<Settings, base::Findings> Settings::Parse(
     std::string_view text,
     const std::string& file) {
-  auto document = ParsePlacedJson(text, file);
+  auto document = ParsePositionedJson(text, file);
   if (!document) {
     return tl::make_unexpected(std::move(document.error()));
   }
@@ -165,7 +165,7 @@
 }
 
 base::Findings Settings::Finish() {
-  m_state->reader.RefuseUnknown();
+  m_state->reader.ReportUnknownFields();
   return std::move(m_state->findings);
 }
 
--- a/src/cassiastile/config/text_file.cpp
+++ b/src/cassiastile/config/text_file.cpp
@@ -7,7 +7,7 @@
 
 #include <fmt/format.h>
 
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 
 namespace cassiastile::config {
 
--- a/src/cassiastile/config/text_file_test.cpp
+++ b/src/cassiastile/config/text_file_test.cpp
@@ -4,7 +4,7 @@
 
 #include <gtest/gtest.h>
 
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 
 namespace cassiastile::config {
 namespace {
@@ -22,7 +22,7 @@
 TEST(TextFileTest, AnEndlessFileEndsInAFinding) {
   const auto text = ReadTextFile("/dev/zero");
   ASSERT_TRUE(text);
-  EXPECT_FALSE(ParsePlacedJson(*text, "f"));
+  EXPECT_FALSE(ParsePositionedJson(*text, "f"));
 }
 
 }  // namespace
--- a/src/cassiastile/entry/entry_hosts_test.cpp
+++ b/src/cassiastile/entry/entry_hosts_test.cpp
@@ -133,7 +133,7 @@
     ASSERT_TRUE(outcome.has_value());
     answered += outcome->status == 200 ? 1 : 0;
   }
-  EXPECT_LE(runner->Counts().most_running, kLimit);
+  EXPECT_LE(runner->Counts().peak_running, kLimit);
   EXPECT_EQ(runner->Log().size(), answered);
   EXPECT_GT(answered, 0U);
 }
@@ -149,7 +149,7 @@
     EXPECT_TRUE(answer.get().has_value());
   }
   EXPECT_EQ(m_runner->Counts().over_slots, 0U);
-  EXPECT_LE(m_runner->Counts().most_connections, 64U);
+  EXPECT_LE(m_runner->Counts().peak_connections, 64U);
 }
 
 TEST_F(EntryHostsTest, StoppingHostFinishesWhatItTook) {
--- a/src/cassiastile/entry/entry_service_test.cpp
+++ b/src/cassiastile/entry/entry_service_test.cpp
@@ -190,8 +190,8 @@
   for (int i = 0; i < 8; ++i) {
     EXPECT_EQ(Call("GET", "/v1/services/draw/order").status, 200);
   }
-  m_first->SilenceConnections();
-  m_second->SilenceConnections();
+  m_first->BlackholeConnections();
+  m_second->BlackholeConnections();
   EXPECT_EQ(Call("POST", "/v1/services/draw/order", "entry").status, 200);
   EXPECT_EQ(Runs("entry"), 1U);
   for (int i = 0; i < 4; ++i) {
@@ -221,7 +221,7 @@
     asio::write(slow.back(), asio::buffer(part));
   }
   EXPECT_EQ(Call("POST", "/v1/services/draw/order", "x").status, 200);
-  EXPECT_EQ(m_first->Counts().most_running + m_second->Counts().most_running,
+  EXPECT_EQ(m_first->Counts().peak_running + m_second->Counts().peak_running,
             1U);
 }
 
--- a/src/cassiastile/member/config_store.cpp
+++ b/src/cassiastile/member/config_store.cpp
@@ -39,7 +39,7 @@
     return std::find(right.sections.begin(), right.sections.end(), section) !=
            right.sections.end();
   };
-  return left.outside ||
+  return left.outside_sections ||
          std::any_of(left.sections.begin(), left.sections.end(), touches);
 }
 
@@ -153,8 +153,8 @@
   candidate.editor = editor->name;
   if (!first) {
     base::Findings denied =
-        config::CheckOwner(candidate.before, candidate.after, fleet_before,
-                           editor->name, kFileName);
+        config::CheckEditPermission(candidate.before, candidate.after,
+                                    fleet_before, editor->name, kFileName);
     if (!denied.empty()) {
       return Refuse(EditDenied{std::move(denied)});
     }
--- a/src/cassiastile/operator/documents.cpp
+++ b/src/cassiastile/operator/documents.cpp
@@ -7,7 +7,7 @@
 
 #include "cassiastile/config/diff.hpp"
 #include "cassiastile/config/fleet_reader.hpp"
-#include "cassiastile/config/placed_json.hpp"
+#include "cassiastile/config/positioned_json.hpp"
 #include "cassiastile/config/section_edit.hpp"
 #include "cassiastile/config/text_file.hpp"
 #include "report.hpp"
@@ -35,12 +35,12 @@
 SectionPlace LocateSection(const std::string& document,
                            const SectionEdit& edit) {
   SectionPlace place;
-  const auto parsed = config::ParsePlacedJson(document, "document");
+  const auto parsed = config::ParsePositionedJson(document, "document");
   if (!parsed) {
     return place;
   }
   const base::TextPosition start =
-      config::FindPlace(*parsed, config::NameOf(edit.section));
+      config::FindTextPosition(*parsed, config::NameOf(edit.section));
   const std::size_t first =
       std::min(edit.text.find_first_not_of(" \t\r\n"), edit.text.size());
   const std::size_t last = edit.text.find_last_not_of(" \t\r\n");
@@ -147,7 +147,7 @@
   const auto text =
       config::ReplaceSection(document.text, edit.section, edit.text);
   if (!text) {
-    const auto syntax = config::ParsePlacedJson(edit.text, edit.file);
+    const auto syntax = config::ParsePositionedJson(edit.text, edit.file);
     return syntax ? base::Findings{{{edit.file, 1, 1},
                                     std::string(config::NameOf(edit.section)),
                                     text.error().message}}
--- a/src/cassiastile/soak/fleet.cpp
+++ b/src/cassiastile/soak/fleet.cpp
@@ -425,7 +425,7 @@
       proxy.ResetConnections();
       return;
     case FaultKind::kSilence:
-      proxy.SilenceConnections();
+      proxy.BlackholeConnections();
       return;
     default:
       proxy.Set({.delay = fault.kind == FaultKind::kDelay ? kLinkDelay
--- a/src/cassiastile/soak/loopback_proxy.cpp
+++ b/src/cassiastile/soak/loopback_proxy.cpp
@@ -211,7 +211,7 @@
   m_impl->Reset();
 }
 
-void LoopbackProxy::SilenceConnections() {
+void LoopbackProxy::BlackholeConnections() {
   m_impl->Silence();
 }
 
--- a/src/cassiastile/standin/backend.cpp
+++ b/src/cassiastile/standin/backend.cpp
@@ -83,7 +83,7 @@
     m_options.service_time = service_time;
   }
 
-  void SilenceConnections() {
+  void BlackholeConnections() {
     const std::lock_guard lock(m_mutex);
     m_silent_before = m_next_connection;
   }
@@ -138,8 +138,8 @@
   std::uint64_t OpenConnection() {
     const std::lock_guard lock(m_mutex);
     ++m_connections;
-    m_counts.most_connections =
-        std::max(m_counts.most_connections, m_connections);
+    m_counts.peak_connections =
+        std::max(m_counts.peak_connections, m_connections);
     return m_next_connection++;
   }
 
@@ -274,7 +274,7 @@
   BackendFault StartWork(const Received& received) {
     const std::lock_guard lock(m_mutex);
     ++m_running;
-    m_counts.most_running = std::max(m_counts.most_running, m_running);
+    m_counts.peak_running = std::max(m_counts.peak_running, m_running);
     m_counts.over_slots += m_running > m_options.slots ? 1 : 0;
     LoggedExecution execution;
     execution.method = received.method;
@@ -310,7 +310,7 @@
       SetServiceTime(std::chrono::milliseconds(json["service_ms"].get<int>()));
     }
     if (json.value("silence", false)) {
-      SilenceConnections();
+      BlackholeConnections();
     }
     const auto fault = FindBackendFault(json.value("fault", "none"));
     SetFault(fault.value_or(BackendFault::kNone), json.value("count", 0U));
@@ -375,8 +375,8 @@
   m_impl->SetServiceTime(service_time);
 }
 
-void Backend::SilenceConnections() {
-  m_impl->SilenceConnections();
+void Backend::BlackholeConnections() {
+  m_impl->BlackholeConnections();
 }
 
 std::vector<LoggedExecution> Backend::Log() const {
--- a/src/cassiastile/standin/backend_fault_mix.cpp
+++ b/src/cassiastile/standin/backend_fault_mix.cpp
@@ -73,7 +73,7 @@
     runner.faults = DrawFaults(random);
     runner.stalled = random() % kStalledInverse == 0;
     if (random() % kSilentInverse == 0) {
-      runner.kept_silent_until = simulation.Now() + kSilence;
+      runner.blackhole_until = simulation.Now() + kSilence;
     }
   }
   platform::MemoryFaults faults;
@@ -94,7 +94,7 @@
   found.ran_twice += !request.idempotent && ran > 1 ? 1 : 0;
   found.answered_twice += seen.answers > 1 ? 1 : 0;
   found.not_run_but_ran += not_run && ran > 0 ? 1 : 0;
-  found.foreign_answers += !not_run && !unknown && !seen.whole ? 1 : 0;
+  found.wrong_answers += !not_run && !unknown && !seen.whole ? 1 : 0;
   result.tally.whole += seen.whole ? 1 : 0;
   result.tally.not_run += not_run ? 1 : 0;
   result.tally.unknown += unknown ? 1 : 0;
@@ -108,7 +108,7 @@
     ++runs[execution.request];
   }
   FaultMixResult result;
-  result.violations.over_slots = simulation.Backends().OverLimit();
+  result.violations.over_slots = simulation.Backends().StartsOverSlots();
   for (const SimulatedRequest& request : requests) {
     const int ran = runs[std::to_string(request.id)];
     const auto answer = simulation.Answers().find(request.id);
@@ -127,7 +127,7 @@
 
 void PrintTo(const FaultMixViolations& found, std::ostream* out) {
   *out << "ran twice " << found.ran_twice << ", not run but ran "
-       << found.not_run_but_ran << ", foreign " << found.foreign_answers
+       << found.not_run_but_ran << ", foreign " << found.wrong_answers
        << ", without answer " << found.without_answer << ", answered twice "
        << found.answered_twice << ", over slots " << found.over_slots;
 }
--- a/src/cassiastile/standin/backend_model.cpp
+++ b/src/cassiastile/standin/backend_model.cpp
@@ -123,7 +123,7 @@
     return;
   }
   const bool swallowed =
-      !active.call.fresh_connection && now < options.kept_silent_until;
+      !active.call.fresh_connection && now < options.blackhole_until;
   if (swallowed) {
     return;
   }
@@ -197,7 +197,7 @@
   }
   active.answered = true;
   const bool working = active.working;
-  const bool stops = active.call.tells_stop || (!working && !active.queued);
+  const bool stops = active.call.sends_timeout || (!working && !active.queued);
   if (!stops) {
     return;
   }
--- a/src/cassiastile/standin/backend_simulation.cpp
+++ b/src/cassiastile/standin/backend_simulation.cpp
@@ -338,7 +338,7 @@
   call.request = RequestName(request);
   call.request_id = sent.request_id;
   call.timeout = m_now + flight.request.timeout / kBaselineTries;
-  call.tells_stop = false;
+  call.sends_timeout = false;
   m_sent.emplace(call.id, std::move(sent));
   m_backends.Call(call, m_now);
 }
--- a/src/cassiastile/standin/worker.cpp
+++ b/src/cassiastile/standin/worker.cpp
@@ -14,29 +14,29 @@
 
 using work::RunEnd;
 
-constexpr std::array<base::EnumName<WorkerAct>, 6> kActNames{{
-    {WorkerAct::kStarted, "started"},
-    {WorkerAct::kSucceeded, "succeeded"},
-    {WorkerAct::kFailed, "failed"},
-    {WorkerAct::kCheckpointed, "checkpointed"},
-    {WorkerAct::kStopped, "stopped"},
-    {WorkerAct::kNotStarted, "not-started"},
+constexpr std::array<base::EnumName<WorkerEvent>, 6> kActNames{{
+    {WorkerEvent::kStarted, "started"},
+    {WorkerEvent::kSucceeded, "succeeded"},
+    {WorkerEvent::kFailed, "failed"},
+    {WorkerEvent::kCheckpointed, "checkpointed"},
+    {WorkerEvent::kStopped, "stopped"},
+    {WorkerEvent::kNotStarted, "not-started"},
 }};
 
-WorkerAct ActOf(RunEnd end) {
+WorkerEvent ActOf(RunEnd end) {
   switch (end) {
     case RunEnd::kSucceeded:
-      return WorkerAct::kSucceeded;
+      return WorkerEvent::kSucceeded;
     case RunEnd::kFailed:
-      return WorkerAct::kFailed;
+      return WorkerEvent::kFailed;
     case RunEnd::kCheckpointed:
-      return WorkerAct::kCheckpointed;
+      return WorkerEvent::kCheckpointed;
     case RunEnd::kStopped:
-      return WorkerAct::kStopped;
+      return WorkerEvent::kStopped;
     case RunEnd::kNotStarted:
-      return WorkerAct::kNotStarted;
+      return WorkerEvent::kNotStarted;
   }
-  return WorkerAct::kStopped;
+  return WorkerEvent::kStopped;
 }
 
 nlohmann::json ParsePayload(const std::string& payload) {
@@ -54,7 +54,7 @@
 
 }  // namespace
 
-std::string_view NameOf(WorkerAct act) {
+std::string_view NameOf(WorkerEvent act) {
   return base::FindName(kActNames, act);
 }
 
@@ -178,7 +178,7 @@
 void Worker::Restart(base::TimePoint now) {
   m_now = now;
   for (const auto& [key, run] : m_runs) {
-    Note(WorkerAct::kStopped, run);
+    Note(WorkerEvent::kStopped, run);
   }
   m_runs.clear();
   m_ended.clear();
@@ -192,7 +192,7 @@
   ++m_options.incarnation;
 }
 
-bool Worker::HasNews() const {
+bool Worker::HasUnreportedRuns() const {
   return m_has_news;
 }
 
@@ -230,7 +230,7 @@
   run.done = ParseProgress(order.checkpoint);
   run.done_before = run.done;
   run.started = now;
-  Note(WorkerAct::kStarted, run);
+  Note(WorkerEvent::kStarted, run);
   m_runs.emplace(key, std::move(run));
 }
 
@@ -319,8 +319,8 @@
   }
 }
 
-void Worker::Note(WorkerAct act, const Run& run) {
-  WorkerLogLine line;
+void Worker::Note(WorkerEvent act, const Run& run) {
+  WorkerLogEntry line;
   line.at = m_now;
   line.act = act;
   line.worker = m_options.name;
--- a/src/cassiastile/standin/worker_agent.cpp
+++ b/src/cassiastile/standin/worker_agent.cpp
@@ -31,7 +31,7 @@
       m_options(std::move(options)),
       m_client(wire::HttpClient::Create()),
       m_worker(m_options.worker,
-               [this](const WorkerLogLine& line) { LogLine(line); }) {}
+               [this](const WorkerLogEntry& line) { LogLine(line); }) {}
 
 WorkerAgent::~WorkerAgent() {
   Stop();
@@ -78,8 +78,9 @@
     lock.lock();
     m_changed.notify_all();
     const base::TimePoint start = m_clock.Now();
-    while (!m_stopping && m_clock.Now() - start < m_poll_after &&
-           (!m_worker.HasNews() || m_clock.Now() - start < kLeastGap)) {
+    while (
+        !m_stopping && m_clock.Now() - start < m_poll_after &&
+        (!m_worker.HasUnreportedRuns() || m_clock.Now() - start < kLeastGap)) {
       m_changed.wait_for(lock, kTick);
     }
   }
@@ -152,7 +153,7 @@
   return wire::MakeJsonResponse(kOk, nlohmann::json::object());
 }
 
-void WorkerAgent::LogLine(const WorkerLogLine& line) const {
+void WorkerAgent::LogLine(const WorkerLogEntry& line) const {
   m_log.Info(fmt::format("Task {} {}, epoch {}, team {}, {}.", line.key,
                          NameOf(line.act), line.epoch, line.team,
                          line.idempotent ? "idempotent" : "not idempotent"));
--- a/src/cassiastile/standin/worker_fleet.cpp
+++ b/src/cassiastile/standin/worker_fleet.cpp
@@ -29,8 +29,8 @@
   for (std::size_t index = 0; index < m_members.size(); ++index) {
     Member& member = m_members[index];
     member.worker.Advance(now);
-    const bool news =
-        member.worker.HasNews() && now - member.last_poll >= kLeastGap;
+    const bool news = member.worker.HasUnreportedRuns() &&
+                      now - member.last_poll >= kLeastGap;
     if (member.worker.IsPaused() || (now < member.next_poll && !news)) {
       continue;
     }
--- a/src/cassiastile/standin/worker_property_test.cpp
+++ b/src/cassiastile/standin/worker_property_test.cpp
@@ -167,9 +167,9 @@
 
 // How often the workers began a task without a checkpoint to go on from.
 std::size_t Beginnings(const TaskWorld& world, const std::string& key) {
-  return world.CountLog(key, WorkerAct::kStarted) -
-         std::min(world.CountLog(key, WorkerAct::kStarted),
-                  world.CountLog(key, WorkerAct::kCheckpointed));
+  return world.CountLog(key, WorkerEvent::kStarted) -
+         std::min(world.CountLog(key, WorkerEvent::kStarted),
+                  world.CountLog(key, WorkerEvent::kCheckpointed));
 }
 
 void CheckEnds(TaskWorld& world, const Chaos& chaos) {
@@ -199,12 +199,12 @@
   Chaos chaos(world);
   for (const Event& event : events) {
     chaos.Do(event);
-    RC_ASSERT(world.most_running["a"] <= kLimitA);
-    RC_ASSERT(world.most_running["b"] <= kLimitB);
+    RC_ASSERT(world.peak_running["a"] <= kLimitA);
+    RC_ASSERT(world.peak_running["b"] <= kLimitB);
   }
   chaos.Heal();
-  RC_ASSERT(world.most_running["a"] <= kLimitA);
-  RC_ASSERT(world.most_running["b"] <= kLimitB);
+  RC_ASSERT(world.peak_running["a"] <= kLimitA);
+  RC_ASSERT(world.peak_running["b"] <= kLimitB);
   CheckEnds(world, chaos);
 }
 
--- a/src/cassiastile/standin/worker_task_test.cpp
+++ b/src/cassiastile/standin/worker_task_test.cpp
@@ -16,7 +16,7 @@
   EXPECT_EQ(world.Submit(MakeSpec("1")).effect, Effect::kCommitted);
   world.Run(seconds(10));
   EXPECT_EQ(world.Stored("q/1")->outcome, TaskOutcome::kSucceeded);
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kStarted), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kStarted), 1U);
 }
 
 TEST(TaskLifeTest, SubmittedTwiceWithTheSameIdRunsOnce) {
@@ -26,7 +26,7 @@
   EXPECT_EQ(world.Submit(MakeSpec("1")).reply.verdict, Verdict::kSame);
   EXPECT_EQ(world.Submit(MakeSpec("1", 7)).reply.verdict, Verdict::kConflict);
   world.Run(seconds(10));
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kStarted), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kStarted), 1U);
 }
 
 TEST(TaskLifeTest, PausedWorkerCannotReportAndTaskRunsElsewhere) {
@@ -47,7 +47,7 @@
   EXPECT_TRUE(world.Stored("q/1")->unconfirmed.empty());
   world.Run(seconds(30));
   EXPECT_EQ(world.Stored("q/1")->outcome, TaskOutcome::kSucceeded);
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kSucceeded), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kSucceeded), 1U);
 }
 
 TEST(TaskLifeTest, NonIdempotentTaskOfASilentWorkerIsInDoubt) {
@@ -64,7 +64,7 @@
   EXPECT_EQ(task.state, TaskState::kInDoubt);
   EXPECT_NE(task.reason.find("worker " + worker), std::string::npos);
   EXPECT_EQ(world.decisions.kept.back().outcome, "in doubt");
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kStarted), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kStarted), 1U);
 }
 
 TEST(TaskLifeTest, NonIdempotentTaskOfARestartedWorkerWaitsForAnOperator) {
@@ -78,7 +78,7 @@
       .Restart(world.clock.Now());
   world.Run(seconds(30));
   EXPECT_EQ(world.Stored("q/1")->state, TaskState::kInDoubt);
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kStarted), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kStarted), 1U);
   world.Send(work::ResolveEvent{"q/1", TaskOutcome::kNone, "ann"});
   world.Run(seconds(30));
   EXPECT_EQ(world.Stored("q/1")->outcome, TaskOutcome::kSucceeded);
@@ -91,7 +91,7 @@
   spec.idempotent = false;
   world.Submit(spec);
   world.Run(seconds(40));
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kStarted), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kStarted), 1U);
   EXPECT_EQ(world.Stored("q/1")->state, TaskState::kEnded);
 }
 
@@ -106,7 +106,7 @@
   world.draining.insert(worker);
   world.Apply();
   world.Run(seconds(4));
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kCheckpointed), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kCheckpointed), 1U);
   EXPECT_NE(world.Stored("q/1")->lease.worker, worker);
   world.Run(seconds(22));
   EXPECT_EQ(world.Stored("q/1")->outcome, TaskOutcome::kSucceeded);
@@ -119,7 +119,7 @@
   EXPECT_EQ(world.Send(work::CancelEvent{"q/1"}).effect, Effect::kCommitted);
   world.Run(seconds(3));
   EXPECT_EQ(world.Stored("q/1")->outcome, TaskOutcome::kCancelled);
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kStopped), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kStopped), 1U);
 }
 
 TEST(TaskLifeTest, PoisonTaskStopsAfterBoundedTries) {
@@ -129,7 +129,7 @@
   world.Submit(spec);
   world.Run(seconds(60));
   EXPECT_EQ(world.Stored("q/1")->outcome, TaskOutcome::kFailed);
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kStarted), 3U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kStarted), 3U);
 }
 
 TEST(TaskLifeTest, HopelessTaskIsRefusedOrReported) {
@@ -194,7 +194,7 @@
     world.workers->At(index).SetPaused(false);
   }
   world.Run(seconds(120));
-  EXPECT_EQ(world.most_running["a"], 3);
+  EXPECT_EQ(world.peak_running["a"], 3);
   for (const std::string& key : world.acknowledged) {
     EXPECT_EQ(world.Stored(key)->outcome, TaskOutcome::kSucceeded) << key;
   }
@@ -213,9 +213,9 @@
   world.Run(seconds(4));
   EXPECT_EQ(world.log.size(), lines);
   world.Run(seconds(6));
-  world.most_running.clear();
+  world.peak_running.clear();
   world.Run(seconds(30));
-  EXPECT_EQ(world.most_running["a"], 2);
+  EXPECT_EQ(world.peak_running["a"], 2);
 }
 
 TEST(StoreTest, OutageRefusesTruthfullyAndRunningWorkGoesOn) {
@@ -225,12 +225,12 @@
   world.table.SetFaults({.down = true});
   EXPECT_EQ(world.Submit(MakeSpec("2")).effect, Effect::kNotRun);
   world.Run(seconds(50));
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kSucceeded), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kSucceeded), 1U);
   world.table.SetFaults({});
   world.Run(seconds(5));
   EXPECT_EQ(world.Stored("q/1")->outcome, TaskOutcome::kSucceeded);
   EXPECT_FALSE(world.Stored("q/2").has_value());
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kStarted), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kStarted), 1U);
 }
 
 TEST(StoreTest, LostAnswerIsUnknownAndTheSameIdMayBeRepeated) {
@@ -241,7 +241,7 @@
   world.Run(seconds(1));
   EXPECT_EQ(world.Submit(MakeSpec("1")).reply.verdict, Verdict::kSame);
   world.Run(seconds(10));
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kStarted), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kStarted), 1U);
 }
 
 TEST(StoreTest, OwnerPausedPastItsLeaseWritesNothing) {
@@ -255,7 +255,7 @@
   world.Run(seconds(10));
   EXPECT_FALSE(world.Stored("q/2").has_value());
   EXPECT_EQ(world.Stored("q/1")->outcome, TaskOutcome::kSucceeded);
-  EXPECT_EQ(world.CountLog("q/1", WorkerAct::kStarted), 1U);
+  EXPECT_EQ(world.CountLog("q/1", WorkerEvent::kStarted), 1U);
 }
 
 TEST(UrgentTest, StartsWhileSweepsFillThePool) {
@@ -273,8 +273,8 @@
   push.declared = {12, 8, 0};
   world.Submit(push);
   world.Run(std::chrono::milliseconds(5400));
-  EXPECT_EQ(world.CountLog("u/push", WorkerAct::kStarted), 1U);
-  EXPECT_EQ(world.CountLog("u/push", WorkerAct::kStopped), 0U);
+  EXPECT_EQ(world.CountLog("u/push", WorkerEvent::kStarted), 1U);
+  EXPECT_EQ(world.CountLog("u/push", WorkerEvent::kStopped), 0U);
 }
 
 TEST(UrgentTest, NeverStopsWhatCannotBeCheckpointed) {
@@ -292,10 +292,10 @@
   push.declared = {12, 8, 0};
   world.Submit(push);
   world.Run(seconds(20));
-  for (const WorkerLogLine& line : world.log) {
-    EXPECT_EQ(line.act, WorkerAct::kStarted) << line.key;
+  for (const WorkerLogEntry& line : world.log) {
+    EXPECT_EQ(line.act, WorkerEvent::kStarted) << line.key;
   }
-  EXPECT_EQ(world.CountLog("u/push", WorkerAct::kStarted), 0U);
+  EXPECT_EQ(world.CountLog("u/push", WorkerEvent::kStarted), 0U);
 }
 
 TEST(RecoveryTest, TakesSubmissionsWhileReadingAndLosesNothing) {
@@ -325,7 +325,7 @@
   push.urgent = true;
   world.Submit(push);
   world.Run(seconds(5));
-  EXPECT_EQ(world.CountLog("u/push", WorkerAct::kStarted), 1U);
+  EXPECT_EQ(world.CountLog("u/push", WorkerEvent::kStarted), 1U);
   EXPECT_EQ(world.Stored("q/2999")->outcome, TaskOutcome::kCancelled);
 }
 
--- a/src/cassiastile/standin/worker_world_test.hpp
+++ b/src/cassiastile/standin/worker_world_test.hpp
@@ -42,7 +42,7 @@
     accepted.fleet.teams = {{"a", "c"}, {"b", "c"}};
     workers = std::make_unique<WorkerFleet>(
         pool.hosts, base::Random(seed),
-        [this](const WorkerLogLine& line) { Note(line); });
+        [this](const WorkerLogEntry& line) { Note(line); });
     for (auto& owner : m_owners) {
       owner = std::make_unique<work::TaskOwner>("p", work::TaskOwnerOptions{},
                                                 table, decisions,
@@ -144,9 +144,9 @@
     return work::DecodeTask((*row)->value).value();
   }
 
-  std::size_t CountLog(const std::string& key, WorkerAct act) const {
+  std::size_t CountLog(const std::string& key, WorkerEvent act) const {
     std::size_t count = 0;
-    for (const WorkerLogLine& line : log) {
+    for (const WorkerLogEntry& line : log) {
       count += line.key == key && line.act == act ? 1 : 0;
     }
     return count;
@@ -158,23 +158,23 @@
   config::AcceptedFleet accepted;
   std::set<std::string> draining;
   std::unique_ptr<WorkerFleet> workers;
-  std::vector<WorkerLogLine> log;
+  std::vector<WorkerLogEntry> log;
   std::set<std::string> acknowledged;
   std::map<std::string, std::int64_t> running;  // By team, as it really is.
-  std::map<std::string, std::int64_t> most_running;
+  std::map<std::string, std::int64_t> peak_running;
   std::size_t current = 0;
   bool both_answer = false;  // Workers ask either process.
 
  private:
-  void Note(const WorkerLogLine& line) {
+  void Note(const WorkerLogEntry& line) {
     log.push_back(line);
-    if (line.act == WorkerAct::kStarted) {
+    if (line.act == WorkerEvent::kStarted) {
       ++running[line.team];
-    } else if (line.act != WorkerAct::kNotStarted) {
+    } else if (line.act != WorkerEvent::kNotStarted) {
       --running[line.team];
     }
-    most_running[line.team] =
-        std::max(most_running[line.team], running[line.team]);
+    peak_running[line.team] =
+        std::max(peak_running[line.team], running[line.team]);
   }
 
   base::Random m_random;
