--- a/src/cassiastile/operator/api_client.hpp
+++ b/src/cassiastile/operator/api_client.hpp
@@ -26,7 +26,7 @@
   nlohmann::json body;  // Null when the answer was not JSON.
   std::string retry_after;
 
-  bool IsDone() const { return status >= 200 && status < 300; }
+  bool IsSuccess() const { return status >= 200 && status < 300; }
 };
 
 // No answer came.
--- a/src/cassiastile/operator/edit_commands.cpp
+++ b/src/cassiastile/operator/edit_commands.cpp
@@ -62,7 +62,7 @@
   const PutBase found{NumberOf(outcome->body, "version"),
                       TextOf(outcome->body, "text") == text};
   if (found.version != 0 && !found.is_same) {
-    return tl::make_unexpected(ReportUsage(
+    return tl::make_unexpected(ReportUsageError(
         invocation,
         fmt::format("version {} is in force: give --base N, the version that "
                     "your file was read at, so that no other edit is undone",
@@ -85,7 +85,7 @@
   const std::string file = invocation.Word(0);
   const auto text = ReadInput(invocation, file);
   if (!text) {
-    return ReportInput(invocation, text.error().message);
+    return ReportInputError(invocation, text.error().message);
   }
   const auto fleet = config::ReadFleet(*text, file);
   if (!fleet) {
@@ -104,7 +104,7 @@
     const std::string& word) {
   const auto section = config::FindSection(word);
   if (!section) {
-    return tl::make_unexpected(ReportUsage(
+    return tl::make_unexpected(ReportUsageError(
         invocation, fmt::format("\"{}\" is not a section; sections are "
                                 "operators, ownership, zones, pools, services, "
                                 "queues, teams, keys, shares, limits, waves",
@@ -121,7 +121,7 @@
   const std::string file = invocation.Text("file");
   const auto text = ReadInput(invocation, file);
   if (!text) {
-    return ReportInput(invocation, text.error().message);
+    return ReportInputError(invocation, text.error().message);
   }
   const auto document =
       FetchDocument(invocation, invocation.Option<std::uint64_t>("base"));
@@ -129,8 +129,8 @@
     return document.error();
   }
   if (document->version == 0) {
-    return ReportInput(invocation,
-                       "there is no document yet; put a whole one first");
+    return ReportInputError(invocation,
+                            "there is no document yet; put a whole one first");
   }
   return SendEdit(invocation, *document, {*section, *text, file});
 }
@@ -154,7 +154,7 @@
     return document.error();
   }
   if (document->version == 0) {
-    return ReportInput(invocation, "there is no document yet");
+    return ReportInputError(invocation, "there is no document yet");
   }
   if (invocation.WordCount() == 0) {
     return PrintText(invocation, *document, document->text);
@@ -165,7 +165,7 @@
   }
   const auto text = config::SectionText(document->text, *section);
   return text ? PrintText(invocation, *document, *text)
-              : ReportInput(invocation, text.error().message);
+              : ReportInputError(invocation, text.error().message);
 }
 
 Command MakePut() {
--- a/src/cassiastile/operator/fleet_commands.cpp
+++ b/src/cassiastile/operator/fleet_commands.cpp
@@ -4,7 +4,7 @@
 
 #include <fmt/format.h>
 
-#include "cassiastile/operator/log_story.hpp"
+#include "cassiastile/operator/log_explanation.hpp"
 #include "command.hpp"
 #include "report.hpp"
 #include "table.hpp"
@@ -57,15 +57,16 @@
     }
     std::ifstream file(path);
     if (!file) {
-      return ReportInput(invocation, path + " can't be opened for reading");
+      return ReportInputError(invocation,
+                              path + " can't be opened for reading");
     }
     lines.Read(file, path);
   }
   lines.Sort();
   const std::string id = invocation.Word(0);
-  const Story story = TellStory(lines, id);
+  const Explanation story = ExplainId(lines, id);
   if (story.lines.empty()) {
-    return ReportInput(
+    return ReportInputError(
         invocation,
         fmt::format("{} is in none of {} lines of {} files ({} lines of other "
                     "origin were skipped)",
@@ -75,13 +76,13 @@
   if (invocation.WantsJson()) {
     PrintJson(invocation,
               {{"id", id},
-               {"cause", base::FindName(kStoryCauseNames, story.cause)},
+               {"cause", base::FindName(kOutcomeCauseNames, story.cause)},
                {"reasons", story.reasons},
                {"lines", story.lines},
                {"lines_read", lines.LinesRead()},
                {"lines_skipped", lines.LinesSkipped()}});
   } else {
-    invocation.Streams().out << Printable(FormatStory(story, id), true);
+    invocation.Streams().out << Printable(FormatExplanation(story, id), true);
   }
   return ExitCode::kDone;
 }
@@ -101,8 +102,8 @@
     return ShowOutcome(invocation, invocation.Api().Get(path), FormatJson);
   }
   if (std::find(kWaveActs.begin(), kWaveActs.end(), act) == kWaveActs.end()) {
-    return ReportUsage(invocation,
-                       "use: wave NAME status|start|pause|resume|abort");
+    return ReportUsageError(invocation,
+                            "use: wave NAME status|start|pause|resume|abort");
   }
   return ShowOutcome(
       invocation,
--- a/src/cassiastile/operator/history_commands.cpp
+++ b/src/cassiastile/operator/history_commands.cpp
@@ -69,7 +69,7 @@
   const auto from = ReadVersion(invocation.Word(0));
   const auto to = ReadVersion(invocation.Word(1));
   if (!from || !to) {
-    return ReportUsage(invocation, "versions are whole numbers from 1");
+    return ReportUsageError(invocation, "versions are whole numbers from 1");
   }
   const auto before = FetchDocument(invocation, *from);
   if (!before) {
@@ -87,7 +87,7 @@
   const std::string file = invocation.Word(0);
   const auto text = ReadInput(invocation, file);
   if (!text) {
-    return ReportInput(invocation, text.error().message);
+    return ReportInputError(invocation, text.error().message);
   }
   const auto document = FetchDocument(invocation);
   if (!document) {
--- a/src/cassiastile/operator/key_commands.cpp
+++ b/src/cassiastile/operator/key_commands.cpp
@@ -99,18 +99,19 @@
   const bool right = (act == "add" && invocation.WordCount() == 3) ||
                      (act == "withdraw" && invocation.WordCount() == 2);
   if (!right) {
-    return ReportUsage(invocation, "use: key add TEAM ID, or key withdraw ID");
+    return ReportUsageError(invocation,
+                            "use: key add TEAM ID, or key withdraw ID");
   }
   const auto document = FetchDocument(invocation);
   if (!document) {
     return document.error();
   }
   if (document->version == 0) {
-    return ReportInput(invocation, "there is no document yet");
+    return ReportInputError(invocation, "there is no document yet");
   }
   const auto keys = ChangeKeys(invocation, *document);
   if (!keys) {
-    return ReportInput(invocation, keys.error().message);
+    return ReportInputError(invocation, keys.error().message);
   }
   return SendEdit(invocation, *document,
                   {config::SectionName::kKeys, *keys, "keys"});
--- a/src/cassiastile/operator/log_story.cpp
+++ b/src/cassiastile/operator/log_explanation.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/operator/log_story.hpp"
+#include "cassiastile/operator/log_explanation.hpp"
 
 #include <algorithm>
 #include <array>
@@ -80,7 +80,7 @@
     }
   }
 
-  Story Tell() {
+  Explanation Tell() {
     if (!m_own.empty()) {
       m_story.cause = FindCause();
     }
@@ -107,7 +107,7 @@
     m_story.reasons.push_back(std::move(sentence));
   }
 
-  StoryCause FindCause() {
+  OutcomeCause FindCause() {
     if (const Json* end = Last("job.finished")) {
       return CauseOfEnd(*end);
     }
@@ -116,7 +116,7 @@
     }
     if (const Json* invalid = Last("job.invalid")) {
       Because(Text(*invalid, "error"));
-      return StoryCause::kInvalid;
+      return OutcomeCause::kInvalid;
     }
     // What the caller heard last counts.
     for (auto line = m_own.rbegin(); line != m_own.rend(); ++line) {
@@ -124,16 +124,16 @@
         return CauseOfRefusal(**line);
       }
       if (Is(**line, "request.no_office")) {
-        return WithoutOffice(**line, StoryCause::kNoOffice);
+        return WithoutOffice(**line, OutcomeCause::kNoLeader);
       }
       if (Is(**line, "request.undecided")) {
-        return WithoutOffice(**line, StoryCause::kUnanswered);
+        return WithoutOffice(**line, OutcomeCause::kUnanswered);
       }
     }
-    return StoryCause::kUnfinished;
+    return OutcomeCause::kUnfinished;
   }
 
-  StoryCause CauseOfUnfinished(const Json& accepted) {
+  OutcomeCause CauseOfUnfinished(const Json& accepted) {
     const Json* start = Last("run.start");
     Because(fmt::format("accepted at {} by {}", Text(accepted, "at"),
                         Text(accepted, "host")));
@@ -142,18 +142,18 @@
                 : fmt::format("last start at {} on worker {}",
                               Text(*start, "at"), Text(*start, "worker")));
     // Hosts that are killed lose their last lines.
-    return StoryCause::kUnfinished;
+    return OutcomeCause::kUnfinished;
   }
 
-  StoryCause CauseOfRefusal(const Json& line) {
+  OutcomeCause CauseOfRefusal(const Json& line) {
     const std::string reason = Text(line, "reason");
     if (reason == "store away") {
       Because(fmt::format("commits had failed for {:.0f} ms",
                           Number(line, "commits_fail_for_ms")));
-      return StoryCause::kRefusedStore;
+      return OutcomeCause::kRefusedStore;
     }
     if (reason == "too large") {
-      return StoryCause::kRefusedTooLarge;
+      return OutcomeCause::kRefusedTooLarge;
     }
     Because(
         fmt::format("the work ahead would have taken {:.0f} ms, and it "
@@ -175,10 +175,11 @@
       Because("customer " + Text(line, "customer") +
               " handed in more jobs a second than its weight");
     }
-    return beyond ? StoryCause::kRefusedShare : StoryCause::kRefusedOverload;
+    return beyond ? OutcomeCause::kRefusedOverShare
+                  : OutcomeCause::kRefusedOverload;
   }
 
-  StoryCause WithoutOffice(const Json& line, StoryCause cause) {
+  OutcomeCause WithoutOffice(const Json& line, OutcomeCause cause) {
     Because(fmt::format(
         "{} waited {:.0f} ms; it believed {} in office (fence {:.0f}), last "
         "heard of {:.0f} ms before",
@@ -200,46 +201,47 @@
     return load;
   }
 
-  StoryCause CauseOfEnd(const Json& end) {
+  OutcomeCause CauseOfEnd(const Json& end) {
     const std::string phase = Text(end, "phase");
     if (phase == "cancelled") {
-      return StoryCause::kCancelled;
+      return OutcomeCause::kCancelled;
     }
     if (phase == "failed") {
       ReportFailedRuns();
-      return StoryCause::kAttemptsUsed;
+      return OutcomeCause::kAttemptsExhausted;
     }
     if (end.value("late", false)) {
       Because(fmt::format("done after {:.0f} ms, {:.0f} ms were allowed",
                           Number(end, "age_ms"), Number(end, "allowed_ms")));
       return CauseOfLateness(end);
     }
-    return StoryCause::kInTime;
+    return OutcomeCause::kInTime;
   }
 
   // Lateness goes to what took the largest part of the time.
-  StoryCause CauseOfLateness(const Json& end) {
-    std::map<StoryCause, double> spent;
+  OutcomeCause CauseOfLateness(const Json& end) {
+    std::map<OutcomeCause, double> spent;
     const Json* accepted = First("job.accepted");
     const double age = Number(end, "age_ms");
     const std::int64_t began = TimeOf(end) - static_cast<std::int64_t>(age);
-    spent[StoryCause::kLateTakeover] = WithoutOfficeBetween(began, TimeOf(end));
+    spent[OutcomeCause::kLateLeaderChange] =
+        WithoutOfficeBetween(began, TimeOf(end));
     if (accepted != nullptr) {
-      spent[StoryCause::kLateRoom] = WaitedForRoom(TimeOf(*accepted));
+      spent[OutcomeCause::kLateNoCapacity] = WaitedForRoom(TimeOf(*accepted));
     }
     const auto [repeated, lost] = TimeOfRepeatedRuns();
-    spent[StoryCause::kLateBadWorker] = repeated;
-    spent[StoryCause::kLateLostWorker] = lost;
+    spent[OutcomeCause::kLateFailedRuns] = repeated;
+    spent[OutcomeCause::kLateLostWorker] = lost;
     double known = 0;
     for (const auto& [cause, time] : spent) {
       known += time;
     }
-    spent[StoryCause::kLateLongRuns] = std::max(0.0, age - known);
-    StoryCause largest = StoryCause::kLateLongRuns;
+    spent[OutcomeCause::kLateLongRuns] = std::max(0.0, age - known);
+    OutcomeCause largest = OutcomeCause::kLateLongRuns;
     for (const auto& [cause, time] : spent) {
       if (time > 0) {
         Because(fmt::format("{:.0f} ms: {}", time,
-                            base::FindName(kStoryCauseNames, cause)));
+                            base::FindName(kOutcomeCauseNames, cause)));
       }
       largest = time > spent[largest] ? cause : largest;
     }
@@ -376,7 +378,7 @@
   const std::vector<Json>& m_events;
   const std::string& m_job;
   std::vector<const Json*> m_own;
-  Story m_story;
+  Explanation m_story;
 };
 
 }  // namespace
@@ -405,9 +407,9 @@
   });
 }
 
-Story TellStory(const LogLines& lines, const std::string& id) {
-  Story story = JobStory(lines.Events(), id).Tell();
-  if (story.cause == StoryCause::kUnknownId) {
+Explanation ExplainId(const LogLines& lines, const std::string& id) {
+  Explanation story = JobStory(lines.Events(), id).Tell();
+  if (story.cause == OutcomeCause::kUnknownId) {
     for (const Json& line : lines.Events()) {
       if (Names(line, id)) {
         story.lines.push_back(line);
@@ -417,13 +419,13 @@
   return story;
 }
 
-std::string FormatStory(const Story& story, const std::string& id) {
+std::string FormatExplanation(const Explanation& story, const std::string& id) {
   std::string text;
-  if (story.cause == StoryCause::kUnknownId) {
+  if (story.cause == OutcomeCause::kUnknownId) {
     text = fmt::format("{}: no job; lines that name it follow\n", id);
   } else {
     text = fmt::format("{}: {}\n", id,
-                       base::FindName(kStoryCauseNames, story.cause));
+                       base::FindName(kOutcomeCauseNames, story.cause));
   }
   for (const std::string& reason : story.reasons) {
     text += fmt::format("  {}\n", reason);
--- a/src/cassiastile/operator/log_story_test.cpp
+++ b/src/cassiastile/operator/log_explanation_test.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/operator/log_story.hpp"
+#include "cassiastile/operator/log_explanation.hpp"
 
 #include <sstream>
 
@@ -24,11 +24,11 @@
     m_text += fields.dump() + "\n";
   }
 
-  Story Tell(const std::string& id = kJob) {
+  Explanation Tell(const std::string& id = kJob) {
     std::istringstream in(m_text);
     m_lines.Read(in, "log");
     m_lines.Sort();
-    return TellStory(m_lines, id);
+    return ExplainId(m_lines, id);
   }
 
   std::string m_text;
@@ -52,8 +52,8 @@
        {"age_ms", 0},
        {"beyond_share", false},
        {"retry_after_ms", 1200}});
-  const Story story = Tell();
-  EXPECT_EQ(story.cause, StoryCause::kRefusedOverload);
+  const Explanation story = Tell();
+  EXPECT_EQ(story.cause, OutcomeCause::kRefusedOverload);
   EXPECT_THAT(story.reasons, Contains(HasSubstr("2800 ms")));
   EXPECT_THAT(story.reasons, Contains(HasSubstr("24 workers")));
 }
@@ -65,8 +65,8 @@
        {"reason", "overload"},
        {"customer", "c"},
        {"beyond_share", true}});
-  const Story story = Tell();
-  EXPECT_EQ(story.cause, StoryCause::kRefusedShare);
+  const Explanation story = Tell();
+  EXPECT_EQ(story.cause, OutcomeCause::kRefusedOverShare);
   EXPECT_THAT(story.reasons, Contains(HasSubstr("customer c")));
 }
 
@@ -79,8 +79,8 @@
        {"fence", 3},
        {"heard_ms_ago", 1600}});
   Add(1400, "h3", {{"event", "office.take"}, {"why", "term over"}});
-  const Story story = Tell();
-  EXPECT_EQ(story.cause, StoryCause::kUnanswered);
+  const Explanation story = Tell();
+  EXPECT_EQ(story.cause, OutcomeCause::kUnanswered);
   EXPECT_THAT(story.reasons, Contains(HasSubstr("h1 in office")));
   EXPECT_THAT(story.lines, SizeIs(2));
 }
@@ -114,8 +114,8 @@
        {"late", true},
        {"age_ms", 2900},
        {"allowed_ms", 1500}});
-  const Story story = Tell();
-  EXPECT_EQ(story.cause, StoryCause::kLateBadWorker);
+  const Explanation story = Tell();
+  EXPECT_EQ(story.cause, OutcomeCause::kLateFailedRuns);
   EXPECT_THAT(story.reasons, Contains(HasSubstr("failed on worker w1")));
 }
 
@@ -135,32 +135,32 @@
        {"late", true},
        {"age_ms", 3000},
        {"allowed_ms", 1500}});
-  EXPECT_EQ(Tell().cause, StoryCause::kLateRoom);
+  EXPECT_EQ(Tell().cause, OutcomeCause::kLateNoCapacity);
 }
 
 TEST_F(LogStoryTest, LinesComeInTheOrderOfTheirTimes) {
   Add(2000, "h1",
       {{"event", "job.finished"}, {"job", kJob}, {"phase", "done"}});
   Add(1000, "h2", {{"event", "job.accepted"}, {"job", kJob}});
-  const Story story = Tell();
+  const Explanation story = Tell();
   ASSERT_THAT(story.lines, SizeIs(2));
   EXPECT_EQ(story.lines.front()["host"], "h2");
-  EXPECT_EQ(story.cause, StoryCause::kInTime);
+  EXPECT_EQ(story.cause, OutcomeCause::kInTime);
 }
 
 TEST_F(LogStoryTest, ForeignAndTruncatedLinesAreCounted) {
   m_text += "a line of another program\n{\"event\":\"job.acc\n{\"x\":1}\n";
   m_text += "12.5 host-1 ";  // A prefix that a collector put in front.
   Add(1000, "h2", {{"event", "job.accepted"}, {"job", kJob}});
-  EXPECT_EQ(Tell().cause, StoryCause::kUnfinished);
+  EXPECT_EQ(Tell().cause, OutcomeCause::kUnfinished);
   EXPECT_EQ(m_lines.LinesRead(), 4U);
   EXPECT_EQ(m_lines.LinesSkipped(), 3U);
 }
 
 TEST_F(LogStoryTest, WorkersLinesAreFoundByItsId) {
   Add(1000, "h1", {{"event", "worker.silent"}, {"worker", "w1"}});
-  const Story story = Tell("w1");
-  EXPECT_EQ(story.cause, StoryCause::kUnknownId);
+  const Explanation story = Tell("w1");
+  EXPECT_EQ(story.cause, OutcomeCause::kUnknownId);
   EXPECT_THAT(story.lines, SizeIs(1));
 }
 
--- a/src/cassiastile/operator/report.cpp
+++ b/src/cassiastile/operator/report.cpp
@@ -87,8 +87,8 @@
   return ExitCode::kRefused;
 }
 
-ExitCode ReportInput(const Invocation& invocation,
-                     const std::string& sentence) {
+ExitCode ReportInputError(const Invocation& invocation,
+                          const std::string& sentence) {
   if (invocation.WantsJson()) {
     PrintJson(invocation, {{"error", sentence}, {"execution", "not-run"}});
   } else {
@@ -97,8 +97,8 @@
   return ExitCode::kRefused;
 }
 
-ExitCode ReportUsage(const Invocation& invocation,
-                     const std::string& sentence) {
+ExitCode ReportUsageError(const Invocation& invocation,
+                          const std::string& sentence) {
   invocation.Streams().err << sentence << '\n';
   return ExitCode::kUsage;
 }
@@ -108,8 +108,8 @@
   if (!outcome) {
     return ReportFailure(invocation, outcome.error());
   }
-  return outcome->IsDone() ? ExitCode::kDone
-                           : ReportRefusal(invocation, *outcome);
+  return outcome->IsSuccess() ? ExitCode::kDone
+                              : ReportRefusal(invocation, *outcome);
 }
 
 ExitCode ShowOutcome(
--- a/src/cassiastile/operator/report.hpp
+++ b/src/cassiastile/operator/report.hpp
@@ -17,10 +17,12 @@
                         const base::Findings& findings);
 
 // Prints a sentence about an input of the operator's and returns kRefused.
-ExitCode ReportInput(const Invocation& invocation, const std::string& sentence);
+ExitCode ReportInputError(const Invocation& invocation,
+                          const std::string& sentence);
 
 // Prints a sentence about the command line and returns kUsage.
-ExitCode ReportUsage(const Invocation& invocation, const std::string& sentence);
+ExitCode ReportUsageError(const Invocation& invocation,
+                          const std::string& sentence);
 
 // Prints what a server refused or that it could not be reached, and returns the
 // exit code for it. For kDone prints nothing.
--- a/src/cassiastile/operator/task_commands.cpp
+++ b/src/cassiastile/operator/task_commands.cpp
@@ -75,7 +75,7 @@
 ExitCode RunSubmit(const Invocation& invocation) {
   const auto payload = ReadPayload(invocation);
   if (!payload) {
-    return ReportInput(invocation, payload.error().message);
+    return ReportInputError(invocation, payload.error().message);
   }
   const std::string given = invocation.Text("id");
   const std::string id = given.empty() ? MakeTaskId() : given;
