--- a/include/cassiastile/host/leader_transactions.hpp
+++ b/include/cassiastile/host/leader_transactions.hpp
@@ -56,7 +56,7 @@
   // flight. It is retried for as long as the store fails; `done` gets true once
   // it is applied, or false if leadership is lost.
   void Commit(std::vector<Row> puts,
-              std::vector<Row> drops,
+              std::vector<Row> deletes,
               std::function<void(bool)> done);
   // Resigns: stores a record without a host.
   void Resign(std::function<void(bool)> done);
--- a/include/cassiastile/host/ports.hpp
+++ b/include/cassiastile/host/ports.hpp
@@ -38,8 +38,8 @@
 // Writes that are applied together, or not at all if an expectation fails.
 struct RowTransaction {
   std::vector<RowExpectation> expect;
-  std::vector<Row> puts;   // Versions are ignored.
-  std::vector<Row> drops;  // Values and versions are ignored.
+  std::vector<Row> puts;     // Versions are ignored.
+  std::vector<Row> deletes;  // Values and versions are ignored.
 };
 
 // Outcome of a transaction.
@@ -67,8 +67,8 @@
 // Changes since a version.
 struct FeedPage {
   std::vector<Row> rows;
-  std::uint64_t version = 0;  // From which to continue the feed.
-  bool forgotten = false;     // History is gone; read the table again.
+  std::uint64_t version = 0;       // From which to continue the feed.
+  bool history_compacted = false;  // History is gone; read the table again.
 };
 
 // Timeout of reads whose caller has no deadline of its own.
--- a/include/cassiastile/member/virtual_network.hpp
+++ b/include/cassiastile/member/virtual_network.hpp
@@ -82,7 +82,7 @@
   void Pull(const std::string& name, Node& node, const BodyPull& pull);
   void Send(const std::string& from, Node& node, const Datagram& datagram);
   void Deliver(const Flight& flight);
-  bool Strikes(double probability);
+  bool InjectFault(double probability);
   bool AreCut(const std::string& left, const std::string& right) const;
   bool ReachesStore(const std::string& name) const;
 
--- a/include/cassiastile/platform/decision_log.hpp
+++ b/include/cassiastile/platform/decision_log.hpp
@@ -19,13 +19,13 @@
 
 struct DecisionLogOptions {
   std::string process;  // Names this process and run, such as "e1-3".
-  std::chrono::milliseconds flush_every{1000};
+  std::chrono::milliseconds flush_interval{1000};
   std::size_t batch_decisions = 500;
   // Decisions kept until they are stored. Beyond it the oldest are dropped and
   // counted.
-  std::size_t most_waiting = 20000;
+  std::size_t max_unstored = 20000;
   // Stored decisions kept in memory to answer from without the store.
-  std::size_t most_recent = 2000;
+  std::size_t max_recent = 2000;
 };
 
 struct DecisionLogCounts {
--- a/include/cassiastile/platform/memory_platform.hpp
+++ b/include/cassiastile/platform/memory_platform.hpp
@@ -50,7 +50,7 @@
   MemoryCounts Counts() const;
 
  private:
-  bool Strikes(double probability);
+  bool InjectFault(double probability);
   base::Result<void> StartRead();
   bool Holds(const Precondition& precondition) const;
   base::Result<Commit> ApplyLocked(const Transaction& transaction);
--- a/include/cassiastile/platform/store_guard.hpp
+++ b/include/cassiastile/platform/store_guard.hpp
@@ -29,9 +29,9 @@
 struct StoreGuardCounts {
   std::uint64_t calls = 0;
   std::uint64_t attempts = 0;
-  std::uint64_t resolved = 0;   // Lost answers whose outcome was found out.
-  std::uint64_t unknown = 0;    // Lost answers that stayed unknown.
-  std::uint64_t kept_away = 0;  // Calls failed by the breaker or the budget.
+  std::uint64_t resolved = 0;     // Lost answers whose outcome was found out.
+  std::uint64_t unknown = 0;      // Lost answers that stayed unknown.
+  std::uint64_t failed_fast = 0;  // Calls failed by the breaker or the budget.
 };
 
 // The one way to the table. Gives each call a deadline, retries within a budget
@@ -62,7 +62,7 @@
 
   StoreGuardCounts Counts() const;
   // Whether the last call that was made got an answer.
-  bool Reachable() const;
+  bool IsReachable() const;
 
  private:
   enum class CallKind : std::uint8_t { kRead, kWrite };
--- a/include/cassiastile/soak/fault_plan.hpp
+++ b/include/cassiastile/soak/fault_plan.hpp
@@ -12,22 +12,22 @@
 namespace cassiastile::soak {
 
 enum class FaultKind : std::uint8_t {
-  kKill,         // SIGKILL; the process starts again soon after.
-  kStop,         // SIGTERM, the same.
-  kPause,        // SIGSTOP for a time, then SIGCONT.
-  kReload,       // SIGHUP with changed settings.
-  kDelay,        // Each piece of data is held up for a moment.
-  kReset,        // All connections are reset.
-  kCutThere,     // Nothing gets to the server, for a time.
-  kCutBack,      // Nothing comes back from the server, for a time.
-  kSilence,      // Open connections go silent for good; new ones work.
-  kRefuse,       // The table answers that nothing was done, for a time.
-  kLoseAnswers,  // The table applies some commits without an answer.
-  kForget,       // The table forgets its history.
-  kCrash,        // A worker ends; another life begins later.
-  kLate,         // A worker carries out starts late and without an answer.
-  kConfigure,    // The operators change the configuration.
-  kWave,         // The operators ask for upkeep of all machines.
+  kKill,           // SIGKILL; the process starts again soon after.
+  kStop,           // SIGTERM, the same.
+  kPause,          // SIGSTOP for a time, then SIGCONT.
+  kReload,         // SIGHUP with changed settings.
+  kDelay,          // Each piece of data is held up for a moment.
+  kReset,          // All connections are reset.
+  kCutToServer,    // Nothing gets to the server, for a time.
+  kCutFromServer,  // Nothing comes back from the server, for a time.
+  kSilence,        // Open connections go silent for good; new ones work.
+  kRefuse,         // The table answers that nothing was done, for a time.
+  kLoseAnswers,    // The table applies some commits without an answer.
+  kForget,         // The table forgets its history.
+  kCrash,          // A worker ends; another life begins later.
+  kLate,           // A worker carries out starts late and without an answer.
+  kConfigure,      // The operators change the configuration.
+  kWave,           // The operators ask for upkeep of all machines.
 };
 
 inline constexpr std::array<base::EnumName<FaultKind>, 16> kFaultNames{{
@@ -37,8 +37,8 @@
     {FaultKind::kReload, "reload"},
     {FaultKind::kDelay, "delay"},
     {FaultKind::kReset, "reset"},
-    {FaultKind::kCutThere, "cut there"},
-    {FaultKind::kCutBack, "cut back"},
+    {FaultKind::kCutToServer, "cut there"},
+    {FaultKind::kCutFromServer, "cut back"},
     {FaultKind::kSilence, "silence"},
     {FaultKind::kRefuse, "refuse"},
     {FaultKind::kLoseAnswers, "lose answers"},
--- a/include/cassiastile/soak/host_process.hpp
+++ b/include/cassiastile/soak/host_process.hpp
@@ -26,7 +26,7 @@
   void Signal(int signal) const;
   bool IsRunning() const { return m_pid > 0; }
   // How the process ended, once, as wait(2) says it.
-  std::optional<int> TakeEnd();
+  std::optional<int> TakeExitStatus();
 
  private:
   pid_t m_pid = 0;
--- a/include/cassiastile/soak/loopback_proxy.hpp
+++ b/include/cassiastile/soak/loopback_proxy.hpp
@@ -16,10 +16,10 @@
 // Belongs to the thread that runs the loop.
 class LoopbackProxy {
  public:
-  struct Spoil {
+  struct LinkFaults {
     std::chrono::milliseconds delay{0};
-    bool cut_there = false;  // Data to the server waits.
-    bool cut_back = false;   // Data from the server waits.
+    bool cut_to_server = false;    // Data to the server waits.
+    bool cut_from_server = false;  // Data from the server waits.
   };
 
   static base::Result<std::unique_ptr<LoopbackProxy>> Start(
@@ -30,7 +30,7 @@
   LoopbackProxy& operator=(const LoopbackProxy&) = delete;
 
   std::uint16_t Port() const;
-  void Set(const Spoil& spoil);
+  void Set(const LinkFaults& spoil);
   void ResetConnections();
   // Open connections carry nothing any more; new ones do.
   void BlackholeConnections();
--- a/include/cassiastile/standin/worker_fleet.hpp
+++ b/include/cassiastile/standin/worker_fleet.hpp
@@ -43,7 +43,7 @@
   std::size_t Count() const;
 
  private:
-  bool Strikes(double probability);
+  bool InjectFault(double probability);
 
   struct Member {
     Worker worker;
--- a/src/cassiastile/control/decision_service_test.cpp
+++ b/src/cassiastile/control/decision_service_test.cpp
@@ -36,7 +36,7 @@
   DecisionServiceTest() {
     platform::DecisionLogOptions options;
     options.process = "c1-1";
-    options.flush_every = std::chrono::hours(1);
+    options.flush_interval = std::chrono::hours(1);
     m_log = platform::DecisionLog::Create(m_objects, options);
     m_service =
         std::make_unique<DecisionService>(m_clock, m_source, *m_log, m_objects);
--- a/src/cassiastile/daemon/platform_access.cpp
+++ b/src/cassiastile/daemon/platform_access.cpp
@@ -64,7 +64,7 @@
   set("cassiastile_store_unknown", "Lost answers that stayed unknown.",
       store.unknown);
   set("cassiastile_store_kept_away",
-      "Calls that the guard did not let through.", store.kept_away);
+      "Calls that the guard did not let through.", store.failed_fast);
   const platform::DecisionLogCounts decisions = m_decisions->Counts();
   set("cassiastile_decisions_recorded", "Decisions made.", decisions.recorded);
   set("cassiastile_decisions_stored", "Decisions in the object store.",
--- a/src/cassiastile/host/config_watcher.cpp
+++ b/src/cassiastile/host/config_watcher.cpp
@@ -67,7 +67,7 @@
           m_log.Write("config.feed_regained", {{"position", m_position}});
         }
         m_store_answered_at = m_loop.GetClock().Now();
-        if (page->forgotten) {
+        if (page->history_compacted) {
           m_log.Write("config.feed_forgotten", {{"position", m_position}});
           ReadAll();
           return;
--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -176,7 +176,7 @@
   m_ports.store.Feed(
       m_ports.worker_table, m_workers_version, kWorkerFeedWait,
       m_lifetime.Guard([this](base::Result<FeedPage> page) {
-        if (page && page->forgotten) {
+        if (page && page->history_compacted) {
           ReadWorkers();
           return;
         }
@@ -337,7 +337,7 @@
   m_last_commit_at = now;
   const jobs::Batch batch = m_scheduler.TakeBatch(kMaxRows, now);
   std::vector<Row> puts;
-  std::vector<Row> drops;
+  std::vector<Row> deletes;
   for (const jobs::JobRow& row : batch.rows) {
     Row put{kJobTable,
             kLeaderPart,
@@ -345,7 +345,7 @@
             row.bytes.value_or(""),
             0,
             false};
-    (row.bytes ? puts : drops).push_back(std::move(put));
+    (row.bytes ? puts : deletes).push_back(std::move(put));
   }
   std::vector<std::function<void()>> stored;
   std::map<std::string, Row> rows;  // Only the newest row of each key.
@@ -356,7 +356,7 @@
   for (auto& [key, row] : rows) {
     puts.push_back(std::move(row));
   }
-  m_transactions->Commit(std::move(puts), std::move(drops),
+  m_transactions->Commit(std::move(puts), std::move(deletes),
                          m_lifetime.Guard([this, batch, stored](bool applied) {
                            if (applied) {
                              for (const auto& done : stored) {
--- a/src/cassiastile/host/leader_transactions.cpp
+++ b/src/cassiastile/host/leader_transactions.cpp
@@ -42,7 +42,7 @@
 }
 
 void LeaderTransactions::Commit(std::vector<Row> puts,
-                                std::vector<Row> drops,
+                                std::vector<Row> deletes,
                                 std::function<void(bool)> done) {
   m_busy = true;
   m_done = std::move(done);
@@ -53,7 +53,7 @@
   m_transaction.puts = std::move(puts);
   m_transaction.puts.push_back(
       {kLeaderTable, kLeaderPart, kLeaderKey, Encode(m_record), 0, false});
-  m_transaction.drops = std::move(drops);
+  m_transaction.deletes = std::move(deletes);
   m_attempts = 0;
   Send();
 }
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -712,7 +712,7 @@
   worker.alive = false;
   worker.model->Die();
   RowTransaction transaction;
-  transaction.drops.push_back({kWorkersTable, "", worker.id, "", 0, false});
+  transaction.deletes.push_back({kWorkersTable, "", worker.id, "", 0, false});
   constexpr milliseconds kEntryExpiry{4500};
   Post(kEntryExpiry, [this, transaction] { Apply(transaction); });
 }
--- a/src/cassiastile/member/virtual_network.cpp
+++ b/src/cassiastile/member/virtual_network.cpp
@@ -157,9 +157,9 @@
   if (m_captured.size() < kMaxCaptured) {
     m_captured.push_back(datagram);
   }
-  const int copies = Strikes(m_faults.duplication) ? 2 : 1;
+  const int copies = InjectFault(m_faults.duplication) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    if (Strikes(m_faults.loss)) {
+    if (InjectFault(m_faults.loss)) {
       continue;
     }
     const auto range = static_cast<std::uint64_t>(
@@ -190,7 +190,7 @@
   }
 }
 
-bool VirtualNetwork::Strikes(double probability) {
+bool VirtualNetwork::InjectFault(double probability) {
   return probability > 0 && std::bernoulli_distribution(probability)(m_random);
 }
 
--- a/src/cassiastile/platform/decision_log.cpp
+++ b/src/cassiastile/platform/decision_log.cpp
@@ -78,11 +78,11 @@
   const std::lock_guard lock(m_mutex);
   ++m_counts.recorded;
   m_recent.push_back(decision);
-  if (m_recent.size() > m_options.most_recent) {
+  if (m_recent.size() > m_options.max_recent) {
     m_recent.pop_front();
   }
   m_waiting.push_back({m_next_number++, std::move(decision)});
-  if (m_waiting.size() > m_options.most_waiting) {
+  if (m_waiting.size() > m_options.max_unstored) {
     m_waiting.pop_front();
     ++m_counts.dropped;
   }
@@ -132,7 +132,7 @@
   while (true) {
     {
       std::unique_lock lock(m_mutex);
-      m_wake.wait_for(lock, m_options.flush_every,
+      m_wake.wait_for(lock, m_options.flush_interval,
                       [this] { return m_stopping; });
       if (m_stopping) {
         return;
--- a/src/cassiastile/platform/decision_log_test.cpp
+++ b/src/cassiastile/platform/decision_log_test.cpp
@@ -18,12 +18,12 @@
 
 // A log that stores only when the test says so.
 std::unique_ptr<DecisionLog> MakeLog(ObjectStore& objects,
-                                     std::size_t most_waiting = 100) {
+                                     std::size_t max_unstored = 100) {
   DecisionLogOptions options;
   options.process = "e1-1";
-  options.flush_every = std::chrono::hours(1);
+  options.flush_interval = std::chrono::hours(1);
   options.batch_decisions = 4;
-  options.most_waiting = most_waiting;
+  options.max_unstored = max_unstored;
   return DecisionLog::Create(objects, options);
 }
 
--- a/src/cassiastile/platform/memory_platform.cpp
+++ b/src/cassiastile/platform/memory_platform.cpp
@@ -62,16 +62,16 @@
 base::Result<Commit> MemoryTable::Apply(const Transaction& transaction) {
   const std::lock_guard lock(m_mutex);
   ++m_counts.writes;
-  if (m_faults.down || Strikes(m_faults.fail_before)) {
+  if (m_faults.down || InjectFault(m_faults.fail_before)) {
     return Unavailable();
   }
-  if (Strikes(m_faults.delay_apply)) {
+  if (InjectFault(m_faults.delay_apply)) {
     m_delayed.push_back(transaction);
     return AnswerLost();
   }
   ApplyDelayed();
   base::Result<Commit> commit = ApplyLocked(transaction);
-  if (Strikes(m_faults.lose_answer)) {
+  if (InjectFault(m_faults.lose_answer)) {
     return AnswerLost();
   }
   return commit;
@@ -101,7 +101,7 @@
   return m_counts;
 }
 
-bool MemoryTable::Strikes(double probability) {
+bool MemoryTable::InjectFault(double probability) {
   if (probability <= 0) {
     return false;
   }
@@ -110,7 +110,7 @@
 
 base::Result<void> MemoryTable::StartRead() {
   ++m_counts.reads;
-  if (m_faults.down || Strikes(m_faults.fail_before)) {
+  if (m_faults.down || InjectFault(m_faults.fail_before)) {
     return Unavailable();
   }
   ApplyDelayed();
--- a/src/cassiastile/platform/store_guard.cpp
+++ b/src/cassiastile/platform/store_guard.cpp
@@ -57,7 +57,7 @@
   return m_counts;
 }
 
-bool StoreGuard::Reachable() const {
+bool StoreGuard::IsReachable() const {
   const std::lock_guard lock(m_mutex);
   return m_reachable;
 }
@@ -112,10 +112,10 @@
       ++m_counts.attempts;
       return true;
     }
-    const bool kept_away = admission.wait == base::Duration::zero();
-    if (kept_away || m_clock.Now() + admission.wait > deadline) {
+    const bool failed_fast = admission.wait == base::Duration::zero();
+    if (failed_fast || m_clock.Now() + admission.wait > deadline) {
       const std::lock_guard lock(m_mutex);
-      ++m_counts.kept_away;
+      ++m_counts.failed_fast;
       return false;
     }
     m_sleep(admission.wait);
--- a/src/cassiastile/platform/store_guard_test.cpp
+++ b/src/cassiastile/platform/store_guard_test.cpp
@@ -101,13 +101,13 @@
     static_cast<void>(guard.Get("row"));
     m_clock.Advance(milliseconds(100));
   }
-  EXPECT_FALSE(guard.Reachable());
+  EXPECT_FALSE(guard.IsReachable());
   m_table.SetFaults({});
   const base::TimePoint back = m_clock.Now();
   while (!guard.Get("row").has_value()) {
     m_clock.Advance(milliseconds(100));
   }
-  EXPECT_TRUE(guard.Reachable());
+  EXPECT_TRUE(guard.IsReachable());
   // The longest open time, its spread and one step.
   EXPECT_LE(m_clock.Now() - back, milliseconds(3100));
 }
--- a/src/cassiastile/sim/table_model.cpp
+++ b/src/cassiastile/sim/table_model.cpp
@@ -27,7 +27,7 @@
     m_rows[Key(row.table, row.part, row.key)] = row;
     m_history.push_back(std::move(row));
   }
-  for (host::Row row : transaction.drops) {
+  for (host::Row row : transaction.deletes) {
     row.version = m_version;
     row.deleted = true;
     m_rows.erase(Key(row.table, row.part, row.key));
@@ -64,8 +64,8 @@
                                 std::uint64_t after) const {
   host::FeedPage page;
   page.version = m_version;
-  page.forgotten = after < m_forgotten;
-  if (page.forgotten) {
+  page.history_compacted = after < m_forgotten;
+  if (page.history_compacted) {
     return page;
   }
   for (const host::Row& row : m_history) {
--- a/src/cassiastile/soak/callers.cpp
+++ b/src/cassiastile/soak/callers.cpp
@@ -109,7 +109,7 @@
   job.will_cancel = m_random() % kCancelledOneIn == 0;
   jobs::JobSpec spec = MakeSpec(job.lasts);
   job.text = adapter::EncodeJob(spec);
-  m_fleet.Watch().JobSubmitted(job.id, std::move(spec));
+  m_fleet.Checker().JobSubmitted(job.id, std::move(spec));
   const std::string id = job.id;
   m_jobs.emplace(id, std::move(job));
   Send(id);
@@ -139,8 +139,8 @@
   }
   const bool cut = !outcome && !outcome.error().timed_out &&
                    outcome.error().state == wire::SendState::kMaybeSent;
-  if (cut && m_fleet.OnlyStops(host)) {
-    m_fleet.Watch().Violate(
+  if (cut && m_fleet.HasOnlyPlannedStops(host)) {
+    m_fleet.Checker().Violate(
         fmt::format("host-{} cut a request off in a planned stop: {}", host,
                     outcome.error().message));
   }
@@ -154,7 +154,7 @@
     if (job.fate == Fate::kUnknown) {
       job.fate = Fate::kAccepted;
       job.accepted_at = m_loop.GetClock().Now();
-      m_fleet.Watch().Accepted(id);
+      m_fleet.Checker().Accepted(id);
       Follow(id);
     }
     return;
@@ -168,13 +168,13 @@
   const bool never_sent =
       !outcome && outcome.error().state == wire::SendState::kNotSent;
   if (outcome && !refused && outcome->status < 500) {
-    m_fleet.Watch().Violate(fmt::format("host-{} answered {} to a valid job",
-                                        host, outcome->status));
+    m_fleet.Checker().Violate(fmt::format("host-{} answered {} to a valid job",
+                                          host, outcome->status));
   }
   job.maybe_arrived = job.maybe_arrived || !(refused || never_sent);
   if (refused && !job.maybe_arrived) {
     job.fate = Fate::kRefused;
-    m_fleet.Watch().Refused(id);
+    m_fleet.Checker().Refused(id);
     return;
   }
   if (job.attempts < kMaxAttempts) {
@@ -209,7 +209,7 @@
         CheckCut(host, sent_at, outcome);
         if (outcome && outcome->status == kOk) {
           m_jobs.at(id).fate = Fate::kCancelled;
-          m_fleet.Watch().CancelAcknowledged(id);
+          m_fleet.Checker().CancelAcknowledged(id);
           return;
         }
         After(kAskAgain, [this, id] { Cancel(id); });
@@ -231,14 +231,14 @@
         job.missing = gone ? job.missing + 1 : 0;
         if (job.missing == kMissingForGood &&
             m_loop.GetClock().Now() - job.accepted_at > kVisible) {
-          m_fleet.Watch().Violate("accepted job " + id + " is not known");
+          m_fleet.Checker().Violate("accepted job " + id + " is not known");
         }
         if (outcome && outcome->status == kOk && job.fate == Fate::kAccepted) {
           const auto phase = adapter::DecodeJobState(outcome->body);
           if (!phase) {
-            m_fleet.Watch().Violate(phase.error().message);
+            m_fleet.Checker().Violate(phase.error().message);
           } else {
-            m_fleet.Watch().PhaseReported(id, *phase);
+            m_fleet.Checker().PhaseReported(id, *phase);
             if (*phase == jobs::JobPhase::kDone) {
               job.fate = Fate::kDone;
             }
@@ -256,10 +256,11 @@
       case Fate::kDone:
         return true;
       case Fate::kCancelled:
-        return m_fleet.Watch().RunningTasks(job.id) == 0;
+        return m_fleet.Checker().RunningTasks(job.id) == 0;
       case Fate::kAccepted:
-        return job.lasts && m_fleet.Watch().RunningTasks(job.id) ==
-                                m_fleet.Watch().SpecOf(job.id)->steps[0].count;
+        return job.lasts &&
+               m_fleet.Checker().RunningTasks(job.id) ==
+                   m_fleet.Checker().SpecOf(job.id)->steps[0].count;
       default:
         return false;
     }
@@ -268,7 +269,7 @@
 
 void Callers::Judge() {
   for (const auto& [id, job] : m_jobs) {
-    sim::InvariantChecker& watch = m_fleet.Watch();
+    sim::InvariantChecker& watch = m_fleet.Checker();
     const std::size_t running = watch.RunningTasks(id);
     if (job.fate == Fate::kCancelled && running > 0) {
       watch.Violate(
--- a/src/cassiastile/soak/fleet.cpp
+++ b/src/cassiastile/soak/fleet.cpp
@@ -140,7 +140,7 @@
     machine->pool = ServiceName(i % kServices);
     machine->worker = std::move(*worker);
     machine->proxy = std::move(*proxy);
-    BeginLife(*machine);
+    BeginIncarnation(*machine);
     m_machines.push_back(std::move(machine));
   }
   return {};
@@ -206,7 +206,7 @@
 
 void Fleet::WatchProcesses() {
   for (const auto& host : m_hosts) {
-    const auto end = host->process.TakeEnd();
+    const auto end = host->process.TakeExitStatus();
     if (!end) {
       continue;
     }
@@ -265,7 +265,7 @@
                   adapter::EncodeWave(wave), 0, false});
 }
 
-void Fleet::BeginLife(Machine& machine) {
+void Fleet::BeginIncarnation(Machine& machine) {
   machine.state = host::MachineState::kUp;
   if (machine.pool == kSpare) {
     return;
@@ -287,13 +287,13 @@
   entry.capacity = kRoom;
   m_table->Write({adapter::kWorkerTable, "", machine.id,
                   adapter::EncodeWorker(entry), 0, false});
-  machine.worker->BeginLife(std::move(entry));
+  machine.worker->BeginIncarnation(std::move(entry));
 }
 
-void Fleet::EndLife(Machine& machine,
-                    host::MachineState state,
-                    milliseconds down) {
-  machine.worker->EndLife();
+void Fleet::EndIncarnation(Machine& machine,
+                           host::MachineState state,
+                           milliseconds down) {
+  machine.worker->EndIncarnation();
   machine.state = state;
   const std::string id = machine.id;
   if (!machine.keeps_id) {
@@ -304,7 +304,7 @@
       m_table->Drop({adapter::kWorkerTable, "", id, "", 0, false});
     }
   });
-  After(down, [this, machine = &machine] { BeginLife(*machine); });
+  After(down, [this, machine = &machine] { BeginIncarnation(*machine); });
 }
 
 Fleet::Machine* Fleet::FindMachine(const std::string& name) {
@@ -325,7 +325,7 @@
   if (machine->pool != pool) {
     machine->keeps_id = false;
     machine->pool = pool;
-    EndLife(*machine, host::MachineState::kMoving, kMoveTime);
+    EndIncarnation(*machine, host::MachineState::kMoving, kMoveTime);
   }
   return host::MachineOrderResult::kDone;
 }
@@ -349,7 +349,7 @@
   }
   machine->upkeeps = wave;
   machine->keeps_id = false;
-  EndLife(*machine, host::MachineState::kMaintenance, kUpkeepTime);
+  EndIncarnation(*machine, host::MachineState::kMaintenance, kUpkeepTime);
   return host::MachineOrderResult::kDone;
 }
 
@@ -376,7 +376,8 @@
         return;
       }
       m_table->Faults().refuses = fault.kind == FaultKind::kRefuse;
-      m_table->Faults().loses_some = fault.kind == FaultKind::kLoseAnswers;
+      m_table->Faults().loses_some_answers =
+          fault.kind == FaultKind::kLoseAnswers;
       After(fault.lasts, [this] { m_table->Faults() = {}; });
       return;
     case Place::kOperators:
@@ -430,8 +431,8 @@
     default:
       proxy.Set({.delay = fault.kind == FaultKind::kDelay ? kLinkDelay
                                                           : milliseconds(0),
-                 .cut_there = fault.kind == FaultKind::kCutThere,
-                 .cut_back = fault.kind == FaultKind::kCutBack});
+                 .cut_to_server = fault.kind == FaultKind::kCutToServer,
+                 .cut_from_server = fault.kind == FaultKind::kCutFromServer});
       After(fault.lasts, [&proxy] { proxy.Set({}); });
       return;
   }
@@ -442,12 +443,12 @@
     if (machine.state == host::MachineState::kUp &&
         machine.worker->Life() != nullptr) {
       machine.keeps_id = fault.target % 2 == 0;
-      EndLife(machine, host::MachineState::kDown, fault.lasts);
+      EndIncarnation(machine, host::MachineState::kDown, fault.lasts);
     }
   } else if (fault.kind == FaultKind::kLate) {
-    machine.worker->Faults().carries_out_late = true;
+    machine.worker->Faults().delays_starts = true;
     After(fault.lasts,
-          [&machine] { machine.worker->Faults().carries_out_late = false; });
+          [&machine] { machine.worker->Faults().delays_starts = false; });
   } else {
     ApplyToLink(*machine.proxy, fault);
   }
@@ -487,7 +488,7 @@
   return "http://" + Local(m_hosts[host]->callers->Port());
 }
 
-bool Fleet::OnlyStops(std::size_t host) const {
+bool Fleet::HasOnlyPlannedStops(std::size_t host) const {
   const base::TimePoint now = m_loop.GetClock().Now();
   const Host& each = *m_hosts[host];
   return now - each.stopped_at < kHarmShows &&
--- a/src/cassiastile/soak/fleet.hpp
+++ b/src/cassiastile/soak/fleet.hpp
@@ -38,8 +38,8 @@
   std::size_t Hosts() const { return m_hosts.size(); }
   std::string CallersEndpoint(std::size_t host) const;
   // Whether a planned stop is all that a host has seen lately.
-  bool OnlyStops(std::size_t host) const;
-  sim::InvariantChecker& Watch() { return m_watch; }
+  bool HasOnlyPlannedStops(std::size_t host) const;
+  sim::InvariantChecker& Checker() { return m_watch; }
   std::size_t Starts() const { return m_starts; }
 
  private:
@@ -82,10 +82,10 @@
   void WatchProcesses();
   void WriteConfig();
   void RequestWave();
-  void BeginLife(Machine& machine);
-  void EndLife(Machine& machine,
-               host::MachineState state,
-               std::chrono::milliseconds down);
+  void BeginIncarnation(Machine& machine);
+  void EndIncarnation(Machine& machine,
+                      host::MachineState state,
+                      std::chrono::milliseconds down);
   host::MachineOrderResult Move(const std::string& name,
                                 const std::string& pool);
   host::MachineOrderResult Maintain(const std::string& name,
--- a/src/cassiastile/soak/host_process.cpp
+++ b/src/cassiastile/soak/host_process.cpp
@@ -49,7 +49,7 @@
   }
 }
 
-std::optional<int> HostProcess::TakeEnd() {
+std::optional<int> HostProcess::TakeExitStatus() {
   int status = 0;
   if (m_pid <= 0 || waitpid(m_pid, &status, WNOHANG) != m_pid) {
     return std::nullopt;
--- a/src/cassiastile/soak/loopback_proxy.cpp
+++ b/src/cassiastile/soak/loopback_proxy.cpp
@@ -37,7 +37,7 @@
   }
 
   std::uint16_t Port() const { return m_acceptor.local_endpoint().port(); }
-  void Set(const Spoil& spoil) { m_spoil = spoil; }
+  void Set(const LinkFaults& spoil) { m_spoil = spoil; }
 
   void Silence() {
     for (const auto& weak : m_connections) {
@@ -147,7 +147,8 @@
   void Hold(const std::shared_ptr<Flow>& flow,
             std::size_t bytes,
             std::chrono::milliseconds delay) {
-    const bool cut = flow->there ? m_spoil.cut_there : m_spoil.cut_back;
+    const bool cut =
+        flow->there ? m_spoil.cut_to_server : m_spoil.cut_from_server;
     if (!cut && !flow->connection->silent && delay.count() == 0) {
       Write(flow, bytes);
       return;
@@ -176,7 +177,7 @@
   asio::io_context& m_context;
   tcp::acceptor m_acceptor;
   tcp::endpoint m_target;
-  Spoil m_spoil;
+  LinkFaults m_spoil;
   std::list<std::weak_ptr<Connection>> m_connections;
 };
 
@@ -203,7 +204,7 @@
   return m_impl->Port();
 }
 
-void LoopbackProxy::Set(const Spoil& spoil) {
+void LoopbackProxy::Set(const LinkFaults& spoil) {
   m_impl->Set(spoil);
 }
 
--- a/src/cassiastile/soak/soak.cpp
+++ b/src/cassiastile/soak/soak.cpp
@@ -47,7 +47,7 @@
     result.faults = m_plan.size();
     m_callers->Count(result);
     result.starts = m_fleet->Starts();
-    result.violations = m_fleet->Watch().Violations();
+    result.violations = m_fleet->Checker().Violations();
     return result;
   }
 
@@ -83,7 +83,7 @@
       return;
     }
     if (late) {
-      m_fleet->Watch().Violate("a host did not end in its grace period");
+      m_fleet->Checker().Violate("a host did not end in its grace period");
     }
     m_context.stop();
   }
--- a/src/cassiastile/standin/worker_fleet.cpp
+++ b/src/cassiastile/standin/worker_fleet.cpp
@@ -38,7 +38,7 @@
     member.next_poll = now + kRetryAfter;
     for (const std::string& pool : member.worker.PoolsToPoll()) {
       SentPoll sent{index, now, member.worker.MakePoll(pool)};
-      if (!Strikes(m_faults.lose_poll)) {
+      if (!InjectFault(m_faults.lose_poll)) {
         polls.push_back(std::move(sent));
       }
     }
@@ -49,7 +49,7 @@
 void WorkerFleet::Deliver(const SentPoll& poll,
                           const std::optional<work::PollAnswer>& answer,
                           base::TimePoint now) {
-  if (!answer || Strikes(m_faults.lose_answer)) {
+  if (!answer || InjectFault(m_faults.lose_answer)) {
     return;
   }
   Member& member = m_members[poll.worker];
@@ -69,7 +69,7 @@
   return m_members.size();
 }
 
-bool WorkerFleet::Strikes(double probability) {
+bool WorkerFleet::InjectFault(double probability) {
   return probability > 0 && std::bernoulli_distribution(probability)(m_random);
 }
 
