--- a/include/cassiastile/member/audit_chain.hpp
+++ b/include/cassiastile/member/audit_chain.hpp
@@ -11,61 +11,73 @@
 
 namespace cassiastile::member {
 
-// A change that is to be kept in the audit chain.
+// A change to be recorded in the audit chain, a hash-linked log of table rows.
 struct AuditChange {
   std::string what;  // Such as "config accepted".
-  std::string who;   // The operator's name.
+  std::string who;   // The name of the operator who made the change.
   base::WallTime at{};
-  std::vector<std::string> sections;  // Those of the document, if any.
-  std::uint64_t version = 0;  // Of the document that was accepted, if any.
+  // The changed sections of the configuration document, if it was changed.
+  std::vector<std::string> sections;
+  std::uint64_t version = 0;  // The accepted document version, or zero.
   std::string detail;
 };
 
-// One row of the chain. Its hash covers all other fields, the hash of the row
-// before among them.
+// One row of the chain. Its hash covers all other fields, including the hash of
+// the previous row.
 struct AuditRow {
-  std::uint64_t sequence = 0;  // Counts from one.
+  std::uint64_t sequence = 0;  // The first row has sequence one.
   std::string what;
   std::string who;
   std::string at;  // RFC 3339 in UTC.
   std::vector<std::string> sections;
   std::uint64_t version = 0;
   std::string detail;
-  std::string previous;  // Empty in the first row.
+  std::string previous;  // Hash of the previous row; empty in the first row.
   std::string hash;
 };
 
-// The end of the chain.
+// The end of the chain: the sequence and hash of its last row, as stored in the
+// row audit/head.
 struct AuditHead {
   std::uint64_t sequence = 0;
   std::string hash;
-  std::uint64_t row_version = 0;  // Of the row that holds the head.
+  std::uint64_t row_version = 0;  // Version of the row audit/head.
 };
 
-// What a transaction must carry so that a change is appended with it.
+// The preconditions and writes that a transaction must include in order to
+// append a change to the chain atomically.
 struct AuditWrites {
   std::uint64_t sequence = 0;
   std::vector<platform::Precondition> preconditions;
   std::vector<platform::Write> writes;
 };
 
+// The table key of the row with this sequence.
 std::string AuditKey(std::uint64_t sequence);
+// SHA-256, in hexadecimal, over all fields of the row except the hash itself.
 std::string HashOf(const AuditRow& row);
+// Serializes a row as JSON for the table.
 std::string ToText(const AuditRow& row);
+// Parses what ToText wrote. Fails with kInvalid if a field is missing or has
+// the wrong type. Doesn't check the hash.
 base::Result<AuditRow> ReadAuditRow(const std::string& text);
 
+// Reads the end of the chain; a default AuditHead if the chain is empty. Fails
+// with kInternal if the row is not a JSON object, or with the table's error.
 base::Result<AuditHead> ReadAuditHead(platform::Table& table);
 
-// The writes that append a change behind the head. The transaction conflicts
-// when another change was appended first.
+// Makes the writes that append a change after the head. The transaction fails
+// with kConflict if another change was appended first.
 AuditWrites MakeAuditWrites(const AuditHead& head, const AuditChange& change);
 
-// The chain's rows from a sequence on.
+// Reads the chain's rows, starting at sequence `from`. A row that can't be
+// parsed is returned as a default AuditRow, which FindBreak reports.
 base::Result<std::vector<AuditRow>> ReadAuditRows(platform::Table& table,
                                                   std::uint64_t from);
 
-// The sequence of the first row that is missing or was edited, or nothing when
-// the chain is whole from its first row to its head.
+// Returns the sequence of the first row that is missing or was modified, or
+// nothing if the chain is intact from its first row to its head. `rows` must
+// start at the first row of the chain.
 std::optional<std::uint64_t> FindBreak(const std::vector<AuditRow>& rows,
                                        const AuditHead& head);
 
--- a/include/cassiastile/member/config_store.hpp
+++ b/include/cassiastile/member/config_store.hpp
@@ -21,37 +21,39 @@
 
 namespace cassiastile::member {
 
-// An operator's edit of the whole document or of one section.
+// An operator's edit of the whole configuration document or of one section.
 struct ConfigEdit {
-  std::string text;  // Of the document, or of the section where one is named.
+  std::string text;  // New text of `section` if set, else of the document.
   std::optional<config::SectionName> section;
-  std::uint64_t base_version = 0;  // The version that the edit was made from.
-  std::string key;                 // The operator's secret.
-  bool dry_run = false;
-  std::vector<config::TeamUsage>
-      use;  // What teams have running, for a dry run.
+  std::uint64_t base_version = 0;  // The version that the operator edited.
+  std::string key;                 // The operator's secret key.
+  bool dry_run = false;            // Check the edit without committing it.
+  // What each team has running now, to report the effect of a dry run.
+  std::vector<config::TeamUsage> use;
 };
 
+// The result of an accepted edit or of a dry run.
 struct EditOutcome {
-  std::uint64_t version = 0;  // Zero for a dry run.
-  std::uint64_t audit = 0;    // The sequence of its audit row.
+  std::uint64_t version = 0;  // The accepted version; zero for a dry run.
+  std::uint64_t audit = 0;    // The sequence of the edit's audit row.
   std::vector<std::string> sections;
   config::FleetChange change;
   std::string diff;
 };
 
-// Another edit came first and touched the same sections.
+// The edit's base is out of date, and a newer version changed the same
+// sections.
 struct EditConflict {
-  std::uint64_t version = 0;  // The newest one.
+  std::uint64_t version = 0;  // The newest version.
   std::string diff;           // From the edit's base to the newest version.
 };
 
-// The edit breaks rules of the document.
+// The edited document violates a rule; the findings say which.
 struct EditInvalid {
   base::Findings findings;
 };
 
-// The edit touches sections of other owners.
+// The edit changes sections that the operator doesn't own.
 struct EditDenied {
   base::Findings findings;
 };
@@ -60,40 +62,45 @@
     std::variant<EditConflict, EditInvalid, EditDenied, base::Error>;
 using EditResult = tl::expected<EditOutcome, EditRefusal>;
 
-// A version of the history.
+// One accepted version in the history of the document.
 struct ConfigVersion {
   std::uint64_t version = 0;
-  std::string by;
-  std::string at;
-  std::vector<std::string> sections;
-  std::string digest;
+  std::string by;                     // The operator who made the edit.
+  std::string at;                     // RFC 3339 in UTC.
+  std::vector<std::string> sections;  // The changed sections.
+  std::string digest;                 // SHA-256 of the text in hexadecimal.
 };
 
-// Accepts edits of the document: one transaction writes the head, the body and
-// the audit row, after a majority of the members has promised the version. Safe
-// for use by several threads.
+// Accepts edits of the configuration document. After a majority of the members
+// has promised the new version, one transaction writes the head, the body and
+// the audit row. Thread-safe.
 class ConfigStore {
  public:
-  // All that is passed in outlives the store.
+  // The table, the clock and the quorum must outlive the store.
   ConfigStore(platform::Table& table,
               const base::Clock& clock,
               EditQuorum& quorum,
               std::uint64_t seed);
 
-  // Whose key may edit what is read in the very version that the edit goes on
-  // top of; for the first document, in that document itself.
+  // Applies an edit on top of the newest version and commits the result. The
+  // operator's permissions are read from that newest version; for the first
+  // document, from the document itself.
   //
-  // An edit from an older version goes on top of the newest one where both
-  // touch different sections and the result breaks no rule. An error of code
-  // kUnknown means that the edit may have been accepted; making it again tells.
+  // An edit of an older version is rebased on the newest one if the two changed
+  // different sections and the result violates no rule. An error with code
+  // kUnknown means that the edit may have been accepted; submitting the same
+  // edit again shows whether it was.
   EditResult Accept(const ConfigEdit& edit);
 
+  // The newest accepted version as stored in the table.
   base::Result<HeadRow> Head();
+  // The text of a version; kNotFound if there is no such version.
   base::Result<std::string> Text(std::uint64_t version);
+  // All accepted versions, oldest first, as recorded in the audit chain.
   base::Result<std::vector<ConfigVersion>> History();
 
  private:
-  // The edit laid over the newest version.
+  // The edit applied to the newest version, not committed yet.
   struct Candidate {
     HeadRow head;
     std::string before;
@@ -104,14 +111,14 @@
   };
 
   tl::expected<Candidate, EditRefusal> MakeCandidate(const ConfigEdit& edit);
-  tl::expected<std::string, EditRefusal> LayOver(const ConfigEdit& edit,
-                                                 const HeadRow& head,
-                                                 const std::string& current);
+  tl::expected<std::string, EditRefusal> ApplyEdit(const ConfigEdit& edit,
+                                                   const HeadRow& head,
+                                                   const std::string& current);
   tl::expected<std::string, EditRefusal> Rebase(const ConfigEdit& edit,
                                                 const HeadRow& head,
                                                 const std::string& current);
   EditResult Commit(Candidate candidate);
-  base::Result<platform::Commit> ApplySurely(
+  base::Result<platform::Commit> ApplyAndResolve(
       const platform::Transaction& transaction,
       const AuditWrites& audit);
 
--- a/include/cassiastile/member/datagram_socket.hpp
+++ b/include/cassiastile/member/datagram_socket.hpp
@@ -13,19 +13,20 @@
 
 namespace cassiastile::member {
 
-// A UDP socket with a thread that hands on what arrives and calls at a steady
-// period.
+// A UDP socket with its own thread, which passes received datagrams to a
+// handler and calls another handler periodically.
 class DatagramSocket {
  public:
+  // The datagrams that a handler returns are sent at once.
   struct Handlers {
     std::function<std::vector<Datagram>(std::string_view datagram,
                                         const std::string& from)>
         receive;
     std::function<std::vector<Datagram>()> tick;
-    std::chrono::milliseconds period{20};
+    std::chrono::milliseconds period{20};  // Time between two ticks.
   };
 
-  // Fails when the address can't be bound.
+  // Fails with kUnavailable if the address can't be bound.
   static base::Result<std::unique_ptr<DatagramSocket>> Open(
       const std::string& address,
       std::uint16_t port);
@@ -33,8 +34,9 @@
   DatagramSocket(const DatagramSocket&) = delete;
   DatagramSocket& operator=(const DatagramSocket&) = delete;
 
-  // Starts the thread, on which the handlers run.
+  // Starts the thread that runs the handlers.
   void Start(Handlers handlers);
+  // Stops and joins the thread.
   void Stop();
 
  private:
--- a/include/cassiastile/member/edit_quorum.hpp
+++ b/include/cassiastile/member/edit_quorum.hpp
@@ -10,32 +10,37 @@
 
 namespace cassiastile::member {
 
-// How the acceptance of an edit reaches the other members. Calls may block and
-// are made from one thread at a time.
+// The members' part in accepting a configuration edit: they promise a version
+// before it is committed and learn of it afterwards. Calls may block; only one
+// thread may call at a time.
 class EditQuorum {
  public:
   virtual ~EditQuorum() = default;
 
-  // Asks all members to promise a version and waits until a majority did; only
-  // then may the version be committed. Fails with kConflict when that version
-  // was committed by another meanwhile, and with kUnavailable when no majority
-  // answers.
+  // Asks all members to promise a version and waits until a majority has done
+  // so; only then may the version be committed. `id` identifies this attempt.
+  // Fails with kConflict if that version was committed by another member in the
+  // meantime, and with kUnavailable if no majority answers in time.
   virtual base::Result<void> Prepare(std::uint64_t version,
                                      std::uint64_t id) = 0;
 
-  // Takes back a prepare whose version certainly was not committed.
+  // Cancels the last Prepare. Call only if its version is certain not to be
+  // committed.
   virtual void AbortPrepare() = 0;
 
-  // Passes on a version that was committed by a write which started then.
+  // Tells all members about a committed version. `started` is the time when the
+  // committing write was started.
   virtual void Announce(const ConfigHead& head, base::TimePoint started) = 0;
 
-  // The members not known to have a version in force, after waiting for them
-  // for as long as they could still act on an older one. `expired` says
-  // whether that time is over.
+  // The result of WaitUntilInForce.
   struct Wait {
+    // Names of the members not known to have the version in force.
     std::vector<std::string> missing;
+    // Whether the wait timed out: by now no member acts on an older version.
     bool expired = false;
   };
+  // Waits until all members have the version in force, or until none can still
+  // act on an older version.
   virtual Wait WaitUntilInForce(std::uint64_t version) = 0;
 };
 
--- a/include/cassiastile/member/member.hpp
+++ b/include/cassiastile/member/member.hpp
@@ -15,37 +15,39 @@
 
 namespace cassiastile::member {
 
+// Identity, addresses and peers of this process as a member.
 struct MemberOptions {
   std::string name;
   MemberRole role = MemberRole::kEntry;
   std::string zone;
-  std::uint64_t incarnation = 0;  // Must grow with each start of the process.
+  std::uint64_t incarnation = 0;  // Must increase with each process start.
   std::string listen_address = "127.0.0.1";
-  std::uint16_t port = 0;          // UDP and TCP; 0 takes a free one.
-  std::vector<std::string> peers;  // IP:PORT
-  std::string fleet_secret;
-  std::string http_address;  // IP:PORT
+  std::uint16_t port = 0;          // UDP and TCP; 0 picks a free port.
+  std::vector<std::string> peers;  // IP:PORT of members to contact first.
+  std::string fleet_secret;        // Key that authenticates all messages.
+  std::string http_address;        // IP:PORT of this process's HTTP endpoint.
   MembershipTimes times;
 };
 
-// What a member's status page shows.
+// A snapshot of a member's state for its status page.
 struct MemberStatus {
-  ConfigHead head;
-  std::uint64_t in_force = 0;
-  bool fresh = false;
-  bool reaches_store = false;
-  bool refused = false;
+  ConfigHead head;             // The newest version known.
+  std::uint64_t in_force = 0;  // The version that this process acts on.
+  bool fresh = false;          // Whether it may act on that version now.
+  bool reaches_store = false;  // Whether the last read of the table succeeded.
+  bool superseded = false;     // Whether a later incarnation has been seen.
   std::vector<MemberView> members;
   PacketFaultCounts faults{};
 };
 
-// A process's membership of the fleet: exchanges datagrams with the other
-// members, follows the configuration and holds what is in force. Has a thread
-// for datagrams, one for the table and one for peers' pulls.
+// A process's membership in the fleet: exchanges datagrams with the other
+// members, follows the configuration and holds the version in force. Runs three
+// threads: one for datagrams, one for reading the table and one for answering
+// other members' requests for configuration.
 class Member final : public config::FleetSource, public EditQuorum {
  public:
-  // The table, which should be the guarded one, and the clock outlive the
-  // member. Fails when the addresses can't be bound.
+  // The table and the clock must outlive the member. The table should be a
+  // platform::StoreGuard. Fails if the addresses can't be bound.
   static base::Result<std::unique_ptr<Member>> Create(MemberOptions options,
                                                       platform::Table& table,
                                                       const base::Clock& clock);
@@ -56,7 +58,7 @@
   void Start();
   void Stop();
 
-  // The address for datagrams and pulls, IP:PORT.
+  // IP:PORT for datagrams and for peer requests.
   std::string Address() const;
 
   std::shared_ptr<const config::AcceptedFleet> Current() const override;
@@ -68,13 +70,14 @@
   Wait WaitUntilInForce(std::uint64_t version) override;
 
   MemberStatus Status() const;
-  // Name and incarnation, which no two processes share.
+  // NAME#INCARNATION, unique to this process.
   std::string OwnerId() const;
-  // The owner ids of the control processes not taken for dead, this one
-  // included.
+  // The owner ids of the control processes, this one included, that are not
+  // considered dead.
   std::vector<std::string> LiveControlOwners() const;
+  // Sets the number of owned shards that other members are told.
   void SetShards(std::uint16_t shards);
-  // Replaces the seeds, as the host list changes.
+  // Replaces the seed addresses, IP:PORT, when the host list changes.
   void SetSeeds(std::vector<std::string> seeds);
 
  private:
--- a/include/cassiastile/member/member_settings.hpp
+++ b/include/cassiastile/member/member_settings.hpp
@@ -6,9 +6,10 @@
 
 namespace cassiastile::member {
 
-// Reads "name", "zone", "member_listen" (IP:PORT for UDP and TCP), "peers" (a
-// list of IP:PORT) and "fleet_secret_file". The incarnation is the wall clock's
-// milliseconds, so that it grows with each start.
+// Reads the settings "name", "zone", "member_listen" (IP:PORT for UDP and TCP),
+// "peers" (a list of IP:PORT) and "fleet_secret_file". The incarnation is the
+// wall clock in milliseconds, so that it increases with each start. Invalid
+// values are reported to `settings`.
 MemberOptions ReadMemberOptions(config::Settings& settings,
                                 const base::Clock& clock);
 
--- a/include/cassiastile/member/membership.hpp
+++ b/include/cassiastile/member/membership.hpp
@@ -14,35 +14,44 @@
 
 namespace cassiastile::member {
 
-// Times of the protocol.
+// Intervals and timeouts of the membership protocol.
 struct MembershipTimes {
-  // How long a host may act on a version that it last knew to be the head.
+  // How long a host may act on a version after the last time at which it knows
+  // the version was the head.
   base::Duration freshness = std::chrono::milliseconds(2000);
   base::Duration ping_period = std::chrono::milliseconds(190);
+  // An acknowledgement that arrives later than this is dropped.
   base::Duration ping_timeout = std::chrono::milliseconds(1500);
+  // How long a member must be silent before it is suspected, and before it is
+  // considered dead.
   base::Duration suspect_after = std::chrono::milliseconds(3000);
   base::Duration dead_after = std::chrono::milliseconds(8000);
   base::Duration head_read_period = std::chrono::milliseconds(500);
   base::Duration list_read_period = std::chrono::milliseconds(5000);
-  // A listed member not heard of for so long is taken off the list, one in each
-  // period, so that majorities of a list and the next one overlap.
+  // A listed member that has been silent for `remove_after` is removed from the
+  // list. Only one is removed per `remove_period`, so that every majority of a
+  // list overlaps every majority of the next one.
   base::Duration remove_after = std::chrono::minutes(10);
   base::Duration remove_period = std::chrono::minutes(1);
+  // Time between two attempts to fetch a body.
   base::Duration body_retry = std::chrono::milliseconds(250);
+  // Time between two rounds of prepares to members that haven't promised.
   base::Duration prepare_retry = std::chrono::milliseconds(100);
-  // The longest time from the first promise to the commit. A process that
-  // started anew may have forgotten promises; it speaks for the head only once
-  // the head was confirmed to it at a time this long after its start.
+  // The longest time from the first promise to the commit. A restarted process
+  // has lost its promises, so it votes for the head only after the head has
+  // been confirmed to it at a time at least this long after its start.
   base::Duration voter_delay = std::chrono::milliseconds(10000);
 };
 
+// The identity and the settings of a Membership.
 struct MembershipOptions {
   MemberRecord self;
-  std::string secret;
+  std::string secret;              // Authenticates all datagrams.
   std::vector<std::string> seeds;  // IP:PORT; may be out of date or wrong.
   MembershipTimes times;
 };
 
+// Whether a member is reachable, judged by the time since it was last heard.
 enum class MemberState : std::uint8_t {
   kAlive,
   kSuspect,
@@ -51,104 +60,124 @@
 
 std::string_view NameOf(MemberState state);
 
-// A datagram to be sent.
+// A datagram to send.
 struct Datagram {
   std::string to;  // IP:PORT
   std::string bytes;
 };
 
-// A body that is to be read, from the table or from one of the peers.
+// A body to fetch, from the table or else from one of the peers.
 struct BodyPull {
   ConfigHead head;
-  std::vector<std::string> peers;  // IP:PORT of those that have it in force.
+  std::vector<std::string> peers;  // IP:PORT of peers that have it in force.
 };
 
-// What the shell is to do.
+// The I/O that the caller of Membership must do.
 struct MemberActions {
-  std::vector<Datagram> datagrams;
-  bool read_head = false;
-  bool read_list = false;
-  std::optional<BodyPull> pull;
+  std::vector<Datagram> datagrams;  // To send.
+  bool read_head = false;           // Read config/head from the table.
+  bool read_list = false;           // Read the member list from the table.
+  std::optional<BodyPull> pull;     // Fetch a body.
 };
 
-// A member as seen from here.
+// A member as seen by this process.
 struct MemberView {
   MemberRecord record;
   MemberState state = MemberState::kAlive;
-  base::Duration heard_age{};
+  base::Duration heard_age{};  // Time since it was last heard.
   std::uint64_t in_force = 0;  // The newest version known to be in force there.
-  bool listed = false;
+  bool listed = false;         // Whether the table's member list has it.
 };
 
-// Who is a member, which head is the newest, and whether this host may act on
-// the version that it has in force. Does no I/O and reads no clock: the shell
-// passes in what it saw and does what is returned. Not safe for use by several
-// threads.
+// The membership protocol: tracks who is a member, which configuration head is
+// the newest, and whether this host may act on the version that it has in
+// force. Does no I/O and reads no clock: the caller passes in what it observed
+// and does what is returned. Not thread-safe.
 //
-// A host may act on a version while it was the head at most `freshness` ago.
-// It knows so from a read of the table that started then, from a peer that
-// made such a read, or from a majority of the listed members which all agreed
-// then. A member that has promised a newer version agrees no more, and none is
+// A host may act on a version that was the head at most `freshness` ago. Three
+// things confirm that a version was the head at some time: a read of the table
+// that was started at that time, a peer that made such a read, or a majority of
+// the listed members that all agreed with the head at that time. A member that
+// has promised a newer version stops agreeing with the head, and no version is
 // committed without the promises of a majority.
 class Membership {
  public:
   Membership(MembershipOptions options, base::TimePoint now);
 
-  // Called at least as often as the prepare is repeated.
+  // Returns the I/O that is due now. Must be called at least once per
+  // `prepare_retry`.
   MemberActions Tick(base::TimePoint now, base::Random& random);
-  // Takes in a datagram; answers are sent to where it came from.
+  // Processes a received datagram and returns the answers to send to `from`
+  // (IP:PORT).
   std::vector<Datagram> Receive(std::string_view datagram,
                                 const std::string& from,
                                 base::TimePoint now,
                                 base::Random& random);
 
-  // What a read of the table that started at a time found.
+  // Reports the head found by a read of the table that was started at
+  // `started`.
   void ObserveHead(const ConfigHead& head, base::TimePoint started);
+  // Reports the member list read from the table.
   void ObserveList(const std::vector<MemberRecord>& list, base::TimePoint now);
+  // Reports that the table could not be read.
   void ObserveStoreFailure();
-  // Takes a list from a peer, where this host has none.
+  // Uses a member list from a peer if this host has none yet.
   void LearnList(const std::vector<MemberRecord>& list, base::TimePoint now);
+  // Replaces the seed addresses, IP:PORT.
   void SetSeeds(std::vector<std::string> seeds);
+  // Sets the number of owned shards that other members are told.
   void SetShards(std::uint16_t shards);
-  // Says that the body of this version, checked by its digest, is in force. An
-  // older one than that in force now changes nothing.
+  // Reports that this version is in force here; its body must have been checked
+  // against the digest. Ignored unless it is newer than the version in force
+  // and no newer than the known head.
   void SetInForce(std::uint64_t version);
 
+  // The newest head known to this host.
   const ConfigHead& KnownHead() const { return m_head; }
+  // The version that this host acts on; zero if none.
   std::uint64_t InForce() const { return m_in_force; }
-  // When the version in force was last known to be the head.
+  // The latest time at which the version in force is known to have been the
+  // head.
   std::optional<base::TimePoint> ConfirmedAt(base::TimePoint now) const;
+  // Whether this host may act on the version in force now.
   bool IsFresh(base::TimePoint now) const;
-  // Whether a process that replaced this one has been heard of.
-  bool IsSuperseded() const { return m_refused; }
+  // Whether a later incarnation of this member has been seen.
+  bool IsSuperseded() const { return m_superseded; }
+  // Whether the last read of the table succeeded.
   bool ReachesStore() const { return m_reaches_store; }
+  // All known members, this one first.
   std::vector<MemberView> Members(base::TimePoint now) const;
+  // The last member list read, in order of names.
   const std::vector<MemberRecord>& List() const { return m_list; }
+  // How many received datagrams were dropped, by cause.
   const PacketFaultCounts& Faults() const { return m_faults; }
+  // The number of datagrams received, dropped ones included.
   std::uint64_t MessagesReceived() const { return m_received; }
 
-  // The listed member whose row this host should remove now, if any. Only one
-  // host, the first control process that is alive, removes rows, and only while
-  // it hears a majority.
+  // The listed member whose row this host should remove now, if any. Only the
+  // first live control process, in order of names, removes rows, and only while
+  // it hears a majority of the listed members and reaches the table.
   std::optional<MemberRecord> NextRemoval(base::TimePoint now);
 
-  // Starts to ask all members to promise a version that is about to be
-  // committed; the asking goes on in Tick until it is withdrawn or known.
+  // Starts asking all members to promise a version that is about to be
+  // committed. Tick repeats the request until it is aborted or the version is
+  // known to be committed.
   void Prepare(std::uint64_t version, std::uint64_t id);
-  // Whether a majority of the listed members has promised.
+  // Whether a majority of the listed members has promised the version.
   bool IsPrepared() const;
-  // Ends a prepare whose version certainly was not committed.
+  // Cancels the last Prepare. Call only if its version is certain not to be
+  // committed.
   void AbortPrepare(base::TimePoint now);
-  // The listed members not known to have the version in force.
+  // Names of the listed members not known to have the version in force.
   std::vector<std::string> Missing(std::uint64_t version) const;
-  // Sends the head to all members at once in the next Tick.
-  void BroadcastHead() { m_spread = true; }
+  // Makes the next Tick send the head to all members that are not dead.
+  void BroadcastHead() { m_broadcast_head = true; }
 
  private:
   struct Peer {
     MemberRecord record;
     std::optional<base::TimePoint> heard_at;
-    std::optional<base::TimePoint> agreed_at;  // With m_head.
+    std::optional<base::TimePoint> agreed_at;  // When it agreed with m_head.
     base::TimePoint known_since;
     base::TimePoint pinged_at;
     std::uint64_t in_force = 0;
@@ -196,7 +225,7 @@
                 base::Random& random);
   void AddPing(MemberActions& actions,
                const std::string& address,
-               bool introduce,
+               bool with_own_record,
                base::TimePoint now);
   void AddSeedPing(MemberActions& actions,
                    base::TimePoint now,
@@ -209,7 +238,7 @@
                base::TimePoint now,
                base::Random& random);
   void AddPrepares(MemberActions& actions, base::TimePoint now);
-  void AddSpread(MemberActions& actions, base::TimePoint now);
+  void AddBroadcast(MemberActions& actions, base::TimePoint now);
   std::vector<std::string> PingCandidates(bool same_zone,
                                           base::TimePoint now) const;
   bool IsNearlyStale(base::TimePoint now) const;
@@ -224,19 +253,21 @@
   MembershipOptions m_options;
   base::TimePoint m_started;
   std::map<std::string, Peer> m_peers;
-  std::vector<MemberRecord> m_list;  // From the table, in order of names.
+  std::vector<MemberRecord> m_list;  // The table's, in order of names.
   std::uint32_t m_list_hash = 0;
 
   ConfigHead m_head;
-  // The latest time at which the head is known to have been the head, by reads
-  // of the store here or at peers, or by the version before it.
+  // The latest time at which m_head is known to have been the head, from reads
+  // of the table by this host or by peers, or from the time known for the
+  // previous head.
   std::optional<base::TimePoint> m_head_known_at;
   std::uint64_t m_in_force = 0;
-  // Kept while the version in force is not the head.
+  // When the version in force was last the head; set only while it no longer
+  // is.
   std::optional<base::TimePoint> m_in_force_confirmed_at;
-  std::map<std::uint64_t, std::uint64_t> m_promises;  // Version by id.
+  std::map<std::uint64_t, std::uint64_t> m_promises;  // Version by prepare id.
   std::optional<Proposal> m_proposal;
-  std::optional<Proposal> m_withdrawn;
+  std::optional<Proposal> m_aborted;  // To be cancelled at the other members.
 
   std::map<std::uint64_t, Ping> m_pings;
   std::uint64_t m_sequence = 0;
@@ -247,9 +278,9 @@
   base::TimePoint m_next_pull;
   base::TimePoint m_next_removal;
   bool m_reaches_store = false;
-  bool m_refused = false;
-  bool m_voter = false;  // Whether this process speaks for the head.
-  bool m_spread = false;
+  bool m_superseded = false;
+  bool m_voter = false;  // Whether this process may vote for the head.
+  bool m_broadcast_head = false;
   PacketFaultCounts m_faults{};
   std::uint64_t m_received = 0;
 };
--- a/include/cassiastile/member/message.hpp
+++ b/include/cassiastile/member/message.hpp
@@ -11,10 +11,11 @@
 
 namespace cassiastile::member {
 
-// The most bytes that a datagram holds, so that none is split on the way.
+// The largest datagram, in bytes. Small enough to avoid IP fragmentation.
 inline constexpr std::size_t kMaxDatagramBytes = 1200;
 
-// The version and digest of an accepted document. Version zero means none.
+// The version and digest of an accepted configuration document. Version zero
+// means that there is none.
 struct ConfigHead {
   std::uint64_t version = 0;
   std::string digest;  // SHA-256 in hexadecimal; empty for version zero.
@@ -22,6 +23,7 @@
   bool operator==(const ConfigHead&) const = default;
 };
 
+// The kind of process that a member is.
 enum class MemberRole : std::uint8_t {
   kEntry,
   kControl,
@@ -29,83 +31,91 @@
 
 std::string_view NameOf(MemberRole role);
 
-// What is known of a member whatever its health.
+// A member's identity and addresses, which don't depend on its health.
 struct MemberRecord {
   std::string name;
-  std::uint64_t incarnation = 0;  // Grows each time the process starts anew.
+  std::uint64_t incarnation = 0;  // Increases with each process start.
   MemberRole role = MemberRole::kEntry;
   std::string zone;
-  std::string address;       // IP:PORT for datagrams and for peer links.
+  std::string address;       // IP:PORT for datagrams and for peer requests.
   std::string http_address;  // IP:PORT of its HTTP endpoint.
   std::uint16_t shards = 0;  // The number of shards it owns.
 
   bool operator==(const MemberRecord&) const = default;
 };
 
+// The kinds of messages. Sent as numbers in this order.
 enum class MessageKind : std::uint8_t {
   kPing,     // Asks for an acknowledgement.
   kAck,      // Answers a ping with what the sender knows.
-  kPrepare,  // Announces a version that is about to be committed.
-  kPromise,  // Answers a prepare: the sender says so in what it sends after.
-  kAbort,    // Takes back a prepare whose version was not committed.
-  kRefused,  // The receiver's incarnation is over.
+  kPrepare,  // Asks for a promise for a version that is about to be committed.
+  kPromise,  // Answers a prepare: the sender no longer agrees with the old
+             // head.
+  kAbort,    // Cancels a prepare whose version was not committed.
+  kSuperseded,  // The receiver has been replaced by a later incarnation.
 };
 
-// What the sender of an acknowledgement knows of one listed member. An age is
-// the time since the member itself sent what it rests on, at most.
+// What the sender of an acknowledgement knows about one listed member. An age
+// is an upper bound on the time since the member itself sent the information.
 struct MemberStatement {
-  std::uint8_t heard_age = 0;   // In kAgeUnit; kAgeUnknown when too old.
-  std::uint8_t agreed_age = 0;  // The same, for agreeing with the head.
-  bool in_force = false;        // It has the head's version in force.
+  std::uint8_t heard_age = 0;   // Units of kAgeUnitMilliseconds; or unknown.
+  std::uint8_t agreed_age = 0;  // Since it agreed with the head; same unit.
+  bool in_force = false;        // Whether it has the head's version in force.
 };
 
-// One unit of the ages above, in milliseconds.
+// The unit of the ages in MemberStatement, in milliseconds.
 inline constexpr std::uint32_t kAgeUnitMilliseconds = 20;
+// Stands for an age that is unknown or too large to be encoded.
 inline constexpr std::uint8_t kAgeUnknown = 255;
 inline constexpr std::uint16_t kStoreAgeUnknown = 65535;
 
-// One datagram between members.
+// A message between members, sent as one datagram.
 struct Message {
   MessageKind kind = MessageKind::kPing;
   std::string sender;
   std::uint64_t incarnation = 0;
-  std::uint64_t sequence = 0;  // Grows with each message of an incarnation.
-  std::uint64_t echo = 0;      // The sequence answered, or zero.
+  std::uint64_t sequence = 0;  // Increases with each message of an incarnation.
+  // The sequence of the ping that this answers, else zero. In kSuperseded, the
+  // newest known incarnation of the receiver.
+  std::uint64_t echo = 0;
   ConfigHead head;             // The newest head that the sender knows.
   std::uint64_t in_force = 0;  // The version in force at the sender.
+  // The version and the id of the prepare that this is about, else zero.
   std::uint64_t promise_version = 0;
   std::uint64_t promise_id = 0;
-  std::uint16_t store_age = kStoreAgeUnknown;  // Milliseconds, rounded up.
-  bool reaches_store = false;
-  bool agrees = false;  // Knows the head as the newest; no newer one prepared.
-  std::uint32_t list_hash = 0;  // Names the list that the statements follow.
-  std::vector<MemberStatement> statements;
-  std::vector<MemberRecord> records;
+  // Milliseconds, rounded up, since the table is known to have had this head.
+  std::uint16_t store_age = kStoreAgeUnknown;
+  bool reaches_store = false;  // The sender's last read of the table succeeded.
+  bool agrees = false;  // The sender votes for the head; no newer one promised.
+  // Identifies the member list whose order the statements follow.
+  std::uint32_t list_hash = 0;
+  std::vector<MemberStatement> statements;  // One for each listed member.
+  std::vector<MemberRecord> records;        // The sender's and some others'.
 };
 
 // Why a received datagram was dropped.
 enum class PacketFault : std::uint8_t {
   kTruncated,
   kOversized,
-  kForged,         // Not sealed with the fleet's secret.
+  kForged,         // Not authenticated with the fleet's secret.
   kUnsupported,    // A format that this release can't read.
-  kMalformed,      // Sealed, but not a message.
-  kReplayed,       // Seen before, late, or an answer to nothing asked.
-  kOldIncarnation  // From a process that another has replaced.
+  kMalformed,      // Authenticated, but can't be decoded.
+  kReplayed,       // Duplicate, late, or an answer to no open request.
+  kOldIncarnation  // From a process that a later incarnation has replaced.
 };
 
 inline constexpr std::size_t kPacketFaultCount = 7;
 
 std::string_view NameOf(PacketFault fault);
 
-// How many datagrams were dropped, by cause.
+// The number of dropped datagrams, indexed by PacketFault.
 using PacketFaultCounts = std::array<std::uint64_t, kPacketFaultCount>;
 
-// Seals a message with the fleet's secret. Records that don't fit in a datagram
-// are left out.
+// Encodes a message and authenticates it with the fleet's secret. Records that
+// don't fit in a datagram are left out, the last ones first.
 std::string EncodeMessage(const Message& message, std::string_view secret);
 
-// Opens a datagram. Never throws, whatever the bytes.
+// Authenticates and decodes a datagram. Never throws, whatever the bytes.
 tl::expected<Message, PacketFault> DecodeMessage(std::string_view datagram,
                                                  std::string_view secret);
 
--- a/include/cassiastile/member/peer_link.hpp
+++ b/include/cassiastile/member/peer_link.hpp
@@ -12,22 +12,25 @@
 
 namespace cassiastile::member {
 
-// What a member asks of another over TCP when it can't read the table: the text
-// of a version and the last list of members.
+// A request over TCP to another member, made when the table can't be read, for
+// the text of a configuration version and the member list.
 struct PeerRequest {
   std::uint64_t version = 0;
-  std::string nonce;  // Ties the answer to the request.
+  std::string nonce;  // Copied into the reply to match it to the request.
 };
 
+// The reply to a PeerRequest.
 struct PeerReply {
-  std::uint64_t version = 0;  // Zero when the version asked for is not held.
-  std::string text;
-  std::vector<MemberRecord> list;
-  std::string nonce;
+  std::uint64_t version = 0;       // Zero if the peer doesn't have the version.
+  std::string text;                // The document of that version.
+  std::vector<MemberRecord> list;  // The peer's member list.
+  std::string nonce;               // That of the request.
 };
 
-// The frames of the link: cereal's portable archive behind a seal of the
-// fleet's secret. Reading never throws.
+// Encode and decode the frames of a connection. A frame is an HMAC-SHA256 with
+// the fleet's secret, followed by a cereal portable binary archive and, in a
+// reply, the document text. Decoding never throws; it fails with kDenied if the
+// HMAC doesn't match, and with kInvalid if the frame can't be decoded.
 std::string EncodeRequest(const PeerRequest& request, std::string_view secret);
 std::string EncodeReply(const PeerReply& reply, std::string_view secret);
 base::Result<PeerRequest> DecodeRequest(std::string_view frame,
@@ -35,13 +38,16 @@
 base::Result<PeerReply> DecodeReply(std::string_view frame,
                                     std::string_view secret);
 
+// Makes the reply to a request; the server fills in the nonce. Called on the
+// server's thread.
 using PeerHandler = std::function<PeerReply(const PeerRequest&)>;
 
-// Answers peers, one request on each connection. A connection that stays
-// silent is closed.
+// Answers requests of other members on its own thread, one request per
+// connection. A connection that isn't finished in two seconds is closed.
 class PeerServer {
  public:
-  // Takes a free port when given zero. Fails when the address can't be bound.
+  // Port zero picks a free port. Fails with kUnavailable if the address can't
+  // be bound.
   static base::Result<std::unique_ptr<PeerServer>> Start(
       const std::string& address,
       std::uint16_t port,
@@ -51,6 +57,7 @@
   PeerServer(const PeerServer&) = delete;
   PeerServer& operator=(const PeerServer&) = delete;
 
+  // The port that the server listens on.
   std::uint16_t Port() const;
 
  private:
@@ -59,18 +66,22 @@
   std::unique_ptr<Impl> m_impl;
 };
 
-// Asks a peer at IP:PORT and waits for its answer.
+// Sends a request to a peer at IP:PORT and waits for the reply, no longer than
+// `timeout`. Fails with kInvalid if there was no complete reply or the address
+// is wrong, and with kDenied if the reply isn't authentic or answers another
+// request.
 base::Result<PeerReply> AskPeer(const std::string& address,
                                 const PeerRequest& request,
                                 std::string_view secret,
                                 std::chrono::milliseconds timeout);
 
-// An IP:PORT taken apart.
+// A parsed IP:PORT.
 struct SocketAddress {
   std::string ip;
   std::uint16_t port = 0;
 };
 
+// Parses IP:PORT; fails with kInvalid. Doesn't check the IP part.
 base::Result<SocketAddress> ParseAddress(const std::string& text);
 
 }  // namespace cassiastile::member
--- a/include/cassiastile/member/shard_lease_manager.hpp
+++ b/include/cassiastile/member/shard_lease_manager.hpp
@@ -14,16 +14,19 @@
 
 namespace cassiastile::member {
 
-// Keeps this process's leases on shards in the table, on a thread of its own.
+// Acquires, renews and releases this process's leases on shards in the table,
+// on its own thread.
 class ShardLeaseManager final : public ShardOwner {
  public:
-  // What there is to own, and who is alive to own it. Called on the thread.
+  // Return the names of all shards and the owner ids of all live candidates,
+  // this process included. Called in RunOnce.
   struct Sources {
     std::function<std::vector<std::string>()> shards;
     std::function<std::vector<std::string>()> candidates;
   };
 
-  // The table, which should be the guarded one, and the clock outlive it.
+  // The table and the clock must outlive the manager. The table should be a
+  // platform::StoreGuard.
   ShardLeaseManager(ShardLeaseOptions options,
                     platform::Table& table,
                     const base::Clock& clock,
@@ -31,20 +34,23 @@
                     std::uint64_t seed);
   ~ShardLeaseManager() override;
 
+  // Starts the thread.
   void Start();
-  // Gives up all shards, so that others take them at once.
+  // Stops the thread and releases all leases, so that other processes can take
+  // over at once.
   void Stop();
-  // One round of the thread's work, for tests and for Start.
+  // Runs one round of the thread's work. Public for tests.
   void RunOnce();
 
   std::optional<ShardLease> CurrentLease(const std::string& shard,
                                          base::TimePoint now) const override;
   std::string OwnerAddress(const std::string& shard) const override;
+  // The shards on which this process holds a valid lease.
   std::vector<std::string> OwnedShards(base::TimePoint now) const;
 
  private:
   void Scan();
-  void Apply(LeaseAction act);
+  void Apply(LeaseAction lease_action);
 
   platform::Table& m_table;
   const base::Clock& m_clock;
--- a/include/cassiastile/member/short_text.hpp
+++ b/include/cassiastile/member/short_text.hpp
@@ -9,11 +9,11 @@
 
 namespace cassiastile::member {
 
-// The most bytes that a short text holds; longer ones are cut.
+// The maximum length of a short text in bytes; longer texts are truncated.
 inline constexpr std::size_t kMaxShortTextBytes = 255;
 
-// Writes a text with a length of one byte, so that a bad length can't make the
-// reader take much memory.
+// Writes a text with a one-byte length, so that a corrupt length can't make the
+// reader allocate much memory.
 template <typename Archive>
 void SaveShortText(Archive& archive, const std::string& text) {
   const std::size_t size = std::min(text.size(), kMaxShortTextBytes);
@@ -21,7 +21,8 @@
   archive(cereal::binary_data(text.data(), size));
 }
 
-// Reads what SaveShortText wrote; throws cereal::Exception when it is cut.
+// Reads what SaveShortText wrote; throws cereal::Exception if the data is
+// truncated.
 template <typename Archive>
 std::string LoadShortText(Archive& archive) {
   std::uint8_t size = 0;
--- a/include/cassiastile/member/virtual_fleet.hpp
+++ b/include/cassiastile/member/virtual_fleet.hpp
@@ -7,7 +7,8 @@
 
 namespace cassiastile::member {
 
-// The shape of a virtual fleet: an entry and a control process on each host.
+// The size of a virtual fleet. On each host the first process is an entry
+// process and the others are control processes.
 struct VirtualFleetShape {
   std::uint32_t hosts = 7;
   std::uint32_t zones = 3;
@@ -17,13 +18,13 @@
 // The name of a process of a virtual fleet, such as "h03-1".
 std::string VirtualName(std::uint32_t host, std::uint32_t process);
 
-// Adds a fleet's processes to a network, each with two seeds.
+// Adds the processes of a fleet to a network, each with the same two seeds.
 void AddFleet(VirtualNetwork& network, VirtualFleetShape shape);
 
-// Commits a version to the table's stand-in, as the acceptance of an edit does.
+// Commits a version to the simulated table, as accepting an edit does.
 void CommitVersion(VirtualNetwork& network, std::uint64_t version);
 
-// Whether every running member has a version in force.
+// Whether every member has the version, or a newer one, in force.
 bool IsInForceEverywhere(VirtualNetwork& network, std::uint64_t version);
 
 }  // namespace cassiastile::member
--- a/include/cassiastile/member/virtual_network.hpp
+++ b/include/cassiastile/member/virtual_network.hpp
@@ -15,7 +15,8 @@
 
 namespace cassiastile::member {
 
-// What goes wrong between the members of a virtual network.
+// The faults of a virtual network: probabilities per datagram, and the range of
+// the delay.
 struct NetworkFaults {
   double loss = 0;
   double duplication = 0;
@@ -23,29 +24,34 @@
   base::Duration max_delay = std::chrono::milliseconds(4);
 };
 
-// The table's configuration as the members of a virtual network read it.
+// The simulated table that the members of a virtual network read the head from.
 struct VirtualStore {
   ConfigHead head;
-  std::set<std::string> cut_off;  // Those that can't reach the store.
-  bool down = false;
+  std::set<std::string> cut_off;  // Members that can't reach the table.
+  bool down = false;              // No member can reach the table.
 };
 
-// Members in virtual time on a network that loses, repeats, delays and cuts,
-// for tests and measurements. Runs the pure core alone.
+// Simulates members in virtual time on a network that loses, duplicates and
+// delays datagrams and can be partitioned, for tests and measurements. Runs
+// only Membership, without sockets and threads.
 class VirtualNetwork {
  public:
   VirtualNetwork(std::uint64_t seed, NetworkFaults faults);
 
+  // Adds a running member.
   void Add(MembershipOptions options);
-  // Ends a member and starts it anew with nothing but its settings.
+  // Restarts a member with the next incarnation and no state but its options.
   void Restart(const std::string& name);
+  // Pauses a member: it neither ticks nor receives.
   void Stop(const std::string& name);
-  // A stopped process that goes on where it was.
+  // Resumes a stopped member with the state that it had.
   void Resume(const std::string& name);
-  // Members in different groups don't hear each other; those not named are in
-  // group zero.
+  // Partitions the network: members in different groups can't reach each other.
+  // Members not named are in group zero.
   void Partition(std::map<std::string, int> groups);
+  // Runs for a period of virtual time.
   void Run(base::Duration time);
+  // Runs until `done` returns true, at most for `limit` of virtual time.
   void RunUntil(base::Duration limit, const std::function<bool()>& done);
 
   Membership& At(const std::string& name);
@@ -53,12 +59,12 @@
   std::vector<MemberRecord> Records() const;
   base::TimePoint Now() const { return m_now; }
   VirtualStore& Store() { return m_store; }
-  // Bytes sent by a member, with the headers of IP and UDP.
+  // Bytes sent by a member, including the IP and UDP headers.
   std::uint64_t BytesSent(const std::string& name) const;
   std::uint64_t MessagesSent() const { return m_messages; }
-  // Gives a member a datagram as if it came from the network.
+  // Delivers a datagram to a member as if it came from the network.
   void Inject(const std::string& name, const std::string& datagram);
-  // A datagram sent lately, for replays.
+  // The first datagrams sent, for replay tests.
   const std::vector<Datagram>& Captured() const { return m_captured; }
 
  private:
@@ -69,7 +75,7 @@
     std::uint64_t bytes_sent = 0;
     base::TimePoint next_tick;
   };
-  struct Flight {
+  struct InFlightDatagram {
     std::string from;
     Datagram datagram;
   };
@@ -81,9 +87,9 @@
                const MemberActions& actions);
   void Pull(const std::string& name, Node& node, const BodyPull& pull);
   void Send(const std::string& from, Node& node, const Datagram& datagram);
-  void Deliver(const Flight& flight);
+  void Deliver(const InFlightDatagram& flight);
   bool InjectFault(double probability);
-  bool AreCut(const std::string& left, const std::string& right) const;
+  bool ArePartitioned(const std::string& left, const std::string& right) const;
   bool ReachesStore(const std::string& name) const;
 
   base::TimePoint m_now{std::chrono::hours(1)};
@@ -93,7 +99,7 @@
   std::map<std::string, Node> m_nodes;
   std::map<std::string, std::string> m_names_by_address;
   std::map<std::string, int> m_groups;
-  std::multimap<base::TimePoint, Flight> m_flights;
+  std::multimap<base::TimePoint, InFlightDatagram> m_flights;
   std::vector<Datagram> m_captured;
   std::uint64_t m_messages = 0;
 };
--- a/src/cassiastile/member/audit_chain.cpp
+++ b/src/cassiastile/member/audit_chain.cpp
@@ -29,8 +29,8 @@
   return fmt::format("{}{:012}", kPrefix, sequence);
 }
 
-// Object members are dumped in the order of their names, so that the same row
-// always gives the same text.
+// nlohmann::json dumps object members in the order of their names, so equal
+// rows always have equal texts.
 std::string HashOf(const AuditRow& row) {
   return base::Sha256Hex(ToJson(row).dump());
 }
@@ -56,8 +56,9 @@
     json.at("hash").get_to(row.hash);
     return row;
   } catch (const nlohmann::json::exception& error) {
-    return base::Fail(base::ErrorCode::kInvalid,
-                      fmt::format("Not an audit row: {}.", error.what()));
+    return base::Fail(
+        base::ErrorCode::kInvalid,
+        fmt::format("The text is not a valid audit row: {}.", error.what()));
   }
 }
 
@@ -72,7 +73,7 @@
   const auto json = nlohmann::json::parse((*row)->value, nullptr, false);
   if (!json.is_object()) {
     return base::Fail(base::ErrorCode::kInternal,
-                      "The row audit/head can't be read.");
+                      "The row audit/head is not a JSON object.");
   }
   return AuditHead{json.value("sequence", std::uint64_t{0}),
                    json.value("hash", ""), (*row)->version};
@@ -114,7 +115,7 @@
         continue;
       }
       auto read = ReadAuditRow(row.value);
-      // A row that can't be read stays in its place, with no valid hash.
+      // A row that can't be parsed keeps its position, but has no valid hash.
       rows.push_back(read ? std::move(*read) : AuditRow{});
     }
     if (page->size() < kPageRows) {
@@ -128,9 +129,9 @@
   std::uint64_t expected = 1;
   std::string previous;
   for (const AuditRow& row : rows) {
-    const bool whole = row.sequence == expected && row.previous == previous &&
-                       row.hash == HashOf(row);
-    if (!whole) {
+    const bool intact = row.sequence == expected && row.previous == previous &&
+                        row.hash == HashOf(row);
+    if (!intact) {
       return expected;
     }
     previous = row.hash;
--- a/src/cassiastile/member/config_store.cpp
+++ b/src/cassiastile/member/config_store.cpp
@@ -14,9 +14,10 @@
 namespace {
 
 constexpr int kMaxAttempts = 5;
-// Members that start anew wait longer than this and the table's deadline
-// before they speak for the head.
-constexpr base::Duration kPromiseLife = std::chrono::milliseconds(4000);
+// The longest time from asking for promises to starting the commit. Restarted
+// members have lost their promises; before they vote for the head they wait
+// longer than this time plus the table's deadline.
+constexpr base::Duration kMaxPromiseAge = std::chrono::milliseconds(4000);
 constexpr const char* kFileName = "fleet";
 constexpr const char* kAcceptedWhat = "config accepted";
 
@@ -25,11 +26,11 @@
   return tl::unexpected<EditRefusal>(std::move(refusal));
 }
 
-tl::unexpected<EditRefusal> RefuseText(const base::Error& error) {
+tl::unexpected<EditRefusal> RefuseInvalidText(const base::Error& error) {
   return Refuse(EditInvalid{{{{kFileName, 0, 0}, "", error.message}}});
 }
 
-std::string Label(std::uint64_t version) {
+std::string VersionLabel(std::uint64_t version) {
   return fmt::format("version {}", version);
 }
 
@@ -86,7 +87,8 @@
 EditResult ConfigStore::Accept(const ConfigEdit& edit) {
   const std::lock_guard lock(m_mutex);
   EditResult result = Refuse(base::Error{
-      base::ErrorCode::kConflict, "Other edits kept coming first; try again."});
+      base::ErrorCode::kConflict,
+      "Other edits were committed first in every attempt; try again."});
   for (int i = 0; i < kMaxAttempts; ++i) {
     auto candidate = MakeCandidate(edit);
     if (!candidate) {
@@ -124,7 +126,7 @@
     }
     candidate.before = *body;
   }
-  auto after = LayOver(edit, *head, candidate.before);
+  auto after = ApplyEdit(edit, *head, candidate.before);
   if (!after) {
     return tl::unexpected(after.error());
   }
@@ -138,8 +140,9 @@
   if (head->head.version > 0) {
     auto read = config::ReadFleet(candidate.before, kFileName);
     if (!read) {
-      return Refuse(base::Error{base::ErrorCode::kInternal,
-                                "The accepted document can't be read."});
+      return Refuse(
+          base::Error{base::ErrorCode::kInternal,
+                      "The newest accepted document can't be parsed."});
     }
     fleet_before = std::move(*read);
   }
@@ -148,7 +151,7 @@
       config::FindOperator(first ? candidate.fleet : fleet_before, edit.key);
   if (editor == nullptr) {
     return Refuse(base::Error{base::ErrorCode::kDenied,
-                              "The key is not that of an operator."});
+                              "The key does not belong to any operator."});
   }
   candidate.editor = editor->name;
   if (!first) {
@@ -166,12 +169,13 @@
   }
   candidate.outcome.change =
       config::CompareFleets(fleet_before, candidate.fleet, edit.use);
-  candidate.outcome.diff = config::UnifiedDiff(
-      candidate.before, candidate.after, Label(head->head.version), "edit");
+  candidate.outcome.diff =
+      config::UnifiedDiff(candidate.before, candidate.after,
+                          VersionLabel(head->head.version), "edit");
   return candidate;
 }
 
-tl::expected<std::string, EditRefusal> ConfigStore::LayOver(
+tl::expected<std::string, EditRefusal> ConfigStore::ApplyEdit(
     const ConfigEdit& edit,
     const HeadRow& head,
     const std::string& current) {
@@ -186,12 +190,12 @@
   }
   auto after = config::ReplaceSection(current, *edit.section, edit.text);
   if (!after) {
-    return RefuseText(after.error());
+    return RefuseInvalidText(after.error());
   }
   return std::move(*after);
 }
 
-// Lays an edit of an older version over the newest one, section by section.
+// Applies an edit of an older version to the newest one, section by section.
 tl::expected<std::string, EditRefusal> ConfigStore::Rebase(
     const ConfigEdit& edit,
     const HeadRow& head,
@@ -207,28 +211,28 @@
       edit.section ? config::ReplaceSection(*base, *edit.section, edit.text)
                    : base::Result<std::string>(edit.text);
   if (!edited) {
-    return RefuseText(edited.error());
+    return RefuseInvalidText(edited.error());
   }
   if (*edited == current) {
-    return current;  // The edit is in force already.
+    return current;  // The edit has been accepted already.
   }
   const auto own = config::CompareDocuments(*base, *edited);
   const auto others = config::CompareDocuments(*base, current);
   if (!own || !others) {
-    return RefuseText(own ? others.error() : own.error());
+    return RefuseInvalidText(own ? others.error() : own.error());
   }
   if (Overlap(*own, *others)) {
     return Refuse(EditConflict{
         head.head.version,
-        config::UnifiedDiff(*base, current, Label(edit.base_version),
-                            Label(head.head.version))});
+        config::UnifiedDiff(*base, current, VersionLabel(edit.base_version),
+                            VersionLabel(head.head.version))});
   }
   std::string after = current;
   for (const config::SectionName section : own->sections) {
     const auto text = config::SectionText(*edited, section);
     auto replaced = text ? config::ReplaceSection(after, section, *text) : text;
     if (!replaced) {
-      return RefuseText(replaced.error());
+      return RefuseInvalidText(replaced.error());
     }
     after = std::move(*replaced);
   }
@@ -264,14 +268,15 @@
     return Refuse(prepared.error());
   }
   const base::TimePoint started = m_clock.Now();
-  if (started - asked > kPromiseLife) {
+  if (started - asked > kMaxPromiseAge) {
     m_quorum.AbortPrepare();
-    return Refuse(base::Error{base::ErrorCode::kConflict,
-                              "The promises were too old to commit on."});
+    return Refuse(base::Error{
+        base::ErrorCode::kConflict,
+        "The members' promises expired before the commit was started."});
   }
-  const auto committed = ApplySurely(transaction, audit);
+  const auto committed = ApplyAndResolve(transaction, audit);
   if (!committed) {
-    // While it is unknown, the promises must stand.
+    // While the outcome is unknown, the promises must be kept.
     if (committed.error().code != base::ErrorCode::kUnknown) {
       m_quorum.AbortPrepare();
     }
@@ -283,10 +288,10 @@
   return std::move(candidate.outcome);
 }
 
-// Applies a transaction and, when its answer is lost, finds out what became of
-// it: the nonce is spent, so that it can't apply later, and the audit row says
-// whether it did before.
-base::Result<platform::Commit> ConfigStore::ApplySurely(
+// Applies a transaction. If the answer is lost, finds out whether it was
+// applied: an empty transaction uses up the nonce, so that the first one can't
+// be applied later, and the audit row shows whether it was applied before.
+base::Result<platform::Commit> ConfigStore::ApplyAndResolve(
     const platform::Transaction& transaction,
     const AuditWrites& audit) {
   auto outcome = m_table.Apply(transaction);
@@ -304,7 +309,7 @@
       return *spent;
     }
     return base::Fail(base::ErrorCode::kConflict,
-                      "The transaction did not apply.");
+                      "The transaction was not applied.");
   }
   return outcome;
 }
--- a/src/cassiastile/member/datagram_socket.cpp
+++ b/src/cassiastile/member/datagram_socket.cpp
@@ -14,7 +14,8 @@
 
 using asio::ip::udp;
 
-// Longer datagrams are cut here and dropped as oversized.
+// One byte more than allowed: longer datagrams are truncated to this length and
+// dropped as oversized.
 constexpr std::size_t kBufferBytes = kMaxDatagramBytes + 1;
 
 std::string ToText(const udp::endpoint& endpoint) {
@@ -82,7 +83,8 @@
     });
   }
 
-  // A datagram that can't be sent at once is lost, as it may be on the way.
+  // A datagram that can't be sent at once is dropped; the protocol tolerates
+  // loss anyway.
   void SendAll(const std::vector<Datagram>& datagrams) {
     for (const Datagram& datagram : datagrams) {
       const auto address = ParseAddress(datagram.to);
@@ -112,7 +114,7 @@
   const std::error_code error = impl->Open(address, port);
   if (error) {
     return base::Fail(base::ErrorCode::kUnavailable,
-                      "Can't listen for datagrams: " + error.message() + ".");
+                      "Can't open the UDP socket: " + error.message() + ".");
   }
   return std::unique_ptr<DatagramSocket>(new DatagramSocket(std::move(impl)));
 }
--- a/src/cassiastile/member/member.cpp
+++ b/src/cassiastile/member/member.cpp
@@ -21,9 +21,9 @@
 namespace {
 
 constexpr std::chrono::milliseconds kPullTimeout{1000};
-constexpr std::chrono::milliseconds kWaitStep{20};
+constexpr std::chrono::milliseconds kPollInterval{20};
 constexpr base::Duration kPrepareDeadline = std::chrono::milliseconds(2000);
-// Added to the freshness for clocks that don't run alike.
+// Added to the freshness, because members' clocks may run at different rates.
 constexpr base::Duration kExpiryMargin = std::chrono::milliseconds(500);
 constexpr int kBindAttempts = 20;
 
@@ -32,9 +32,10 @@
   std::unique_ptr<PeerServer> peers;
 };
 
-// Takes the same port for TCP and UDP; where any will do, tries several.
-base::Result<Sockets> BindBoth(const MemberOptions& options,
-                               const PeerHandler& handler) {
+// Binds TCP and UDP to the same port. If any port will do (port zero), tries up
+// to kBindAttempts ports.
+base::Result<Sockets> BindSockets(const MemberOptions& options,
+                                  const PeerHandler& handler) {
   base::Error last;
   for (int i = 0; i < kBindAttempts; ++i) {
     auto peers = PeerServer::Start(options.listen_address, options.port,
@@ -86,7 +87,7 @@
   ~Impl() { Stop(); }
 
   base::Result<void> Bind() {
-    auto sockets = BindBoth(m_options, [this](const PeerRequest& request) {
+    auto sockets = BindSockets(m_options, [this](const PeerRequest& request) {
       return AnswerPeer(request);
     });
     if (!sockets) {
@@ -104,7 +105,7 @@
   }
 
   void Start() {
-    m_store_thread = std::thread([this] { RunStore(); });
+    m_table_thread = std::thread([this] { RunTableThread(); });
     m_sockets.datagrams->Start(
         {[this](std::string_view datagram, const std::string& from) {
            return OnDatagram(datagram, from);
@@ -118,8 +119,8 @@
       m_stopping = true;
     }
     m_wake.notify_all();
-    if (m_store_thread.joinable()) {
-      m_store_thread.join();
+    if (m_table_thread.joinable()) {
+      m_table_thread.join();
     }
     if (m_sockets.datagrams) {
       m_sockets.datagrams->Stop();
@@ -127,9 +128,10 @@
     m_sockets.peers.reset();
   }
 
-  // Runs a function on the membership and publishes what it changed.
+  // Calls a function with the membership under the lock and then updates the
+  // time that IsFresh reads.
   template <typename Function>
-  auto With(const Function& function) {
+  auto WithMembership(const Function& function) {
     const std::lock_guard lock(m_mutex);
     auto result = function(*m_membership);
     Publish();
@@ -149,13 +151,13 @@
 
   MemberStatus Status() {
     const base::TimePoint now = m_clock.Now();
-    return With([&](Membership& membership) {
+    return WithMembership([&](Membership& membership) {
       MemberStatus status;
       status.head = membership.KnownHead();
       status.in_force = membership.InForce();
       status.fresh = membership.IsFresh(now);
       status.reaches_store = membership.ReachesStore();
-      status.refused = membership.IsSuperseded();
+      status.superseded = membership.IsSuperseded();
       status.members = membership.Members(now);
       status.faults = membership.Faults();
       return status;
@@ -163,25 +165,27 @@
   }
 
   base::Result<void> Prepare(std::uint64_t version, std::uint64_t id) {
-    With([&](Membership& membership) {
+    WithMembership([&](Membership& membership) {
       membership.Prepare(version, id);
       return true;
     });
     const base::TimePoint end = m_clock.Now() + kPrepareDeadline;
     while (m_clock.Now() < end) {
-      if (With([](Membership& member) { return member.IsPrepared(); })) {
+      if (WithMembership(
+              [](Membership& member) { return member.IsPrepared(); })) {
         return {};
       }
-      if (With([](Membership& member) { return member.KnownHead().version; }) >=
-          version) {
+      if (WithMembership([](Membership& member) {
+            return member.KnownHead().version;
+          }) >= version) {
         return base::Fail(base::ErrorCode::kConflict,
-                          "Another edit was accepted first.");
+                          "Another edit was committed as this version first.");
       }
-      std::this_thread::sleep_for(kWaitStep);
+      std::this_thread::sleep_for(kPollInterval);
     }
     return base::Fail(
         base::ErrorCode::kUnavailable,
-        "A majority of the members can't be heard; nothing was accepted.");
+        "No majority of the members promised in time; nothing was accepted.");
   }
 
   Wait WaitUntilInForce(std::uint64_t version) {
@@ -189,13 +193,13 @@
         m_clock.Now() + m_options.times.freshness + kExpiryMargin;
     Wait wait;
     while (true) {
-      wait.missing =
-          With([&](Membership& member) { return member.Missing(version); });
+      wait.missing = WithMembership(
+          [&](Membership& member) { return member.Missing(version); });
       wait.expired = m_clock.Now() >= end;
       if (wait.missing.empty() || wait.expired) {
         return wait;
       }
-      std::this_thread::sleep_for(kWaitStep);
+      std::this_thread::sleep_for(kPollInterval);
     }
   }
 
@@ -216,62 +220,63 @@
   std::vector<Datagram> OnDatagram(std::string_view datagram,
                                    const std::string& from) {
     const base::TimePoint now = m_clock.Now();
-    return With([&](Membership& membership) {
+    return WithMembership([&](Membership& membership) {
       return membership.Receive(datagram, from, now, m_random);
     });
   }
 
   std::vector<Datagram> OnTick() {
     const base::TimePoint now = m_clock.Now();
-    MemberActions actions = With(
+    MemberActions actions = WithMembership(
         [&](Membership& membership) { return membership.Tick(now, m_random); });
     const std::lock_guard lock(m_mutex);
-    m_work.read_head |= actions.read_head;
-    m_work.read_list |= actions.read_list;
+    m_pending_actions.read_head |= actions.read_head;
+    m_pending_actions.read_list |= actions.read_list;
     if (actions.pull) {
-      m_work.pull = std::move(actions.pull);
+      m_pending_actions.pull = std::move(actions.pull);
     }
     m_wake.notify_all();
     return std::move(actions.datagrams);
   }
 
   bool HasWork() const {
-    return m_work.read_head || m_work.read_list || m_work.pull;
+    return m_pending_actions.read_head || m_pending_actions.read_list ||
+           m_pending_actions.pull;
   }
 
-  void RunStore() {
+  void RunTableThread() {
     std::unique_lock lock(m_mutex);
     while (true) {
       m_wake.wait(lock, [this] { return m_stopping || HasWork(); });
       if (m_stopping) {
         return;
       }
-      const MemberActions work = std::exchange(m_work, {});
+      const MemberActions work = std::exchange(m_pending_actions, {});
       lock.unlock();
       if (work.read_head) {
-        FollowHead();
+        RefreshHead();
       }
       if (work.pull) {
         PullBody(*work.pull);
       }
       if (work.read_list) {
-        FollowList();
+        RefreshMemberList();
       }
       lock.lock();
     }
   }
 
-  void FollowHead() {
+  void RefreshHead() {
     const base::TimePoint started = m_clock.Now();
     const auto row = ReadHead(m_table);
-    With([&](Membership& membership) {
+    WithMembership([&](Membership& membership) {
       row ? membership.ObserveHead(row->head, started)
           : membership.ObserveStoreFailure();
       return true;
     });
   }
 
-  void FollowList() {
+  void RefreshMemberList() {
     if (!m_joined) {
       const auto joined = WriteMember(m_table, m_self, NextNonce());
       m_joined = joined.has_value();
@@ -281,21 +286,23 @@
     }
     const auto list = ReadMembers(m_table);
     if (list) {
-      With([&](Membership& membership) {
+      WithMembership([&](Membership& membership) {
         membership.ObserveList(*list, m_clock.Now());
         return true;
       });
-      const auto removal = With([&](Membership& membership) {
+      const auto removal = WithMembership([&](Membership& membership) {
         return membership.NextRemoval(m_clock.Now());
       });
       if (removal && RemoveMember(m_table, *removal, NextNonce())) {
-        m_log.Info("Member " + removal->name + " is off the list.");
+        m_log.Info("Removed the member " + removal->name +
+                   " from the member list.");
       }
       m_joined = IsListed(*list);
     }
   }
 
-  // A row that was removed while this process was cut off is written again.
+  // If this process is not listed, because its row was removed while the
+  // process was unreachable, the row is written again.
   bool IsListed(const std::vector<MemberRecord>& list) const {
     return std::any_of(list.begin(), list.end(), [this](const auto& record) {
       return record.name == m_self.name;
@@ -318,7 +325,7 @@
       if (!reply) {
         continue;
       }
-      With([&](Membership& membership) {
+      WithMembership([&](Membership& membership) {
         membership.LearnList(reply->list, m_clock.Now());
         return true;
       });
@@ -328,7 +335,7 @@
     }
   }
 
-  // Only a text whose digest is the head's is put in force.
+  // Puts a text in force if its digest is that of the head.
   bool PutInForce(const ConfigHead& head, const std::string& text) {
     if (base::Sha256Hex(text) != head.digest) {
       return false;
@@ -336,8 +343,9 @@
     auto fleet =
         config::ReadFleet(text, fmt::format("version {}", head.version));
     if (!fleet) {
-      m_log.Error(fmt::format("Version {} can't be read by this release.",
-                              head.version));
+      m_log.Error(
+          fmt::format("Configuration version {} can't be read by this release.",
+                      head.version));
       return false;
     }
     auto accepted = std::make_shared<config::AcceptedFleet>();
@@ -346,11 +354,12 @@
     accepted->text = text;
     accepted->fleet = std::move(*fleet);
     Publish(std::move(accepted));
-    m_log.Info(fmt::format("Version {} is in force.", head.version));
+    m_log.Info(
+        fmt::format("Configuration version {} is in force.", head.version));
     return true;
   }
 
-  // A version older than the one in force is not put in its place.
+  // Publishes a version unless one that is as new or newer is in force.
   void Publish(std::shared_ptr<const config::AcceptedFleet> accepted) {
     const std::uint64_t version = accepted->version;
     {
@@ -360,7 +369,7 @@
       }
       m_fleet = std::move(accepted);
     }
-    With([&](Membership& membership) {
+    WithMembership([&](Membership& membership) {
       membership.SetInForce(version);
       return true;
     });
@@ -384,23 +393,23 @@
   platform::Table& m_table;
   const base::Clock& m_clock;
   MemberRecord m_self;
-  bool m_joined = false;  // Only used on the store's thread.
+  bool m_joined = false;  // Only used on the table thread.
 
-  std::mutex m_mutex;  // For what stands up to the next mutex.
+  std::mutex m_mutex;  // Guards the members up to the next mutex.
   base::Random m_random;
   std::unique_ptr<Membership> m_membership;
-  MemberActions m_work;
+  MemberActions m_pending_actions;
   bool m_stopping = false;
   std::condition_variable m_wake;
 
   mutable std::mutex m_fleet_mutex;
   std::shared_ptr<const config::AcceptedFleet> m_fleet;
 
-  // When the version in force was last confirmed, so that the freshness can be
-  // asked for without a lock.
+  // When the version in force was last confirmed to be the head. Atomic, so
+  // that IsFresh needs no lock.
   std::atomic<base::Duration::rep> m_confirmed{kNever.count()};
   base::Log m_log;
-  std::thread m_store_thread;
+  std::thread m_table_thread;
   Sockets m_sockets;
 };
 
@@ -444,14 +453,14 @@
 }
 
 void Member::AbortPrepare() {
-  m_impl->With([this](Membership& membership) {
+  m_impl->WithMembership([this](Membership& membership) {
     membership.AbortPrepare(m_impl->Now());
     return true;
   });
 }
 
 void Member::Announce(const ConfigHead& head, base::TimePoint started) {
-  m_impl->With([&](Membership& membership) {
+  m_impl->WithMembership([&](Membership& membership) {
     membership.ObserveHead(head, started);
     membership.BroadcastHead();
     return true;
@@ -482,14 +491,14 @@
 }
 
 void Member::SetShards(std::uint16_t shards) {
-  m_impl->With([&](Membership& membership) {
+  m_impl->WithMembership([&](Membership& membership) {
     membership.SetShards(shards);
     return true;
   });
 }
 
 void Member::SetSeeds(std::vector<std::string> seeds) {
-  m_impl->With([&](Membership& membership) {
+  m_impl->WithMembership([&](Membership& membership) {
     membership.SetSeeds(std::move(seeds));
     return true;
   });
--- a/src/cassiastile/member/member_rows.cpp
+++ b/src/cassiastile/member/member_rows.cpp
@@ -61,7 +61,7 @@
   const auto json = nlohmann::json::parse((*row)->value, nullptr, false);
   if (!json.is_object()) {
     return base::Fail(base::ErrorCode::kInternal,
-                      "The row config/head can't be read.");
+                      "The row config/head is not a JSON object.");
   }
   HeadRow head;
   head.head = {json.value("version", std::uint64_t{0}),
@@ -80,8 +80,9 @@
     return tl::unexpected(row.error());
   }
   if (!*row) {
-    return base::Fail(base::ErrorCode::kNotFound,
-                      fmt::format("There is no version {}.", version));
+    return base::Fail(
+        base::ErrorCode::kNotFound,
+        fmt::format("There is no configuration version {}.", version));
   }
   return std::move((*row)->value);
 }
@@ -115,7 +116,7 @@
   if (present && present->incarnation >= record.incarnation) {
     return base::Fail(
         base::ErrorCode::kConflict,
-        "Another process has taken the name " + record.name + " since.");
+        "Another process has registered the member name " + record.name + ".");
   }
   platform::Transaction transaction;
   transaction.nonce = nonce;
--- a/src/cassiastile/member/member_settings.cpp
+++ b/src/cassiastile/member/member_settings.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::uint16_t kDefaultPort = 7200;
-constexpr std::size_t kLeastSecretBytes = 16;
+constexpr std::size_t kMinSecretBytes = 16;
 
 std::string ReadSecret(config::Settings& settings) {
   const std::string path = settings.Text("fleet_secret_file");
@@ -20,9 +20,9 @@
   while (!secret.empty() && (secret.back() == '\n' || secret.back() == '\r')) {
     secret.pop_back();
   }
-  if (secret.size() < kLeastSecretBytes) {
+  if (secret.size() < kMinSecretBytes) {
     settings.Report("fleet_secret_file", "must name a file that holds " +
-                                             std::to_string(kLeastSecretBytes) +
+                                             std::to_string(kMinSecretBytes) +
                                              " bytes or more; it holds " +
                                              std::to_string(secret.size()));
   }
--- a/src/cassiastile/member/membership.cpp
+++ b/src/cassiastile/member/membership.cpp
@@ -15,7 +15,7 @@
     base::EnumName<MemberState>{MemberState::kDead, "dead"},
 };
 
-// FNV-1a over the names, to tell lists apart.
+// FNV-1a over the names; zero for an empty list.
 std::uint32_t HashList(const std::vector<MemberRecord>& list) {
   constexpr std::uint32_t kOffset = 2166136261U;
   constexpr std::uint32_t kPrime = 16777619U;
@@ -28,7 +28,7 @@
   return list.empty() ? 0 : hash;
 }
 
-void RaiseTo(std::optional<base::TimePoint>& time, base::TimePoint to) {
+void AdvanceTo(std::optional<base::TimePoint>& time, base::TimePoint to) {
   if (!time || *time < to) {
     time = to;
   }
@@ -53,7 +53,7 @@
   m_reaches_store = true;
   LearnHead(head, started);
   if (head == m_head) {
-    RaiseTo(m_head_known_at, started);
+    AdvanceTo(m_head_known_at, started);
   }
 }
 
@@ -114,7 +114,7 @@
 }
 
 bool Membership::IsFresh(base::TimePoint now) const {
-  if (m_refused) {
+  if (m_superseded) {
     return false;
   }
   const auto confirmed = ConfirmedAt(now);
@@ -125,12 +125,13 @@
     base::TimePoint now) const {
   std::optional<base::TimePoint> confirmed = m_head_known_at;
   if (const auto agreed = MajorityAgreedAt(now)) {
-    RaiseTo(confirmed, *agreed);
+    AdvanceTo(confirmed, *agreed);
   }
   return confirmed;
 }
 
-// The latest time since which a majority, one by one, agreed with the head.
+// The latest time at or after which each member of some majority agreed with
+// the head.
 std::optional<base::TimePoint> Membership::MajorityAgreedAt(
     base::TimePoint now) const {
   if (m_list.empty()) {
@@ -158,7 +159,7 @@
 }
 
 bool Membership::Agrees() const {
-  return m_voter && m_promises.empty() && !m_refused;
+  return m_voter && m_promises.empty() && !m_superseded;
 }
 
 void Membership::BecomeVoter(base::TimePoint now) {
@@ -200,8 +201,9 @@
   if (head.version <= m_head.version) {
     return;
   }
-  // The newer version was committed after the older one was last known to be
-  // the head, so that it was the head itself at some time since then.
+  // The newer version was committed, and so became the head, at some time after
+  // the older one was last known to be the head. That earlier time is a safe
+  // lower bound for when the newer version was the head.
   const std::optional<base::TimePoint> known_at = HeadConfirmedAt(now);
   if (m_in_force == m_head.version) {
     m_in_force_confirmed_at = known_at;
@@ -224,7 +226,7 @@
     return;
   }
   if (record.name == m_options.self.name) {
-    m_refused |= record.incarnation > m_options.self.incarnation;
+    m_superseded |= record.incarnation > m_options.self.incarnation;
     return;
   }
   const auto [found, added] = m_peers.try_emplace(record.name);
@@ -245,7 +247,7 @@
 
 std::optional<MemberRecord> Membership::NextRemoval(base::TimePoint now) {
   std::size_t alive = 0;
-  std::optional<MemberRecord> longest;
+  std::optional<MemberRecord> selected;
   for (const MemberRecord& record : m_list) {
     const auto found = m_peers.find(record.name);
     if (found == m_peers.end()) {
@@ -261,17 +263,17 @@
     alive += is_alive ? 1 : 0;
     const base::Duration age = now - peer.heard_at.value_or(peer.known_since);
     if (age >= m_options.times.remove_after) {
-      longest = record;
+      selected = record;
     }
   }
-  const bool may_remove = longest && alive >= Majority() && m_reaches_store &&
+  const bool may_remove = selected && alive >= Majority() && m_reaches_store &&
                           m_options.self.role == MemberRole::kControl &&
                           now >= m_next_removal;
   if (!may_remove) {
     return std::nullopt;
   }
   m_next_removal = now + m_options.times.remove_period;
-  return longest;
+  return selected;
 }
 
 void Membership::Prepare(std::uint64_t version, std::uint64_t id) {
@@ -293,8 +295,8 @@
 void Membership::AbortPrepare(base::TimePoint now) {
   if (m_proposal) {
     m_promises.erase(m_proposal->id);
-    m_withdrawn = std::move(m_proposal);
-    m_withdrawn->sent_at = now;
+    m_aborted = std::move(m_proposal);
+    m_aborted->sent_at = now;
     m_proposal.reset();
   }
 }
--- a/src/cassiastile/member/membership_receive.cpp
+++ b/src/cassiastile/member/membership_receive.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kRecordsPerAck = 2;
-// More prepares than this under way at once are not promised.
+// The most promises that are kept at once; further prepares get no promise.
 constexpr std::size_t kMaxPromises = 16;
 
 std::uint8_t PackAge(const std::optional<base::TimePoint>& time,
@@ -24,7 +24,7 @@
   return std::chrono::milliseconds(units * kAgeUnitMilliseconds);
 }
 
-void RaiseTo(std::optional<base::TimePoint>& time, base::TimePoint to) {
+void AdvanceTo(std::optional<base::TimePoint>& time, base::TimePoint to) {
   if (!time || *time < to) {
     time = to;
   }
@@ -78,7 +78,8 @@
   }
 }
 
-// One that has our list knows the others' records from it.
+// Adds this member's record. A receiver with the same list knows the records of
+// the others from the list, so it gets none of them.
 void Membership::AddRecords(Message& message,
                             bool with_others,
                             base::Random& random) const {
@@ -107,15 +108,15 @@
     return {};
   }
   if (message->sender == m_options.self.name) {
-    m_refused |= message->incarnation > m_options.self.incarnation;
+    m_superseded |= message->incarnation > m_options.self.incarnation;
     Count(PacketFault::kReplayed);
     return {};
   }
   if (!IsCurrentIncarnation(*message)) {
     Count(PacketFault::kOldIncarnation);
-    Message refused = MakeMessage(MessageKind::kRefused);
-    refused.echo = m_peers.at(message->sender).record.incarnation;
-    return {{from, Encode(refused)}};
+    Message superseded = MakeMessage(MessageKind::kSuperseded);
+    superseded.echo = m_peers.at(message->sender).record.incarnation;
+    return {{from, Encode(superseded)}};
   }
   return Answer(*message, from, now, random);
 }
@@ -158,8 +159,8 @@
     case MessageKind::kAbort:
       m_promises.erase(message.promise_id);
       return {};
-    case MessageKind::kRefused:
-      m_refused |= message.echo > m_options.self.incarnation;
+    case MessageKind::kSuperseded:
+      m_superseded |= message.echo > m_options.self.incarnation;
       return {};
     case MessageKind::kAck:
       break;
@@ -168,9 +169,9 @@
 }
 
 Message Membership::AnswerPrepare(const Message& prepare) {
-  const bool room = m_promises.size() < kMaxPromises ||
-                    m_promises.contains(prepare.promise_id);
-  if (prepare.promise_version > m_head.version && room) {
+  const bool has_room = m_promises.size() < kMaxPromises ||
+                        m_promises.contains(prepare.promise_id);
+  if (prepare.promise_version > m_head.version && has_room) {
     m_promises[prepare.promise_id] = prepare.promise_version;
   }
   Message promise = MakeMessage(MessageKind::kPromise);
@@ -187,7 +188,8 @@
          message.incarnation >= found->second.record.incarnation;
 }
 
-// Messages other than answers count only once and in the order sent.
+// Messages other than acknowledgements are processed only once and in the order
+// sent; others are dropped as replayed.
 bool Membership::IsInOrder(const Message& message) {
   const auto found = m_peers.find(message.sender);
   if (found == m_peers.end()) {
@@ -220,10 +222,10 @@
   const auto found = m_peers.find(ack.sender);
   if (found != m_peers.end()) {
     Peer& peer = found->second;
-    RaiseTo(peer.heard_at, as_of);
+    AdvanceTo(peer.heard_at, as_of);
     peer.in_force = std::max(peer.in_force, ack.in_force);
     if (ack.head == m_head && ack.agrees) {
-      RaiseTo(peer.agreed_at, as_of);
+      AdvanceTo(peer.agreed_at, as_of);
     }
   }
   LearnStoreAge(ack, as_of);
@@ -232,7 +234,8 @@
 
 void Membership::LearnStoreAge(const Message& ack, base::TimePoint as_of) {
   if (ack.head == m_head && ack.store_age != kStoreAgeUnknown) {
-    RaiseTo(m_head_known_at, as_of - std::chrono::milliseconds(ack.store_age));
+    AdvanceTo(m_head_known_at,
+              as_of - std::chrono::milliseconds(ack.store_age));
   }
 }
 
@@ -248,13 +251,13 @@
     Peer& peer = found->second;
     const MemberStatement& statement = ack.statements[i];
     if (statement.heard_age != kAgeUnknown) {
-      RaiseTo(peer.heard_at, as_of - UnpackAge(statement.heard_age));
+      AdvanceTo(peer.heard_at, as_of - UnpackAge(statement.heard_age));
     }
     if (ack.head != m_head) {
       continue;
     }
     if (statement.agreed_age != kAgeUnknown) {
-      RaiseTo(peer.agreed_at, as_of - UnpackAge(statement.agreed_age));
+      AdvanceTo(peer.agreed_at, as_of - UnpackAge(statement.agreed_age));
     }
     if (statement.in_force) {
       peer.in_force = std::max(peer.in_force, m_head.version);
--- a/src/cassiastile/member/membership_tick.cpp
+++ b/src/cassiastile/member/membership_tick.cpp
@@ -7,16 +7,19 @@
 
 namespace {
 
-// One ping in this many goes to the own availability zone.
-constexpr std::uint64_t kOwnZoneEvery = 6;
-// The pings of a round while the freshness runs out.
+// One ping round in this many pings a member of the own availability zone, the
+// others a member of another zone.
+constexpr std::uint64_t kSameZonePingInterval = 6;
+// The number of pings in a round when the confirmation of the head is about to
+// expire.
 constexpr int kUrgentPings = 3;
-// One ping round in this many also tries an address from the settings or the
-// host list that no known member has.
-constexpr std::uint64_t kSeedEvery = 5;
-// The most peers offered for one pull of a body.
+// One ping round in this many also pings a seed address, from the settings or
+// the host list, that belongs to no known member.
+constexpr std::uint64_t kSeedPingInterval = 5;
+// The most peers to try when fetching a body.
 constexpr std::size_t kMaxPullPeers = 3;
-// Reads are spread by up to this part of their period.
+// Periods are shortened at random by up to one part in this many, so that the
+// members' reads are spread over time.
 constexpr std::uint64_t kJitterDivisor = 5;
 
 base::Duration Jitter(base::Duration period, base::Random& random) {
@@ -34,13 +37,13 @@
 
 MemberActions Membership::Tick(base::TimePoint now, base::Random& random) {
   MemberActions actions;
-  if (m_refused) {
+  if (m_superseded) {
     return actions;
   }
   BecomeVoter(now);
   AddPings(actions, now, random);
   AddPrepares(actions, now);
-  AddSpread(actions, now);
+  AddBroadcast(actions, now);
   AddReads(actions, now, random);
   AddPull(actions, now, random);
   return actions;
@@ -56,7 +59,7 @@
                 Jitter(m_options.times.ping_period, random) / 2;
   ++m_ticks;
   ForgetOldPings(now);
-  const bool same_zone = m_ticks % kOwnZoneEvery == 0;
+  const bool same_zone = m_ticks % kSameZonePingInterval == 0;
   std::vector<std::string> names = PingCandidates(same_zone, now);
   if (names.empty()) {
     names = PingCandidates(!same_zone, now);
@@ -91,10 +94,10 @@
 
 void Membership::AddPing(MemberActions& actions,
                          const std::string& address,
-                         bool introduce,
+                         bool with_own_record,
                          base::TimePoint now) {
   Message ping = MakeMessage(MessageKind::kPing);
-  if (introduce) {
+  if (with_own_record) {
     ping.records.push_back(m_options.self);
   }
   m_pings[ping.sequence] = Ping{address, now};
@@ -104,7 +107,7 @@
 void Membership::AddSeedPing(MemberActions& actions,
                              base::TimePoint now,
                              base::Random& random) {
-  if (m_ticks % kSeedEvery != 1) {
+  if (m_ticks % kSeedPingInterval != 1) {
     return;
   }
   std::vector<std::string> unknown;
@@ -116,7 +119,7 @@
       unknown.push_back(seed);
     }
   }
-  // A listed member taken for dead may only have been cut off.
+  // A member that is considered dead may only have been unreachable.
   for (const auto& [name, peer] : m_peers) {
     if (StateOf(peer, now) == MemberState::kDead &&
         !peer.record.address.empty()) {
@@ -128,20 +131,21 @@
   }
 }
 
-// A member that others can't vouch for is asked itself before it counts as
-// dead. One is asked a round, that waiting the longest.
+// Pings a suspected member directly before it is considered dead, because no
+// other member has heard it lately. Each round pings one: the one whose last
+// ping is the oldest.
 void Membership::AddSuspectPings(MemberActions& actions, base::TimePoint now) {
-  Peer* longest = nullptr;
+  Peer* selected = nullptr;
   for (auto& [name, peer] : m_peers) {
     const bool suspect = StateOf(peer, now) == MemberState::kSuspect;
     if (suspect &&
-        (longest == nullptr || peer.pinged_at < longest->pinged_at)) {
-      longest = &peer;
+        (selected == nullptr || peer.pinged_at < selected->pinged_at)) {
+      selected = &peer;
     }
   }
-  if (longest != nullptr && !longest->record.address.empty()) {
-    longest->pinged_at = now;
-    AddPing(actions, longest->record.address, true, now);
+  if (selected != nullptr && !selected->record.address.empty()) {
+    selected->pinged_at = now;
+    AddPing(actions, selected->record.address, true, now);
   }
 }
 
@@ -186,31 +190,31 @@
 }
 
 void Membership::AddPrepares(MemberActions& actions, base::TimePoint now) {
-  std::optional<Proposal>& proposal = m_proposal ? m_proposal : m_withdrawn;
+  std::optional<Proposal>& proposal = m_proposal ? m_proposal : m_aborted;
   if (!proposal || now - proposal->sent_at < m_options.times.prepare_retry) {
     return;
   }
-  const bool withdrawn = !m_proposal;
+  const bool aborted = !m_proposal;
   proposal->sent_at = now;
   Message message =
-      MakeMessage(withdrawn ? MessageKind::kAbort : MessageKind::kPrepare);
+      MakeMessage(aborted ? MessageKind::kAbort : MessageKind::kPrepare);
   message.promise_version = proposal->version;
   message.promise_id = proposal->id;
   for (const MemberRecord& record : m_list) {
     const auto found = m_peers.find(record.name);
-    const bool asked = !withdrawn && proposal->promised.contains(record.name);
+    const bool asked = !aborted && proposal->promised.contains(record.name);
     if (found != m_peers.end() && !asked) {
       actions.datagrams.push_back(
           {found->second.record.address, Encode(message)});
     }
   }
-  if (withdrawn) {
-    m_withdrawn.reset();
+  if (aborted) {
+    m_aborted.reset();
   }
 }
 
-void Membership::AddSpread(MemberActions& actions, base::TimePoint now) {
-  if (!std::exchange(m_spread, false)) {
+void Membership::AddBroadcast(MemberActions& actions, base::TimePoint now) {
+  if (!std::exchange(m_broadcast_head, false)) {
     return;
   }
   for (const auto& [name, peer] : m_peers) {
--- a/src/cassiastile/member/message.cpp
+++ b/src/cassiastile/member/message.cpp
@@ -30,20 +30,21 @@
         {PacketFault::kOldIncarnation, "old-incarnation"},
     }};
 
-// A datagram is a header, the archive, and a seal over both.
+// A datagram consists of a header (magic, format, oldest format that can read
+// it), the archive, and a truncated HMAC-SHA256 tag over both.
 constexpr std::string_view kMagic = "CM";
 constexpr char kFormat = 1;
-// The oldest release's format that can read what is written here.
-constexpr char kLeastReader = 1;
+// The oldest format whose readers can decode the datagrams written here.
+constexpr char kMinReaderFormat = 1;
 constexpr std::size_t kHeaderBytes = 4;
-constexpr std::size_t kLeastReaderOffset = 3;
-constexpr std::size_t kSealBytes = 16;
+constexpr std::size_t kMinReaderFormatOffset = 3;
+constexpr std::size_t kTagBytes = 16;
 constexpr std::size_t kMaxStatements = 255;
 constexpr std::uint8_t kReachesStoreFlag = 1;
 constexpr std::uint8_t kAgreesFlag = 2;
 
-std::string Seal(std::string_view secret, std::string_view data) {
-  return base::HmacSha256(secret, data).substr(0, kSealBytes);
+std::string ComputeTag(std::string_view secret, std::string_view data) {
+  return base::HmacSha256(secret, data).substr(0, kTagBytes);
 }
 
 int NibbleOf(char digit) {
@@ -105,7 +106,8 @@
   return all;
 }
 
-// One age is sent for each member: who agreed then was heard then.
+// Sends one age for each member. If the member agreed with the head, this is
+// the age of the agreement, which is also a time at which the member was heard.
 void SaveStatements(cereal::PortableBinaryOutputArchive& archive,
                     const std::vector<MemberStatement>& statements) {
   const std::size_t count = std::min(statements.size(), kMaxStatements);
@@ -191,7 +193,7 @@
 
 std::string EncodeWithRecords(const Message& message, std::size_t records) {
   std::ostringstream stream;
-  stream << kMagic << kFormat << kLeastReader;
+  stream << kMagic << kFormat << kMinReaderFormat;
   cereal::PortableBinaryOutputArchive archive(stream);
   SaveFixedPart(archive, message);
   SaveStatements(archive, message.statements);
@@ -202,8 +204,8 @@
   return stream.str();
 }
 
-// Bytes after the last field known here come from a newer release and are
-// left alone.
+// Ignores bytes after the last known field: a newer release may have added
+// fields.
 Message DecodePayload(std::string_view payload) {
   std::istringstream stream{std::string(payload)};
   cereal::PortableBinaryInputArchive archive(stream);
@@ -218,7 +220,7 @@
 }
 
 bool IsKnownKind(MessageKind kind) {
-  return kind <= MessageKind::kRefused;
+  return kind <= MessageKind::kSuperseded;
 }
 
 }  // namespace
@@ -234,10 +236,10 @@
 std::string EncodeMessage(const Message& message, std::string_view secret) {
   std::size_t records = message.records.size();
   std::string data = EncodeWithRecords(message, records);
-  while (records > 0 && data.size() + kSealBytes > kMaxDatagramBytes) {
+  while (records > 0 && data.size() + kTagBytes > kMaxDatagramBytes) {
     data = EncodeWithRecords(message, --records);
   }
-  return data + Seal(secret, data);
+  return data + ComputeTag(secret, data);
 }
 
 tl::expected<Message, PacketFault> DecodeMessage(std::string_view datagram,
@@ -245,16 +247,15 @@
   if (datagram.size() > kMaxDatagramBytes) {
     return tl::unexpected(PacketFault::kOversized);
   }
-  if (datagram.size() <= kHeaderBytes + kSealBytes) {
+  if (datagram.size() <= kHeaderBytes + kTagBytes) {
     return tl::unexpected(PacketFault::kTruncated);
   }
-  const std::string_view data =
-      datagram.substr(0, datagram.size() - kSealBytes);
-  const std::string_view seal = datagram.substr(data.size());
-  if (!base::ConstantTimeEqual(Seal(secret, data), seal)) {
+  const std::string_view data = datagram.substr(0, datagram.size() - kTagBytes);
+  const std::string_view tag = datagram.substr(data.size());
+  if (!base::ConstantTimeEqual(ComputeTag(secret, data), tag)) {
     return tl::unexpected(PacketFault::kForged);
   }
-  if (!data.starts_with(kMagic) || data[kLeastReaderOffset] > kFormat) {
+  if (!data.starts_with(kMagic) || data[kMinReaderFormatOffset] > kFormat) {
     return tl::unexpected(PacketFault::kUnsupported);
   }
   try {
--- a/src/cassiastile/member/peer_frame.cpp
+++ b/src/cassiastile/member/peer_frame.cpp
@@ -12,22 +12,24 @@
 namespace {
 
 constexpr std::uint8_t kFormat = 1;
-constexpr std::size_t kSealBytes = 32;
+constexpr std::size_t kTagBytes = 32;
 
-std::string AddSeal(const std::string& data, std::string_view secret) {
+std::string PrependTag(const std::string& data, std::string_view secret) {
   return base::HmacSha256(secret, data) + data;
 }
 
-base::Result<std::string> TakeSeal(std::string_view frame,
-                                   std::string_view secret) {
-  if (frame.size() < kSealBytes) {
-    return base::Fail(base::ErrorCode::kInvalid, "The peer's frame is cut.");
+base::Result<std::string> VerifyTag(std::string_view frame,
+                                    std::string_view secret) {
+  if (frame.size() < kTagBytes) {
+    return base::Fail(base::ErrorCode::kInvalid,
+                      "The peer's frame is shorter than its HMAC.");
   }
-  const std::string_view data = frame.substr(kSealBytes);
+  const std::string_view data = frame.substr(kTagBytes);
   if (!base::ConstantTimeEqual(base::HmacSha256(secret, data),
-                               frame.substr(0, kSealBytes))) {
-    return base::Fail(base::ErrorCode::kDenied,
-                      "The peer's frame is not sealed with our secret.");
+                               frame.substr(0, kTagBytes))) {
+    return base::Fail(
+        base::ErrorCode::kDenied,
+        "The peer's frame is not authenticated with this fleet's secret.");
   }
   return std::string(data);
 }
@@ -53,7 +55,8 @@
   return record;
 }
 
-// The text comes last, so that its length is what remains.
+// The text comes last and has no length of its own: it is the rest of the
+// stream.
 PeerReply LoadReply(std::istringstream& stream) {
   cereal::PortableBinaryInputArchive archive(stream);
   PeerReply reply;
@@ -79,7 +82,7 @@
   cereal::PortableBinaryOutputArchive archive(stream);
   archive(kFormat, request.version);
   SaveShortText(archive, request.nonce);
-  return AddSeal(stream.str(), secret);
+  return PrependTag(stream.str(), secret);
 }
 
 std::string EncodeReply(const PeerReply& reply, std::string_view secret) {
@@ -92,12 +95,12 @@
     SaveRecord(archive, record);
   }
   stream << reply.text;
-  return AddSeal(stream.str(), secret);
+  return PrependTag(stream.str(), secret);
 }
 
 base::Result<PeerRequest> DecodeRequest(std::string_view frame,
                                         std::string_view secret) {
-  const auto data = TakeSeal(frame, secret);
+  const auto data = VerifyTag(frame, secret);
   if (!data) {
     return tl::unexpected(data.error());
   }
@@ -110,13 +113,14 @@
     request.nonce = LoadShortText(archive);
     return request;
   } catch (const std::exception&) {
-    return base::Fail(base::ErrorCode::kInvalid, "Not a peer's request.");
+    return base::Fail(base::ErrorCode::kInvalid,
+                      "The peer's request can't be decoded.");
   }
 }
 
 base::Result<PeerReply> DecodeReply(std::string_view frame,
                                     std::string_view secret) {
-  const auto data = TakeSeal(frame, secret);
+  const auto data = VerifyTag(frame, secret);
   if (!data) {
     return tl::unexpected(data.error());
   }
@@ -124,7 +128,8 @@
     std::istringstream stream(*data);
     return LoadReply(stream);
   } catch (const std::exception&) {
-    return base::Fail(base::ErrorCode::kInvalid, "Not a peer's reply.");
+    return base::Fail(base::ErrorCode::kInvalid,
+                      "The peer's reply can't be decoded.");
   }
 }
 
@@ -141,8 +146,9 @@
                            static_cast<std::uint16_t>(std::stoul(port))};
     }
   }
-  return base::Fail(base::ErrorCode::kInvalid,
-                    "Not an address of the form IP:PORT: " + text + ".");
+  return base::Fail(
+      base::ErrorCode::kInvalid,
+      "The address does not have the form IP:PORT: " + text + ".");
 }
 
 }  // namespace cassiastile::member
--- a/src/cassiastile/member/peer_link.cpp
+++ b/src/cassiastile/member/peer_link.cpp
@@ -32,7 +32,8 @@
   return size;
 }
 
-// One connection, from either end: it reads a frame, or writes one, or both.
+// One connection, on either side. Reads and writes frames, each preceded by its
+// length in four bytes, little-endian.
 class Session : public std::enable_shared_from_this<Session> {
  public:
   using FrameHandler = std::function<void(std::string)>;
@@ -137,8 +138,9 @@
       m_acceptor.listen(asio::socket_base::max_listen_connections, error);
     }
     if (error) {
-      return base::Fail(base::ErrorCode::kUnavailable,
-                        "Can't listen for peers: " + error.message() + ".");
+      return base::Fail(
+          base::ErrorCode::kUnavailable,
+          "Can't listen for peer connections: " + error.message() + ".");
     }
     Accept();
     m_thread = std::thread([this] { m_context.run(); });
@@ -210,7 +212,7 @@
       asio::ip::make_address(parsed ? parsed->ip : std::string(), error);
   if (!parsed || error) {
     return base::Fail(base::ErrorCode::kInvalid,
-                      "Not a peer's address: " + address + ".");
+                      "The peer's address is not valid: " + address + ".");
   }
   asio::io_context context;
   std::string frame;
@@ -229,7 +231,7 @@
   auto reply = DecodeReply(frame, secret);
   if (reply && reply->nonce != request.nonce) {
     return base::Fail(base::ErrorCode::kDenied,
-                      "The peer's answer is to another request.");
+                      "The peer's reply has the nonce of another request.");
   }
   return reply;
 }
--- a/src/cassiastile/member/shard_lease.cpp
+++ b/src/cassiastile/member/shard_lease.cpp
@@ -111,7 +111,8 @@
   for (auto& [name, shard] : m_shards) {
     const auto found = rows.find(name);
     const LeaseRows seen = found == rows.end() ? LeaseRows{} : found->second;
-    // A read that started before an own write ended may be older than it.
+    // A read that was started before this process's own write ended may show
+    // older rows.
     if (seen.lease_version < shard.rows.lease_version) {
       continue;
     }
@@ -131,45 +132,46 @@
   return now >= m_next_scan;
 }
 
-bool ShardLeases::IsOwn(const Shard& shard) const {
+bool ShardLeases::IsOwnedBySelf(const Shard& shard) const {
   return shard.observed && shard.rows.owner == m_options.owner;
 }
 
 std::vector<LeaseAction> ShardLeases::Decide(base::TimePoint now) {
-  std::vector<LeaseAction> acts;
+  std::vector<LeaseAction> lease_actions;
   if (m_released) {
-    return acts;
+    return lease_actions;
   }
   for (auto& [name, shard] : m_shards) {
     if (ShouldHandOver(shard, now)) {
       shard.renewed_at.reset();
-      acts.push_back(MakeRelease(name, shard));
+      lease_actions.push_back(MakeRelease(name, shard));
       shard.ranked_since = now;
     } else if (MayTakeOver(shard, now)) {
-      acts.push_back(MakeTakeover(name, shard));
+      lease_actions.push_back(MakeTakeover(name, shard));
     }
   }
   if (now >= m_next_renewal) {
     m_next_renewal = now + m_options.renew_period;
     if (auto renewal = MakeRenewal()) {
-      acts.push_back(std::move(*renewal));
+      lease_actions.push_back(std::move(*renewal));
     }
   }
-  return acts;
+  return lease_actions;
 }
 
 bool ShardLeases::MayTakeOver(const Shard& shard, base::TimePoint now) const {
-  if (!shard.observed || shard.needs_scan || IsOwn(shard)) {
+  if (!shard.observed || shard.needs_scan || IsOwnedBySelf(shard)) {
     return false;
   }
   const base::Duration watched = now - shard.unchanged_since;
   const base::Duration wait = shard.rows.owner.empty()
                                   ? base::Duration::zero()
-                                  : m_options.lease + m_options.margin;
+                                  : m_options.lease + m_options.clock_margin;
   return watched >= wait + RankDelay(shard);
 }
 
-// Candidates that are gone from the list are not waited for.
+// Each live candidate ranked before this process adds to its delay, except the
+// current owner. Candidates that have left the list add nothing.
 base::Duration ShardLeases::RankDelay(const Shard& shard) const {
   const auto found =
       std::find(shard.ranked.begin(), shard.ranked.end(), m_options.owner);
@@ -184,57 +186,58 @@
 
 bool ShardLeases::ShouldHandOver(const Shard& shard,
                                  base::TimePoint now) const {
-  return IsOwn(shard) && shard.renewed_at && !shard.ranked.empty() &&
+  return IsOwnedBySelf(shard) && shard.renewed_at && !shard.ranked.empty() &&
          shard.ranked.front() != m_options.owner &&
-         now - shard.ranked_since >= m_options.settle;
+         now - shard.ranked_since >= m_options.handover_delay;
 }
 
 LeaseAction ShardLeases::MakeTakeover(const std::string& name,
                                       const Shard& shard) const {
-  LeaseAction act{LeaseActionKind::kTakeOver, {name}, {}};
-  act.transaction.preconditions = {
+  LeaseAction lease_action{LeaseActionKind::kTakeOver, {name}, {}};
+  lease_action.transaction.preconditions = {
       {kLeasePrefix + name, shard.rows.lease_version},
       {kRenewalPrefix + name, shard.rows.renewal_version}};
-  act.transaction.writes = {
+  lease_action.transaction.writes = {
       {kLeasePrefix + name,
        LeaseText(m_options.owner, m_options.address, shard.rows.epoch + 1)},
       {kRenewalPrefix + name, RenewalText(m_options.owner, 1)}};
-  return act;
+  return lease_action;
 }
 
 LeaseAction ShardLeases::MakeRelease(const std::string& name,
                                      const Shard& shard) const {
-  LeaseAction act{LeaseActionKind::kRelease, {name}, {}};
-  act.transaction.preconditions = {
+  LeaseAction lease_action{LeaseActionKind::kRelease, {name}, {}};
+  lease_action.transaction.preconditions = {
       {kLeasePrefix + name, shard.rows.lease_version}};
-  act.transaction.writes = {
+  lease_action.transaction.writes = {
       {kLeasePrefix + name, LeaseText("", "", shard.rows.epoch)}};
-  return act;
+  return lease_action;
 }
 
-// All shards owned are renewed together, in one write to the table.
+// Renews all owned shards together, in one transaction.
 std::optional<LeaseAction> ShardLeases::MakeRenewal() const {
-  LeaseAction act{LeaseActionKind::kRenew, {}, {}};
+  LeaseAction lease_action{LeaseActionKind::kRenew, {}, {}};
   for (const auto& [name, shard] : m_shards) {
-    if (!IsOwn(shard)) {
+    if (!IsOwnedBySelf(shard)) {
       continue;
     }
-    act.shards.push_back(name);
-    act.transaction.preconditions.push_back(
+    lease_action.shards.push_back(name);
+    lease_action.transaction.preconditions.push_back(
         {kLeasePrefix + name, shard.rows.lease_version});
-    act.transaction.writes.push_back(
+    lease_action.transaction.writes.push_back(
         {kRenewalPrefix + name,
          RenewalText(m_options.owner, shard.rows.renewal_version + 1)});
   }
-  return act.shards.empty() ? std::nullopt : std::optional(std::move(act));
+  return lease_action.shards.empty() ? std::nullopt
+                                     : std::optional(std::move(lease_action));
 }
 
-// What is not known to hold is not tried again before the next scan.
-void ShardLeases::ForgetRows(const LeaseAction& act) {
-  if (act.kind != LeaseActionKind::kTakeOver) {
+// A failed takeover is not tried again before the next scan.
+void ShardLeases::RequireScan(const LeaseAction& lease_action) {
+  if (lease_action.kind != LeaseActionKind::kTakeOver) {
     return;
   }
-  for (const std::string& name : act.shards) {
+  for (const std::string& name : lease_action.shards) {
     const auto found = m_shards.find(name);
     if (found != m_shards.end()) {
       found->second.needs_scan = true;
@@ -242,22 +245,22 @@
   }
 }
 
-void ShardLeases::Finish(const LeaseAction& act,
+void ShardLeases::Finish(const LeaseAction& lease_action,
                          base::TimePoint started,
                          const base::Result<platform::Commit>& outcome) {
   if (!outcome) {
     m_next_scan = std::min(m_next_scan, started + kRetryDelay);
     m_next_renewal = std::min(m_next_renewal, started + kRetryDelay);
-    ForgetRows(act);
+    RequireScan(lease_action);
     return;
   }
-  for (const std::string& name : act.shards) {
+  for (const std::string& name : lease_action.shards) {
     const auto found = m_shards.find(name);
     if (found == m_shards.end()) {
       continue;
     }
     Shard& shard = found->second;
-    switch (act.kind) {
+    switch (lease_action.kind) {
       case LeaseActionKind::kTakeOver:
         ++shard.rows.lease_version;
         ++shard.rows.epoch;
@@ -280,20 +283,20 @@
 
 std::vector<LeaseAction> ShardLeases::ReleaseAll() {
   m_released = true;
-  std::vector<LeaseAction> acts;
+  std::vector<LeaseAction> lease_actions;
   for (auto& [name, shard] : m_shards) {
     shard.renewed_at.reset();
-    if (IsOwn(shard)) {
-      acts.push_back(MakeRelease(name, shard));
+    if (IsOwnedBySelf(shard)) {
+      lease_actions.push_back(MakeRelease(name, shard));
     }
   }
-  return acts;
+  return lease_actions;
 }
 
 std::optional<ShardLease> ShardLeases::CurrentLease(const std::string& shard,
                                                     base::TimePoint now) const {
   const auto found = m_shards.find(shard);
-  if (found == m_shards.end() || !IsOwn(found->second) ||
+  if (found == m_shards.end() || !IsOwnedBySelf(found->second) ||
       !found->second.renewed_at ||
       now - *found->second.renewed_at >= m_options.lease) {
     return std::nullopt;
--- a/src/cassiastile/member/shard_lease_manager.cpp
+++ b/src/cassiastile/member/shard_lease_manager.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kRound{50};
+constexpr std::chrono::milliseconds kRoundPeriod{50};
 
 }  // namespace
 
@@ -32,7 +32,7 @@
       lock.unlock();
       RunOnce();
       lock.lock();
-      m_wake.wait_for(lock, kRound, [this] { return m_stopping; });
+      m_wake.wait_for(lock, kRoundPeriod, [this] { return m_stopping; });
     }
   });
 }
@@ -47,13 +47,13 @@
     return;
   }
   m_thread.join();
-  std::vector<LeaseAction> acts;
+  std::vector<LeaseAction> lease_actions;
   {
     const std::lock_guard lock(m_mutex);
-    acts = m_leases.ReleaseAll();
+    lease_actions = m_leases.ReleaseAll();
   }
-  for (LeaseAction& act : acts) {
-    Apply(std::move(act));
+  for (LeaseAction& lease_action : lease_actions) {
+    Apply(std::move(lease_action));
   }
 }
 
@@ -71,13 +71,13 @@
   if (scan_due) {
     Scan();
   }
-  std::vector<LeaseAction> acts;
+  std::vector<LeaseAction> lease_actions;
   {
     const std::lock_guard lock(m_mutex);
-    acts = m_leases.Decide(m_clock.Now());
+    lease_actions = m_leases.Decide(m_clock.Now());
   }
-  for (LeaseAction& act : acts) {
-    Apply(std::move(act));
+  for (LeaseAction& lease_action : lease_actions) {
+    Apply(std::move(lease_action));
   }
 }
 
@@ -91,15 +91,15 @@
   }
 }
 
-void ShardLeaseManager::Apply(LeaseAction act) {
+void ShardLeaseManager::Apply(LeaseAction lease_action) {
   {
     const std::lock_guard lock(m_mutex);
-    act.transaction.nonce = base::MakeId(m_random);
+    lease_action.transaction.nonce = base::MakeId(m_random);
   }
   const base::TimePoint started = m_clock.Now();
-  const auto outcome = m_table.Apply(act.transaction);
+  const auto outcome = m_table.Apply(lease_action.transaction);
   const std::lock_guard lock(m_mutex);
-  m_leases.Finish(act, started, outcome);
+  m_leases.Finish(lease_action, started, outcome);
 }
 
 std::optional<ShardLease> ShardLeaseManager::CurrentLease(
--- a/src/cassiastile/member/virtual_network.cpp
+++ b/src/cassiastile/member/virtual_network.cpp
@@ -9,7 +9,7 @@
 
 constexpr base::Duration kStep = std::chrono::milliseconds(1);
 constexpr base::Duration kTickPeriod = std::chrono::milliseconds(20);
-constexpr std::uint64_t kHeaderBytes = 28;  // IPv4 and UDP.
+constexpr std::uint64_t kHeaderBytes = 28;  // IPv4 and UDP headers.
 constexpr std::size_t kMaxCaptured = 64;
 
 }  // namespace
@@ -92,7 +92,7 @@
 void VirtualNetwork::Step() {
   m_now += kStep;
   while (!m_flights.empty() && m_flights.begin()->first <= m_now) {
-    const Flight flight = m_flights.begin()->second;
+    const InFlightDatagram flight = m_flights.begin()->second;
     m_flights.erase(m_flights.begin());
     Deliver(flight);
   }
@@ -138,7 +138,7 @@
   }
   for (const std::string& address : pull.peers) {
     const std::string& peer = m_names_by_address.at(address);
-    if (m_nodes.at(peer).running && !AreCut(name, peer)) {
+    if (m_nodes.at(peer).running && !ArePartitioned(name, peer)) {
       Membership& holder = *m_nodes.at(peer).membership;
       node.membership->LearnList(holder.List(), m_now);
       if (holder.InForce() == pull.head.version) {
@@ -167,18 +167,19 @@
     const base::Duration delay =
         m_faults.min_delay +
         base::Duration(static_cast<std::int64_t>(m_random() % (range + 1)));
-    m_flights.emplace(m_now + delay, Flight{from, datagram});
+    m_flights.emplace(m_now + delay, InFlightDatagram{from, datagram});
   }
 }
 
-void VirtualNetwork::Deliver(const Flight& flight) {
+void VirtualNetwork::Deliver(const InFlightDatagram& flight) {
   const auto found = m_names_by_address.find(flight.datagram.to);
   if (found == m_names_by_address.end()) {
     return;
   }
   Node& node = m_nodes.at(found->second);
-  const bool cut = !flight.from.empty() && AreCut(flight.from, found->second);
-  if (!node.running || cut) {
+  const bool partitioned =
+      !flight.from.empty() && ArePartitioned(flight.from, found->second);
+  if (!node.running || partitioned) {
     return;
   }
   const std::string from =
@@ -194,8 +195,8 @@
   return probability > 0 && std::bernoulli_distribution(probability)(m_random);
 }
 
-bool VirtualNetwork::AreCut(const std::string& left,
-                            const std::string& right) const {
+bool VirtualNetwork::ArePartitioned(const std::string& left,
+                                    const std::string& right) const {
   const auto group_of = [this](const std::string& name) {
     const auto found = m_groups.find(name);
     return found == m_groups.end() ? 0 : found->second;
