--- a/src/cassiastile/member/audit_chain_test.cpp
+++ b/src/cassiastile/member/audit_chain_test.cpp
@@ -36,7 +36,7 @@
   platform::MemoryTable m_table;
 };
 
-TEST_F(AuditChainTest, WholeChainHolds) {
+TEST_F(AuditChainTest, IntactChainHasNoBreak) {
   EXPECT_EQ(ReadAuditRows(m_table, 0)->size(), 3U);
   EXPECT_EQ(ReadAuditRows(m_table, 2)->size(), 2U);
   EXPECT_EQ(Break(), std::nullopt);
@@ -72,7 +72,7 @@
   EXPECT_EQ(Break(), 1U);
 }
 
-TEST_F(AuditChainTest, TwoAppendersAtOnceConflict) {
+TEST_F(AuditChainTest, ConcurrentAppendsConflict) {
   const auto head = ReadAuditHead(m_table);
   const AuditWrites first = MakeAuditWrites(*head, {});
   const AuditWrites second = MakeAuditWrites(*head, {});
--- a/src/cassiastile/member/config_store_test.cpp
+++ b/src/cassiastile/member/config_store_test.cpp
@@ -20,28 +20,30 @@
   return text.replace(text.find(from), from.size(), to);
 }
 
-// Members that all answer, or none; lets another edit in at a prepare.
+// A quorum in which either all members promise or none. `on_prepare` is called
+// once, in the next Prepare, so that a test can make another edit or let time
+// pass between the read of the head and the commit.
 class FakeQuorum final : public EditQuorum {
  public:
   base::Result<void> Prepare(std::uint64_t, std::uint64_t) override {
-    if (between) {
-      std::exchange(between, nullptr)();
+    if (on_prepare) {
+      std::exchange(on_prepare, nullptr)();
     }
-    if (heard) {
+    if (has_majority) {
       return {};
     }
     return base::Fail(base::ErrorCode::kUnavailable, "No majority.");
   }
-  void AbortPrepare() override { ++withdrawn; }
+  void AbortPrepare() override { ++aborted; }
   void Announce(const ConfigHead& head, base::TimePoint) override {
     announced = head;
   }
   Wait WaitUntilInForce(std::uint64_t) override { return {}; }
 
-  bool heard = true;
-  int withdrawn = 0;
+  bool has_majority = true;
+  int aborted = 0;
   ConfigHead announced;
-  std::function<void()> between;
+  std::function<void()> on_prepare;
 };
 
 class ConfigStoreTest : public ::testing::Test {
@@ -57,8 +59,8 @@
     if (result) {
       return "accepted";
     }
-    if (const auto* faulty = std::get_if<EditInvalid>(&result.error())) {
-      return base::FormatFindings(faulty->findings);
+    if (const auto* invalid = std::get_if<EditInvalid>(&result.error())) {
+      return base::FormatFindings(invalid->findings);
     }
     if (const auto* error = std::get_if<base::Error>(&result.error())) {
       return error->message;
@@ -133,9 +135,9 @@
   EXPECT_NE(m_store.Text(3)->find("// pools comment"), std::string::npos);
 }
 
-TEST_F(ConfigStoreTest, EditThatRacesAtTheCommitIsLaidOverTheNewVersion) {
+TEST_F(ConfigStoreTest, EditThatLosesTheRaceToCommitIsRebasedOnTheNewVersion) {
   ConfigStore other(m_table, m_clock, m_quorum, 2);
-  m_quorum.between = [&] {
+  m_quorum.on_prepare = [&] {
     EXPECT_TRUE(other.Accept(PoolsEdit("came first")));
   };
   const EditResult result = m_store.Accept(LimitsEdit("came second"));
@@ -145,7 +147,7 @@
 }
 
 TEST_F(ConfigStoreTest, HeadThatMovedWithoutAnAuditRowIsNotOverwritten) {
-  m_quorum.between = [&] {
+  m_quorum.on_prepare = [&] {
     const HeadRow moved{{2, "d"}, "x", "", {}, 0};
     EXPECT_TRUE(m_table.Apply(
         {"n", {}, {{kConfigHeadKey, ToText(moved)}, {BodyKey(2), m_text}}}));
@@ -157,7 +159,8 @@
 }
 
 TEST_F(ConfigStoreTest, RebaseThatBreaksARuleIsRefused) {
-  // One edit takes a team's last mention away, another starts to use the team.
+  // The two edits change different sections, but the rebased document refers to
+  // a pool that doesn't exist.
   ASSERT_TRUE(m_store.Accept(LimitsEdit("x")));
   ConfigEdit queues{"[ { \"name\": \"q\", \"pool\": \"no-such-pool\" } ]",
                     SectionName::kQueues,
@@ -183,17 +186,17 @@
 }
 
 TEST_F(ConfigStoreTest, NothingIsCommittedWithoutAMajority) {
-  m_quorum.heard = false;
+  m_quorum.has_majority = false;
   EXPECT_FALSE(m_store.Accept(LimitsEdit("x")));
   EXPECT_EQ(m_store.Head()->head.version, 1U);
-  EXPECT_EQ(m_quorum.withdrawn, 1);
+  EXPECT_EQ(m_quorum.aborted, 1);
 }
 
-TEST_F(ConfigStoreTest, OldPromisesAreNotCommittedOn) {
-  m_quorum.between = [&] { m_clock.Advance(std::chrono::seconds(9)); };
+TEST_F(ConfigStoreTest, ExpiredPromisesAreAskedForAgainBeforeTheCommit) {
+  m_quorum.on_prepare = [&] { m_clock.Advance(std::chrono::seconds(9)); };
   const EditResult result = m_store.Accept(LimitsEdit("late"));
   ASSERT_TRUE(result) << Describe(result);
-  EXPECT_EQ(m_quorum.withdrawn, 1);  // Asked for again before the commit.
+  EXPECT_EQ(m_quorum.aborted, 1);  // The second attempt committed.
 }
 
 TEST_F(ConfigStoreTest, DryRunChangesNothing) {
@@ -213,7 +216,9 @@
   EXPECT_EQ(m_store.Head()->head.version, 2U);
 }
 
-// Whatever the table loses, what the operator is told is what happened.
+// The table loses requests and answers at random. An edit reported as accepted
+// must be committed as the next version, and one reported as failed must not
+// be; only kUnknown leaves the outcome open.
 TEST_F(ConfigStoreTest, LostAnswersAreResolved) {
   std::uint64_t accepted = 1;
   m_table.SetFaults({false, 0.1, 0.3, 0.2});
--- a/src/cassiastile/member/fleet_example_test.hpp
+++ b/src/cassiastile/member/fleet_example_test.hpp
@@ -6,7 +6,7 @@
 
 namespace cassiastile::member {
 
-// The document of one of the example fleets.
+// The configuration document of an example fleet.
 inline std::string ExampleText() {
   std::ifstream file(std::string(CASSIASTILE_SOURCE_DIR) +
                      "/examples/fleets/plechovy-hlas.jsonc");
--- a/src/cassiastile/member/member_test.cpp
+++ b/src/cassiastile/member/member_test.cpp
@@ -17,7 +17,8 @@
 
 constexpr std::string_view kSecret = "fleet secret";
 
-// Waits in real time for what other threads do; the limit only ends a hang.
+// Polls in real time until other threads have done something. The limit of 30
+// seconds only ends a hang.
 bool WaitFor(const std::function<bool()>& done) {
   constexpr int kSteps = 3000;
   for (int i = 0; i < kSteps; ++i) {
@@ -101,7 +102,7 @@
        {{"config/body/1", ExampleText()},
         {"config/head", R"({"version": 1, "digest": "00ff"})"}}}));
   ASSERT_TRUE(WaitFor([&] { return member->Status().head.version == 1; }));
-  // Until the body was surely read, several times.
+  // 40 further reads of the table include several reads of the body.
   const std::uint64_t reads = m_table.Counts().reads;
   ASSERT_TRUE(WaitFor([&] { return m_table.Counts().reads > reads + 40; }));
   EXPECT_EQ(member->Current(), nullptr);
@@ -133,10 +134,10 @@
 RC_GTEST_PROP(PeerFrameProperty, RandomFramesNeverThrow, ()) {
   const auto bytes =
       *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
-  const std::string sealed = base::HmacSha256(kSecret, bytes) + bytes;
+  const std::string tagged = base::HmacSha256(kSecret, bytes) + bytes;
   RC_ASSERT(!DecodeRequest(bytes, kSecret));
-  static_cast<void>(DecodeRequest(sealed, kSecret));
-  static_cast<void>(DecodeReply(sealed, kSecret));
+  static_cast<void>(DecodeRequest(tagged, kSecret));
+  static_cast<void>(DecodeReply(tagged, kSecret));
 }
 
 }  // namespace
--- a/src/cassiastile/member/membership_test.cpp
+++ b/src/cassiastile/member/membership_test.cpp
@@ -18,7 +18,7 @@
 
 class FleetTest : public ::testing::Test {
  protected:
-  // A fleet that knows itself and has version 1 in force.
+  // Starts a fleet whose members know each other and have version 1 in force.
   void SetUp() override {
     AddFleet(m_network, {});
     CommitVersion(m_network, 1);
@@ -43,7 +43,7 @@
     return MemberState::kDead;
   }
 
-  // Runs a prepare at a member; true when a majority promised.
+  // Starts a prepare at a member; returns whether a majority promised.
   bool PrepareAt(const std::string& name, std::uint64_t version) {
     m_network.At(name).Prepare(version, kPromiseId);
     m_network.RunUntil(seconds(2),
@@ -51,7 +51,7 @@
     return m_network.At(name).IsPrepared();
   }
 
-  // Puts members in a group of their own with no way to the store.
+  // Partitions members from all others and from the table.
   void CutOff(const std::vector<std::string>& names) {
     std::map<std::string, int> groups;
     for (const std::string& name : names) {
@@ -81,7 +81,8 @@
   }
 }
 
-// Otherwise keyed work would be refused for a moment at every edit.
+// A host that isn't fresh refuses requests that need a key, so an edit must not
+// make any member stale even for a moment.
 TEST_F(FleetTest, EditLeavesEveryMemberFresh) {
   std::size_t fewest = CountFresh();
   for (std::uint64_t version = 2; version < 12; ++version) {
@@ -100,7 +101,7 @@
   EXPECT_EQ(fewest, 14U);
 }
 
-TEST_F(FleetTest, NewVersionSpreadsByPeersWhereMostLostTheStore) {
+TEST_F(FleetTest, NewVersionSpreadsByPeersIfOnlyOneReachesTheTable) {
   for (const std::string& name : m_network.Names()) {
     m_network.Store().cut_off.insert(name);
   }
@@ -111,7 +112,7 @@
   EXPECT_EQ(CountFresh(), 14U);
 }
 
-TEST_F(FleetTest, GoesOnThroughAStoreOutage) {
+TEST_F(FleetTest, StaysFreshThroughATableOutage) {
   m_network.Store().down = true;
   for (int i = 0; i < 60; ++i) {
     m_network.Run(seconds(1));
@@ -119,15 +120,17 @@
   }
 }
 
-TEST_F(FleetTest, MinorityWithoutStoreStopsWithinFreshness) {
+TEST_F(FleetTest, MinorityWithoutTheTableStopsWithinFreshness) {
   CutOff({"h00-0", "h00-1", "h01-0", "h01-1", "h02-0", "h02-1"});
   m_network.Run(milliseconds(2100));
   EXPECT_EQ(CountFresh(), 8U);
 }
 
+// Guards against a majority that goes on with an old version because it can't
+// learn of a commit that it promised.
 TEST_F(FleetTest, PreparedVersionStopsAMajorityThatMissesTheCommit) {
   ASSERT_TRUE(PrepareAt("h06-1", 2));
-  // The proposer alone keeps the store; it commits and is never heard again.
+  // Only the proposer reaches the table; it commits and is never heard again.
   std::vector<std::string> others = m_network.Names();
   std::erase(others, "h06-1");
   CutOff(others);
@@ -138,7 +141,7 @@
   }
 }
 
-TEST_F(FleetTest, WithdrawnPrepareLetsTheMajorityGoOn) {
+TEST_F(FleetTest, AbortedPrepareLeavesTheMajorityFresh) {
   ASSERT_TRUE(PrepareAt("h06-1", 2));
   m_network.At("h06-1").AbortPrepare(m_network.Now());
   m_network.Run(seconds(1));
@@ -153,7 +156,7 @@
   EXPECT_FALSE(PrepareAt("h00-1", 2));
 }
 
-TEST_F(FleetTest, RestartFromNothingInAnOutageLearnsFromPeers) {
+TEST_F(FleetTest, RestartWithoutStateInATableOutageLearnsFromPeers) {
   m_network.Store().down = true;
   m_network.Run(seconds(5));
   m_network.Restart("h03-0");
@@ -164,9 +167,12 @@
   EXPECT_TRUE(m_network.At("h03-0").IsFresh(m_network.Now()));
 }
 
-TEST_F(FleetTest, RestartedMemberDoesNotSpeakForTheHeadAtOnce) {
+// A restarted member has lost its promises. If it voted for the old head at
+// once, a majority could act on that head after the promised version was
+// committed.
+TEST_F(FleetTest, RestartedMemberDoesNotVoteAtOnce) {
   ASSERT_TRUE(PrepareAt("h06-1", 2));
-  // All that promised forget it, and then the store is lost to them.
+  // All members that promised lose their promises, and then the table.
   std::vector<std::string> others = m_network.Names();
   std::erase(others, "h06-1");
   for (const std::string& name : others) {
@@ -187,7 +193,7 @@
 TEST_F(FleetTest, NeverReverts) {
   CommitVersion(m_network, 2);
   m_network.Run(seconds(3));
-  CommitVersion(m_network, 1);  // A table that was put back to an older state.
+  CommitVersion(m_network, 1);  // The table was restored to an older state.
   m_network.Run(seconds(5));
   for (const std::string& name : m_network.Names()) {
     EXPECT_EQ(m_network.At(name).InForce(), 2U);
@@ -220,8 +226,8 @@
   EXPECT_FALSE(m_network.At("h01-1").NextRemoval(m_network.Now()));
 }
 
-TEST_F(FleetTest, OldIncarnationIsRefused) {
-  // A process is paused, replaced under its name, and goes on.
+TEST_F(FleetTest, OldIncarnationStopsWhenSuperseded) {
+  // A process is paused, replaced by another under the same name, and resumed.
   const std::vector<MemberRecord> records = m_network.Records();
   const auto old = std::find_if(
       records.begin(), records.end(),
@@ -268,7 +274,7 @@
   EXPECT_TRUE(m_network.At("h00-0").IsFresh(m_network.Now()));
 }
 
-TEST(FullSizeTest, GoesOnThroughAStoreOutageOnABadNetwork) {
+TEST(FullSizeTest, StaysFreshThroughATableOutageOnABadNetwork) {
   VirtualNetwork network(kSeed, {0.1, 0.02, milliseconds(1), milliseconds(30)});
   AddFleet(network, {54, 18, 2});
   CommitVersion(network, 1);
@@ -299,7 +305,7 @@
   };
   const std::uint64_t before = sent();
   network.Run(seconds(kSeconds));
-  // What the hosts receive is what they send.
+  // The hosts receive as many bytes as they send, so sent bytes count twice.
   EXPECT_LT(2 * (sent() - before) / kSeconds / kHosts, kBudget);
 }
 
--- a/src/cassiastile/member/message_test.cpp
+++ b/src/cassiastile/member/message_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::string_view kSecret = "fleet secret";
-constexpr std::size_t kSealBytes = 16;
-// The library reads its seed from here.
+constexpr std::size_t kTagBytes = 16;
+// RapidCheck reads its seed from this environment variable.
 [[maybe_unused]] const int kSeedSet = setenv("RC_PARAMS", "seed=42", 1);
 
 Message MakeSample() {
@@ -30,9 +30,9 @@
   return message;
 }
 
-// Seals bytes as the encoder does.
-std::string Reseal(const std::string& data) {
-  return data + base::HmacSha256(kSecret, data).substr(0, kSealBytes);
+// Appends the authentication tag as the encoder does.
+std::string AppendTag(const std::string& data) {
+  return data + base::HmacSha256(kSecret, data).substr(0, kTagBytes);
 }
 
 TEST(MessageTest, RoundTrip) {
@@ -51,20 +51,20 @@
   EXPECT_EQ(decoded->records, sample.records);
 }
 
-TEST(MessageTest, FieldsOfANewerReleaseAreLeftAlone) {
+TEST(MessageTest, FieldsOfANewerReleaseAreIgnored) {
   std::string data = EncodeMessage(MakeSample(), kSecret);
-  data.resize(data.size() - kSealBytes);
+  data.resize(data.size() - kTagBytes);
   data[2] = 2;  // The writer's format.
-  const auto decoded = DecodeMessage(Reseal(data + "more fields"), kSecret);
+  const auto decoded = DecodeMessage(AppendTag(data + "more fields"), kSecret);
   ASSERT_TRUE(decoded);
   EXPECT_EQ(decoded->sender, "h01-0");
 }
 
 TEST(MessageTest, FormatThatNeedsANewerReaderIsUnsupported) {
   std::string data = EncodeMessage(MakeSample(), kSecret);
-  data.resize(data.size() - kSealBytes);
-  data[3] = 2;  // The least reader.
-  const auto decoded = DecodeMessage(Reseal(data), kSecret);
+  data.resize(data.size() - kTagBytes);
+  data[3] = 2;  // The oldest format that can read it.
+  const auto decoded = DecodeMessage(AppendTag(data), kSecret);
   ASSERT_FALSE(decoded);
   EXPECT_EQ(decoded.error(), PacketFault::kUnsupported);
 }
@@ -101,7 +101,7 @@
   const auto bytes =
       *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
   static_cast<void>(
-      DecodeMessage(Reseal(std::string("CM\x01\x01") + bytes), kSecret));
+      DecodeMessage(AppendTag(std::string("CM\x01\x01") + bytes), kSecret));
 }
 
 RC_GTEST_PROP(MessageProperty, CutOrFlippedIsDropped, ()) {
--- a/src/cassiastile/member/shard_lease_test.cpp
+++ b/src/cassiastile/member/shard_lease_test.cpp
@@ -14,8 +14,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Keepers of several processes on one table, each run every 50 ms of virtual
-// time while it is not paused.
+// The lease managers of several processes on one table. Each runs a round every
+// 50 ms of virtual time unless it is paused.
 class ShardLeaseTest : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -33,22 +33,22 @@
     ShardLeaseOptions options;
     options.owner = name;
     options.address = name + ":80";
-    m_keepers[name] = std::make_unique<ShardLeaseManager>(
+    m_managers[name] = std::make_unique<ShardLeaseManager>(
         options, m_table, m_clock,
         ShardLeaseManager::Sources{[this] { return m_shards; },
                                    [this] {
                                      return std::vector<std::string>(
                                          m_alive.begin(), m_alive.end());
                                    }},
-        m_keepers.size() + 1);
+        m_managers.size() + 1);
   }
 
   void Run(base::Duration time) {
     const base::TimePoint end = m_clock.Now() + time;
     while (m_clock.Now() < end) {
-      for (auto& [name, keeper] : m_keepers) {
+      for (auto& [name, manager] : m_managers) {
         if (!m_paused.contains(name)) {
-          keeper->RunOnce();
+          manager->RunOnce();
         }
       }
       CheckOwners();
@@ -56,12 +56,12 @@
     }
   }
 
-  // No two processes may take themselves for the owner at the same time.
+  // Invariant: no two processes consider themselves the owner at the same time.
   void CheckOwners() {
     for (const std::string& shard : m_shards) {
       std::size_t owners = 0;
-      for (const auto& [name, keeper] : m_keepers) {
-        owners += keeper->CurrentLease(shard, m_clock.Now()) ? 1 : 0;
+      for (const auto& [name, manager] : m_managers) {
+        owners += manager->CurrentLease(shard, m_clock.Now()) ? 1 : 0;
       }
       ASSERT_LE(owners, 1U) << shard;
     }
@@ -69,16 +69,16 @@
 
   std::map<std::string, std::string> Owners() {
     std::map<std::string, std::string> owners;
-    for (const auto& [name, keeper] : m_keepers) {
-      for (const std::string& shard : keeper->OwnedShards(m_clock.Now())) {
+    for (const auto& [name, manager] : m_managers) {
+      for (const std::string& shard : manager->OwnedShards(m_clock.Now())) {
         owners[shard] = name;
       }
     }
     return owners;
   }
 
-  std::size_t CountOf(const std::string& name) {
-    return m_keepers.at(name)->OwnedShards(m_clock.Now()).size();
+  std::size_t CountOwnedBy(const std::string& name) {
+    return m_managers.at(name)->OwnedShards(m_clock.Now()).size();
   }
 
   base::ManualClock m_clock;
@@ -86,34 +86,35 @@
   std::vector<std::string> m_shards;
   std::set<std::string> m_alive;
   std::set<std::string> m_paused;
-  std::map<std::string, std::unique_ptr<ShardLeaseManager>> m_keepers;
+  std::map<std::string, std::unique_ptr<ShardLeaseManager>> m_managers;
 };
 
 TEST_F(ShardLeaseTest, AllShardsAreOwnedAndBalanced) {
   EXPECT_EQ(Owners().size(), 25U);
   for (const std::string name : {"a#1", "b#1", "c#1"}) {
-    EXPECT_GE(CountOf(name), 4U);
-    EXPECT_LE(CountOf(name), 14U);
+    EXPECT_GE(CountOwnedBy(name), 4U);
+    EXPECT_LE(CountOwnedBy(name), 14U);
   }
 }
 
-TEST_F(ShardLeaseTest, DeadOwnersShardsAreTakenWithinLeaseAndASecond) {
+TEST_F(ShardLeaseTest, DeadOwnersShardsAreTakenOverWithinLeasePlusOneSecond) {
   m_paused.insert("a#1");
   Run(ShardLeaseOptions{}.lease + seconds(1));
-  EXPECT_EQ(CountOf("a#1"), 0U);
+  EXPECT_EQ(CountOwnedBy("a#1"), 0U);
   EXPECT_EQ(Owners().size(), 25U);
 }
 
 TEST_F(ShardLeaseTest, PausedOwnerStopsActingAndWritesNothing) {
   const std::string shard =
-      m_keepers.at("a#1")->OwnedShards(m_clock.Now()).front();
-  const auto grip = m_keepers.at("a#1")->CurrentLease(shard, m_clock.Now());
+      m_managers.at("a#1")->OwnedShards(m_clock.Now()).front();
+  const auto held_lease =
+      m_managers.at("a#1")->CurrentLease(shard, m_clock.Now());
   m_paused.insert("a#1");
   Run(seconds(5));
-  EXPECT_FALSE(m_keepers.at("a#1")->CurrentLease(shard, m_clock.Now()));
-  // Even one that checked its grip before the pause is stopped by the fence.
+  EXPECT_FALSE(m_managers.at("a#1")->CurrentLease(shard, m_clock.Now()));
+  // The fence also stops a write whose lease was checked before the pause.
   const auto late =
-      m_table.Apply({"late", {grip->fence}, {{"pool/" + shard, "x"}}});
+      m_table.Apply({"late", {held_lease->fence}, {{"pool/" + shard, "x"}}});
   ASSERT_FALSE(late);
   EXPECT_EQ(late.error().code, base::ErrorCode::kConflict);
   m_paused.clear();
@@ -138,7 +139,7 @@
   for (const auto& [shard, owner] : Owners()) {
     moved += before.at(shard) != owner ? 1 : 0;
   }
-  EXPECT_EQ(moved, CountOf("d#1"));
+  EXPECT_EQ(moved, CountOwnedBy("d#1"));
   EXPECT_GE(moved, 1U);
   EXPECT_LE(moved, 12U);
 }
@@ -156,7 +157,7 @@
   EXPECT_EQ(Owners().size(), 25U);
 }
 
-TEST_F(ShardLeaseTest, OutageEndsAllGripsAndLeasesResume) {
+TEST_F(ShardLeaseTest, OutageEndsAllLeasesAndTheyAreAcquiredAgain) {
   m_table.SetFaults({true, 0, 0, 0});
   Run(seconds(4));
   EXPECT_TRUE(Owners().empty());
@@ -173,13 +174,13 @@
   EXPECT_EQ(Owners().size(), 25U);
 }
 
-TEST_F(ShardLeaseTest, StopGivesShardsUpAtOnce) {
-  m_keepers.at("b#1")->Start();
-  m_keepers.at("b#1")->Stop();
+TEST_F(ShardLeaseTest, StopReleasesAllShardsAtOnce) {
+  m_managers.at("b#1")->Start();
+  m_managers.at("b#1")->Stop();
   m_paused.insert("b#1");
   m_alive.erase("b#1");
   Run(milliseconds(1000));
-  EXPECT_EQ(CountOf("b#1"), 0U);
+  EXPECT_EQ(CountOwnedBy("b#1"), 0U);
   EXPECT_EQ(Owners().size(), 25U);
 }
 
