--- a/include/cassiastile/operator/cassiactl.hpp
+++ b/include/cassiastile/operator/cassiactl.hpp
@@ -6,22 +6,27 @@
 
 namespace cassiastile::operators {
 
-// What an exit status of cassiactl means.
+// The exit statuses of cassiactl.
 enum class ExitCode {
   kDone = 0,
-  kRefused = 1,      // With findings or a reason; nothing was changed.
-  kUsage = 2,        // The command line or the settings are wrong.
-  kUnreachable = 3,  // No answer, or none that tells whether it was done.
+  // Refused, with findings or a reason; nothing was changed.
+  kRefused = 1,
+  // The command line or the settings are invalid.
+  kUsage = 2,
+  // No server answered, a server failed (status 5xx), or it is unknown whether
+  // the call took effect.
+  kUnreachable = 3,
 };
 
-// The streams that a run reads and writes.
+// The standard streams of one run.
 struct Console {
   std::istream& in;
   std::ostream& out;
   std::ostream& err;
 };
 
-// Runs cassiactl with its arguments, the program's name left out.
+// Runs cassiactl with its arguments, without the program's name, and returns
+// its exit status.
 ExitCode RunCassiactl(const std::vector<std::string>& arguments,
                       const Console& console);
 
--- a/include/cassiastile/operator/log_explanation.hpp
+++ b/include/cassiastile/operator/log_explanation.hpp
@@ -13,13 +13,16 @@
 
 namespace cassiastile::operators {
 
-// Log lines of several hosts, in the order of their times.
+// The log lines of several hosts. A line is a JSON object with at least "event"
+// and "at" (UTC).
 class LogLines {
  public:
-  // Adds the lines of one file. Lines that no host wrote whole are counted and
-  // left out; text before the object, such as a time stamp, is skipped.
+  // Adds the lines of one file. Lines that are truncated or aren't host events
+  // are counted as skipped. Text before the JSON object, such as a log
+  // collector's time stamp, is ignored.
   void Read(std::istream& in, const std::string& name);
-  // Call once all is read.
+  // Sorts the events by time; call it after the last Read(). Lines of equal
+  // time keep the order in which they were read.
   void Sort();
 
   const std::vector<nlohmann::json>& Events() const { return m_events; }
@@ -34,7 +37,7 @@
   std::size_t m_skipped = 0;
 };
 
-// Why a job fared as it did.
+// Why a job ended, was refused or is late.
 enum class OutcomeCause : std::uint8_t {
   kUnknownId,
   kInTime,
@@ -80,18 +83,23 @@
         {OutcomeCause::kUnfinished, "accepted; its end is not in the logs"},
     }};
 
+// What the logs say about one id.
 struct Explanation {
   OutcomeCause cause = OutcomeCause::kUnknownId;
-  // Sentences that say what the cause rests on, with times.
+  // Sentences with the evidence for the cause, with times.
   std::vector<std::string> reasons;
-  // The lines of the id, and those of others that bear on it.
+  // The lines that name the id, and lines about other subjects that explain it.
   std::vector<nlohmann::json> lines;
 };
 
-// What became of a job, a worker or a machine; only jobs have a cause.
+// Explains the id of a job, a worker or a machine. `lines` must be sorted. Only
+// jobs get a cause; for other ids it is kUnknownId and `lines` of the result
+// are those that name the id, none if no line does.
 Explanation ExplainId(const LogLines& lines, const std::string& id);
 
-// The story as plain text, a line an event.
-std::string FormatExplanation(const Explanation& story, const std::string& id);
+// Formats an explanation as plain text: the cause, the reasons and one line per
+// event.
+std::string FormatExplanation(const Explanation& explanation,
+                              const std::string& id);
 
 }  // namespace cassiastile::operators
--- a/src/cassiastile/operator/api_client.hpp
+++ b/src/cassiastile/operator/api_client.hpp
@@ -15,21 +15,26 @@
 
 namespace cassiastile::operators {
 
+// How to reach the control processes' HTTP API.
 struct ApiOptions {
-  std::vector<std::string> servers;  // Such as http://127.0.0.1:7201.
+  // Base URLs of control processes, tried in this order; such as
+  // http://127.0.0.1:7201.
+  std::vector<std::string> servers;
   std::string key;
   std::chrono::milliseconds timeout{10000};
 };
 
+// A server's HTTP answer.
 struct ApiAnswer {
   int status = 0;
-  nlohmann::json body;  // Null when the answer was not JSON.
-  std::string retry_after;
+  nlohmann::json body;      // Null if the answer was not JSON.
+  std::string retry_after;  // The Retry-After header, empty if absent.
 
   bool IsSuccess() const { return status >= 200 && status < 300; }
 };
 
-// No answer came.
+// A call that no server answered. `may_have_run` is set for a change that may
+// have reached a server.
 struct ApiFailure {
   bool may_have_run = false;
   std::string message;
@@ -37,9 +42,10 @@
 
 using ApiOutcome = tl::expected<ApiAnswer, ApiFailure>;
 
-// Calls the control processes, the next one when one can't be reached. A call
-// that changes something goes on to the next only when it certainly was not
-// sent or not run.
+// Calls the control processes in order and fails over to the next one when one
+// can't be reached or says that it did not run the call. A call that changes
+// something fails over only if it was certainly not sent or not run, so that no
+// change is applied twice.
 class ApiClient {
  public:
   explicit ApiClient(ApiOptions options);
@@ -61,7 +67,7 @@
   std::unique_ptr<wire::HttpClient> m_client;
 };
 
-// A path segment or query value with all but plain characters percent-encoded.
+// Percent-encodes a path segment or query value; letters, digits and -._~ stay.
 std::string EncodeSegment(std::string_view text);
 
 }  // namespace cassiastile::operators
--- a/src/cassiastile/operator/cassiactl.cpp
+++ b/src/cassiastile/operator/cassiactl.cpp
@@ -20,8 +20,8 @@
 constexpr std::uint32_t kDefaultTimeoutMs = 10000;
 constexpr std::uint32_t kMaxTimeoutMs = 600000;
 
-// Where to call and with which key, from the settings file and the options,
-// which go before it.
+// The servers to call, the file of the key and the timeout. Options on the
+// command line override the settings file.
 struct Connection {
   std::vector<std::string> servers;
   std::string key_file;
@@ -103,7 +103,8 @@
   return ExitCode::kUsage;
 }
 
-// Whether a switch is set. `get` has a version option that is not a switch.
+// Whether a switch is set. Checks the type because the --version of `get` takes
+// a number.
 bool IsSet(const ParsedArguments& arguments, const std::string& name) {
   if (arguments.options.count(name) == 0) {
     return false;
@@ -134,7 +135,7 @@
   return command.run(invocation);
 }
 
-// What the arguments ask for when they name no command.
+// Handles --help and --version without a command.
 ExitCode RunWithoutCommand(const std::vector<std::string>& arguments,
                            const Console& console) {
   for (const std::string& argument : arguments) {
--- a/src/cassiastile/operator/cassiactl_test.cpp
+++ b/src/cassiastile/operator/cassiactl_test.cpp
@@ -34,7 +34,7 @@
   return path;
 }
 
-// What a run printed and returned.
+// The output and the exit code of one run.
 struct Outcome {
   ExitCode code = ExitCode::kDone;
   std::string out;
@@ -83,7 +83,7 @@
   EXPECT_EQ(RunTool({"check", "-"}, ReadAll(kExample)).code, ExitCode::kDone);
 }
 
-TEST(CassiactlUsageTest, CheckPrintsEveryFindingWithItsPlace) {
+TEST(CassiactlUsageTest, CheckPrintsEveryFindingWithItsPosition) {
   const std::string file = WriteFile(
       "bad.jsonc", "{\n  \"fleet\": 7,\n  \"pols\": [] // misspelled\n}\n");
   const Outcome outcome = RunTool({"check", file});
@@ -99,7 +99,7 @@
   EXPECT_EQ(RunTool({"check", "/nonexistent"}).code, ExitCode::kRefused);
 }
 
-TEST(CassiactlUsageTest, WrongUsageEndsWithTwo) {
+TEST(CassiactlUsageTest, WrongUsageExitsWithTwo) {
   const std::vector<std::vector<std::string>> lines = {
       {},
       {"chek"},
@@ -145,7 +145,7 @@
   EXPECT_EQ(m_control.Calls().back().authorization, "Bearer key-desk-secret-1");
 }
 
-TEST_F(CassiactlTest, PutOverAVersionInForceNamesTheOneItWasReadAt) {
+TEST_F(CassiactlTest, PutRequiresTheBaseVersionOnceADocumentExists) {
   m_control.SetDocument(7, ReadAll(kExample) + "\n");
   const Outcome refused = Call({"put", kExample});
   EXPECT_EQ(refused.code, ExitCode::kUsage);
@@ -162,7 +162,7 @@
   EXPECT_TRUE(Contains(conflict.err, "the version in force is 8\n-a\n+b?[2J"));
 }
 
-TEST_F(CassiactlTest, TheFirstDocumentIsPutBeforeAnybodyIsAnOperator) {
+TEST_F(CassiactlTest, PutsTheFirstDocumentWhileReadingIsForbidden) {
   m_control.Set("GET /v1/config", 403, {{"title", "Not an operator."}});
   m_control.Set("POST /v1/config", 200,
                 {{"version", 1},
@@ -174,13 +174,13 @@
   EXPECT_EQ(LastBody().at("base_version"), 0);
 }
 
-TEST_F(CassiactlTest, ATextInForceIsNotSentAgain) {
+TEST_F(CassiactlTest, DoesNotResendTheTextInForce) {
   m_control.SetDocument(7, ReadAll(kExample));
   EXPECT_EQ(Call({"put", kExample}).out, "version 7 has this text already\n");
   EXPECT_EQ(LastTarget(), "GET /v1/config");
 }
 
-TEST_F(CassiactlTest, ABadDocumentIsNotSent) {
+TEST_F(CassiactlTest, DoesNotSendAnInvalidDocument) {
   EXPECT_EQ(Call({"put", "-"}, "{}").code, ExitCode::kRefused);
   EXPECT_TRUE(m_control.Calls().empty());
 }
@@ -199,7 +199,7 @@
   EXPECT_TRUE(Contains(outcome.out, "e-3, e-4"));
 }
 
-TEST_F(CassiactlTest, FindingsOfAnEditHavePlacesInItsOwnFile) {
+TEST_F(CassiactlTest, FindingsOfAnEditHavePositionsInItsOwnFile) {
   m_control.SetDocument(7, ReadAll(kExample));
   const std::string file = WriteFile(
       "waves.jsonc",
@@ -213,7 +213,7 @@
   EXPECT_EQ(LastTarget(), "GET /v1/config");
 }
 
-TEST_F(CassiactlTest, EditFindsWhatItBreaksElsewhere) {
+TEST_F(CassiactlTest, EditReportsFindingsInOtherSections) {
   m_control.SetDocument(7, ReadAll(kExample));
   const Outcome outcome = Call({"edit", "shares"}, "[]");
   EXPECT_EQ(outcome.code, ExitCode::kRefused);
@@ -238,7 +238,7 @@
             ExitCode::kRefused);
 }
 
-TEST_F(CassiactlTest, KeyWithdrawTakesOneRowOut) {
+TEST_F(CassiactlTest, KeyWithdrawRemovesOneKey) {
   m_control.SetDocument(7, ReadAll(kExample));
   m_control.Set("POST /v1/config/sections/keys", 200,
                 {{"version", 8}, {"state", "accepted"}});
@@ -251,7 +251,7 @@
   EXPECT_EQ(Call({"key", "revoke", "nothing"}).code, ExitCode::kUsage);
 }
 
-TEST_F(CassiactlTest, ServerFindingsAndDenialsEndWithOne) {
+TEST_F(CassiactlTest, ServerFindingsAndDenialsExitWithOne) {
   m_control.Set("POST /v1/config", 422,
                 {{"findings",
                   {{{"line", 3},
@@ -269,7 +269,7 @@
   EXPECT_TRUE(Contains(denied.err, "The key is not known."));
 }
 
-TEST_F(CassiactlTest, AnUnknownOutcomeIsSaidPlainly) {
+TEST_F(CassiactlTest, ReportsAnUnknownOutcome) {
   m_control.Set(
       "POST /v1/hosts/entries-01/drain", 503,
       {{"title", "The store's answer was lost."}, {"execution", "unknown"}});
@@ -278,7 +278,8 @@
   EXPECT_TRUE(Contains(outcome.err, "the outcome is unknown"));
 }
 
-// Takes one connection, reads from it and closes it without an answer.
+// A server that accepts one connection, reads the request and closes the
+// connection without an answer, so that the call may have run.
 class SilentPeer {
  public:
   SilentPeer()
@@ -302,7 +303,7 @@
   std::thread m_thread;
 };
 
-TEST_F(CassiactlTest, AChangeWhoseAnswerIsLostIsNotSentTwice) {
+TEST_F(CassiactlTest, DoesNotFailOverAChangeWhoseAnswerWasLost) {
   const SilentPeer silent;
   const Outcome outcome =
       RunTool({"return", "entries-01", "--key-file", m_key_file, "--server",
@@ -312,7 +313,7 @@
   EXPECT_TRUE(m_control.Calls().empty());
 }
 
-TEST_F(CassiactlTest, AReadWhoseAnswerIsLostGoesToTheNextServer) {
+TEST_F(CassiactlTest, FailsOverAReadWhoseAnswerWasLost) {
   const SilentPeer silent;
   m_control.Set("GET /v1/status", 200, {{"version", 7}});
   EXPECT_EQ(RunTool({"status", "--key-file", m_key_file, "--server",
@@ -321,7 +322,7 @@
             ExitCode::kDone);
 }
 
-TEST_F(CassiactlTest, AServerThatCannotBeReachedIsPassedOver) {
+TEST_F(CassiactlTest, FailsOverWhenAServerCannotBeReached) {
   std::string dead;
   {
     const FakeControl gone;
@@ -375,7 +376,7 @@
             "220 of 220\n");
 }
 
-TEST_F(CassiactlTest, ABrokenAuditChainEndsWithOne) {
+TEST_F(CassiactlTest, ABrokenAuditChainExitsWithOne) {
   m_control.Set("GET /v1/audit?since=12&section=keys", 200,
                 {{"rows", {{{"sequence", 12}}}}, {"chain", "ok"}});
   EXPECT_EQ(Call({"audit", "--since", "12", "--section", "keys"}).code,
--- a/src/cassiastile/operator/command.hpp
+++ b/src/cassiastile/operator/command.hpp
@@ -17,7 +17,8 @@
 
 namespace cassiastile::operators {
 
-// One run of a command: its words and options, the server and the streams.
+// One run of a command: its positional arguments (words), its options, the API
+// client and the streams.
 class Invocation {
  public:
   Invocation(const Console& console,
@@ -30,21 +31,25 @@
         m_api(std::move(api)) {}
 
   const Console& Streams() const { return m_console; }
+  // Only for commands that call a server.
   const ApiClient& Api() const { return *m_api; }
   bool WantsJson() const { return Flag("json"); }
 
-  // The words after the command's name; an absent one is empty.
+  // The word at `index` after the command's name; empty if there is none.
   std::string Word(std::size_t index) const {
     return index < m_words.size() ? m_words[index] : "";
   }
   std::size_t WordCount() const { return m_words.size(); }
 
+  // Whether a switch is set.
   bool Flag(const std::string& name) const {
     return m_options.count(name) > 0 && m_options[name].as<bool>();
   }
+  // The value of a text option; empty if it is absent.
   std::string Text(const std::string& name) const {
     return Option<std::string>(name).value_or("");
   }
+  // The value of an option, which must have been declared with this type.
   template <typename Value>
   std::optional<Value> Option(const std::string& name) const {
     if (m_options.count(name) == 0) {
@@ -60,7 +65,7 @@
   std::unique_ptr<ApiClient> m_api;
 };
 
-// A command of cassiactl.
+// A command of cassiactl: how it is parsed, documented and run.
 struct Command {
   std::string_view name;
   std::string_view words;  // As shown in the usage line.
@@ -69,13 +74,14 @@
   std::size_t min_words = 0;
   std::size_t max_words = 0;
   bool calls_server = true;
-  // Words beyond so many are files to read instead of calling a server.
+  // With more words than this, the further words are files that the command
+  // reads instead of calling a server.
   std::size_t files_after = SIZE_MAX;
   void (*add_options)(boost::program_options::options_description&) = nullptr;
   ExitCode (*run)(const Invocation&) = nullptr;
 };
 
-// The commands of each family.
+// The commands of each source file, in the order of the help text.
 std::vector<Command> CheckCommands();
 std::vector<Command> EditCommands();
 std::vector<Command> KeyCommands();
--- a/src/cassiastile/operator/command_line.cpp
+++ b/src/cassiastile/operator/command_line.cpp
@@ -34,7 +34,8 @@
   return options;
 }
 
-// `get` has a version option of its own.
+// Separate from the general options because `get` has its own --version, which
+// takes a number.
 void AddVersionSwitch(po::options_description& options) {
   options.add_options()("version", po::bool_switch(),
                         "print the program's version");
@@ -74,7 +75,8 @@
   return all;
 }
 
-// The first word among the arguments, options and their values left out.
+// The first positional argument, which is the command's name; empty if there is
+// none.
 std::string FirstWord(const std::vector<std::string>& arguments) {
   po::positional_options_description positions;
   positions.add(kWordsOption.data(), -1);
--- a/src/cassiastile/operator/command_line.hpp
+++ b/src/cassiastile/operator/command_line.hpp
@@ -11,25 +11,27 @@
 
 namespace cassiastile::operators {
 
-// All commands in the order of the help text.
+// Returns all commands in the order of the help text.
 const std::vector<Command>& AllCommands();
 
-// The command that the arguments name, null when they name none. The message of
-// an error says what is wrong with them.
+// Finds the command that the arguments name; null if they name none. Fails if
+// the name or a general option is invalid, with a message for the operator.
 base::Result<const Command*> FindCommand(
     const std::vector<std::string>& arguments);
 
-// The options and words after the command's name.
+// The options of a command and the words after its name.
 struct ParsedArguments {
   boost::program_options::variables_map options;
   std::vector<std::string> words;
 };
 
+// Parses the arguments of `command`. Fails if an option is unknown or its value
+// is invalid; doesn't check the number of words.
 base::Result<ParsedArguments> ParseArguments(
     const Command& command,
     const std::vector<std::string>& arguments);
 
-// The help of the program and of one command.
+// The help texts of the program and of one command.
 std::string FormatHelp();
 std::string FormatCommandHelp(const Command& command);
 
--- a/src/cassiastile/operator/documents.cpp
+++ b/src/cassiastile/operator/documents.cpp
@@ -23,8 +23,9 @@
   return static_cast<std::size_t>(std::count(text.begin(), text.end(), '\n'));
 }
 
-// Where a section starts in a document and where its text starts in a file.
-struct SectionPlace {
+// Where a section's text stands in the document, and where the same text starts
+// in the operator's file. Lines and columns count from 1.
+struct SectionPosition {
   std::size_t line = 0;
   std::size_t column = 0;
   std::size_t last_line = 0;
@@ -32,9 +33,9 @@
   std::size_t column_in_file = 1;
 };
 
-SectionPlace LocateSection(const std::string& document,
-                           const SectionEdit& edit) {
-  SectionPlace place;
+SectionPosition LocateSection(const std::string& document,
+                              const SectionEdit& edit) {
+  SectionPosition place;
   const auto parsed = config::ParsePositionedJson(document, "document");
   if (!parsed) {
     return place;
@@ -54,9 +55,10 @@
   return place;
 }
 
-// Moves a finding within the section to its place in the edit's text.
+// Maps the position of a finding inside the section from the document to the
+// edit's file; findings elsewhere stay as they are.
 void Relocate(base::Finding& finding,
-              const SectionPlace& section,
+              const SectionPosition& section,
               const SectionEdit& edit) {
   base::TextPosition& place = finding.place;
   const bool before =
@@ -78,9 +80,8 @@
   std::string text = "nothing was changed; the fleet would do this:\n";
   if (body.contains("change")) {
     for (const auto& member : body["change"].items()) {
-      const bool says_something = !member.value().empty();
-      text +=
-          says_something ? FormatJson({{member.key(), member.value()}}) : "";
+      const bool is_nonempty = !member.value().empty();
+      text += is_nonempty ? FormatJson({{member.key(), member.value()}}) : "";
     }
   }
   return text + Printable(TextOf(body, "diff"), true);
@@ -159,7 +160,7 @@
     return {};
   }
   base::Findings findings = fleet.error();
-  const SectionPlace place = LocateSection(*text, edit);
+  const SectionPosition place = LocateSection(*text, edit);
   for (base::Finding& finding : findings) {
     Relocate(finding, place, edit);
   }
--- a/src/cassiastile/operator/edit_commands.cpp
+++ b/src/cassiastile/operator/edit_commands.cpp
@@ -36,17 +36,18 @@
                         "an earlier version in place of the one in force");
 }
 
-// What `put` found in force.
+// The version that `put` replaces.
 struct PutBase {
   std::uint64_t version = 0;
-  bool is_same = false;  // The text in force is the one to put.
+  bool is_same = false;  // The text in force equals the new text.
 };
 
-// The version that a whole document replaces: as given, or zero when there is
-// no document yet. Until there is one, nobody is an operator and reading it is
-// denied; the server refuses version zero if there is one after all.
-tl::expected<PutBase, ExitCode> FindBase(const Invocation& invocation,
-                                         const std::string& text) {
+// Finds the version that a whole document replaces: --base, or 0 if there is no
+// document yet. Until there is a document, nobody is an operator, so reading it
+// is denied with 403; the server refuses version 0 if there is a document after
+// all.
+tl::expected<PutBase, ExitCode> FindBaseVersion(const Invocation& invocation,
+                                                const std::string& text) {
   if (const auto base = invocation.Option<std::uint64_t>("base")) {
     return PutBase{*base, false};
   }
@@ -91,7 +92,7 @@
   if (!fleet) {
     return ReportFindings(invocation, fleet.error());
   }
-  const auto base = FindBase(invocation, *text);
+  const auto base = FindBaseVersion(invocation, *text);
   if (!base) {
     return base.error();
   }
--- a/src/cassiastile/operator/fake_control.hpp
+++ b/src/cassiastile/operator/fake_control.hpp
@@ -12,13 +12,13 @@
 
 namespace cassiastile::operators {
 
-// A control process for tests: answers each call with what was set for its
-// method and path, and remembers the calls.
+// A fake control process for tests. It answers each call as set for its method
+// and path, with 404 if nothing is set, and records the calls.
 class FakeControl {
  public:
   struct Call {
     std::string method;
-    std::string target;  // Path and query.
+    std::string target;  // The path and the query.
     std::string authorization;
     std::string body;
   };
@@ -33,13 +33,13 @@
     m_server = std::move(*wire::HttpServer::Start({}, std::move(router)));
   }
 
-  // The answer to a call such as "GET /v1/status".
+  // Sets the answer to a call such as "GET /v1/status".
   void Set(const std::string& call, int status, const nlohmann::json& body) {
     const std::scoped_lock lock(m_mutex);
     m_answers[call] = {status, {}, body.dump()};
   }
 
-  // Makes a document of the given version the one in force.
+  // Sets the document in force and its version.
   void SetDocument(std::uint64_t version, const std::string& text) {
     Set("GET /v1/config", 200, {{"version", version}, {"text", text}});
   }
@@ -48,6 +48,7 @@
     return "http://127.0.0.1:" + std::to_string(m_server->Port());
   }
 
+  // All calls so far, in the order of arrival.
   std::vector<Call> Calls() const {
     const std::scoped_lock lock(m_mutex);
     return m_calls;
--- a/src/cassiastile/operator/fleet_commands.cpp
+++ b/src/cassiastile/operator/fleet_commands.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr std::array<std::string_view, 4> kWaveActs = {"start", "pause",
-                                                       "resume", "abort"};
+constexpr std::array<std::string_view, 4> kWaveActions = {"start", "pause",
+                                                          "resume", "abort"};
 
 ExitCode RunStatus(const Invocation& invocation) {
   return ShowOutcome(invocation, invocation.Api().Get("/v1/status"),
@@ -31,7 +31,7 @@
   return fmt::format("{}: {}\n", text, TextOf(reason, "observation"));
 }
 
-// A decision as a page of plain text.
+// Formats a recorded decision as plain text.
 std::string FormatDecision(const nlohmann::json& body) {
   std::string text = fmt::format(
       "decision {}\n{} of {}{}{}\noutcome: {}\nat: {}\n", TextOf(body, "id"),
@@ -46,7 +46,7 @@
   return Printable(text, true);
 }
 
-// The story of an id from hosts' logs.
+// Explains an id from hosts' log files, without a server.
 ExitCode ExplainFromLogs(const Invocation& invocation) {
   LogLines lines;
   for (std::size_t i = 1; i < invocation.WordCount(); ++i) {
@@ -64,8 +64,8 @@
   }
   lines.Sort();
   const std::string id = invocation.Word(0);
-  const Explanation story = ExplainId(lines, id);
-  if (story.lines.empty()) {
+  const Explanation explanation = ExplainId(lines, id);
+  if (explanation.lines.empty()) {
     return ReportInputError(
         invocation,
         fmt::format("{} is in none of {} lines of {} files ({} lines of other "
@@ -76,13 +76,14 @@
   if (invocation.WantsJson()) {
     PrintJson(invocation,
               {{"id", id},
-               {"cause", base::FindName(kOutcomeCauseNames, story.cause)},
-               {"reasons", story.reasons},
-               {"lines", story.lines},
+               {"cause", base::FindName(kOutcomeCauseNames, explanation.cause)},
+               {"reasons", explanation.reasons},
+               {"lines", explanation.lines},
                {"lines_read", lines.LinesRead()},
                {"lines_skipped", lines.LinesSkipped()}});
   } else {
-    invocation.Streams().out << Printable(FormatExplanation(story, id), true);
+    invocation.Streams().out
+        << Printable(FormatExplanation(explanation, id), true);
   }
   return ExitCode::kDone;
 }
@@ -101,7 +102,8 @@
   if (act == "status") {
     return ShowOutcome(invocation, invocation.Api().Get(path), FormatJson);
   }
-  if (std::find(kWaveActs.begin(), kWaveActs.end(), act) == kWaveActs.end()) {
+  if (std::find(kWaveActions.begin(), kWaveActions.end(), act) ==
+      kWaveActions.end()) {
     return ReportUsageError(invocation,
                             "use: wave NAME status|start|pause|resume|abort");
   }
@@ -111,7 +113,7 @@
       FormatJson);
 }
 
-ExitCode ActOnHost(const Invocation& invocation, std::string_view act) {
+ExitCode PostHostAction(const Invocation& invocation, std::string_view act) {
   const std::string path =
       fmt::format("/v1/hosts/{}/{}", EncodeSegment(invocation.Word(0)), act);
   return ShowOutcome(invocation,
@@ -120,11 +122,11 @@
 }
 
 ExitCode RunDrain(const Invocation& invocation) {
-  return ActOnHost(invocation, "drain");
+  return PostHostAction(invocation, "drain");
 }
 
 ExitCode RunReturn(const Invocation& invocation) {
-  return ActOnHost(invocation, "return");
+  return PostHostAction(invocation, "return");
 }
 
 Command MakeCommand(std::string_view name,
@@ -139,7 +141,7 @@
   return command;
 }
 
-// Sets how many words the command takes and what runs it.
+// Sets the number of words that the command takes and its handler.
 Command WithRun(Command command,
                 std::size_t word_count,
                 ExitCode (*run)(const Invocation&)) {
--- a/src/cassiastile/operator/history_commands.cpp
+++ b/src/cassiastile/operator/history_commands.cpp
@@ -17,7 +17,7 @@
 namespace po = boost::program_options;
 
 constexpr std::size_t kDigestDigits = 64;
-constexpr std::size_t kShownDigits = 12;  // Of a digest, in tables.
+constexpr std::size_t kShownDigits = 12;  // Digits of a digest in tables.
 
 std::optional<std::uint64_t> ReadVersion(const std::string& word) {
   std::uint64_t version = 0;
@@ -27,7 +27,7 @@
   return whole && version > 0 ? std::optional(version) : std::nullopt;
 }
 
-// A digest cut for tables; any other text stays.
+// Shortens a digest for tables; other text stays as it is.
 std::string ShortenDigest(const std::string& text) {
   const bool is_digest =
       text.size() == kDigestDigits &&
@@ -35,7 +35,7 @@
   return is_digest ? text.substr(0, kShownDigits) : text;
 }
 
-// A document under the label that a diff shows.
+// A document and its label in a diff.
 struct LabelledDocument {
   std::string label;
   std::string text;
@@ -159,7 +159,8 @@
          fmt::format("chain: {}\n", Printable(TextOf(body, "chain")));
 }
 
-// A broken chain means that the history of changes was edited.
+// Returns kRefused if the hash chain is broken, which means that the
+// recorded history of changes was edited.
 ExitCode RunAudit(const Invocation& invocation) {
   const ApiOutcome outcome = invocation.Api().Get(AuditPath(invocation));
   const ExitCode code = ShowOutcome(invocation, outcome, FormatAudit);
--- a/src/cassiastile/operator/key_commands.cpp
+++ b/src/cassiastile/operator/key_commands.cpp
@@ -20,7 +20,7 @@
 using base::ErrorCode;
 using base::Fail;
 
-constexpr std::size_t kLeastSecretLength = 16;
+constexpr std::size_t kMinSecretLength = 16;
 constexpr std::size_t kMaxSecretLength = 1024;
 
 void AddKeyOptions(po::options_description& options) {
@@ -30,7 +30,7 @@
       "where `add` reads the key; - reads standard input");
 }
 
-// The key of a file without the line feed at its end.
+// Reads a key from --secret-file, without the line feed at its end.
 base::Result<std::string> ReadSecret(const Invocation& invocation) {
   auto secret = ReadInput(invocation, invocation.Text("secret-file"));
   if (!secret) {
@@ -40,12 +40,12 @@
   const bool plain = std::all_of(
       secret->begin(), secret->end(),
       [](char character) { return character > ' ' && character < '\x7F'; });
-  if (!plain || secret->size() < kLeastSecretLength ||
+  if (!plain || secret->size() < kMinSecretLength ||
       secret->size() > kMaxSecretLength) {
     return Fail(ErrorCode::kInvalid,
                 fmt::format("a key has {} to {} ASCII characters without "
                             "blanks, on one line",
-                            kLeastSecretLength, kMaxSecretLength));
+                            kMinSecretLength, kMaxSecretLength));
   }
   return secret;
 }
@@ -79,7 +79,7 @@
       keys, static_cast<std::size_t>(found - fleet.keys.begin()));
 }
 
-// The text of the keys section after the change asked for.
+// Returns the text of the keys section after `key add` or `key withdraw`.
 base::Result<std::string> ChangeKeys(const Invocation& invocation,
                                      const ServedDocument& document) {
   auto keys = config::SectionText(document.text, config::SectionName::kKeys);
--- a/src/cassiastile/operator/log_explanation.cpp
+++ b/src/cassiastile/operator/log_explanation.cpp
@@ -17,8 +17,9 @@
 
 using Json = nlohmann::json;
 
-// How far around a line of the id the lines of others can bear on it.
-constexpr std::int64_t kAroundMs = 2500;
+// Lines about other subjects count as context of an id if they are at most this
+// far from one of its own.
+constexpr std::int64_t kContextWindowMs = 2500;
 
 std::string Text(const Json& line, const char* name) {
   const auto found = line.find(name);
@@ -31,18 +32,19 @@
   return found != line.end() && found->is_number() ? found->get<double>() : 0;
 }
 
-bool Is(const Json& line, std::string_view event) {
+bool IsEvent(const Json& line, std::string_view event) {
   return Text(line, "event") == event;
 }
 
+// Whether any text field of the line equals the id.
 bool Names(const Json& line, const std::string& id) {
   return std::ranges::any_of(line, [&id](const Json& value) {
     return value.is_string() && value.get_ref<const std::string&>() == id;
   });
 }
 
-// Milliseconds since the begin of the line's day; days that end meanwhile do
-// not happen in the span of one request.
+// Milliseconds since midnight of the line's day; 0 if "at" can't be parsed. The
+// date is ignored: a job whose lines cross midnight is not expected.
 std::int64_t TimeOf(const Json& line) {
   const std::string at = Text(line, "at");
   int hours = 0;
@@ -58,53 +60,54 @@
   return ((hours * 60 + minutes) * 60 + seconds) * 1000LL + millis;
 }
 
-constexpr std::array<std::string_view, 10> kOfficeEvents{
+constexpr std::array<std::string_view, 10> kLeadershipEvents{
     "office.take", "office.elected", "office.serving", "office.resigned",
     "office.lost", "store.lost",     "store.regained", "host.start",
     "host.stop",   "host.end"};
 
-bool IsOfOffice(const Json& line) {
-  return std::ranges::find(kOfficeEvents, Text(line, "event")) !=
-         kOfficeEvents.end();
+bool IsLeadershipEvent(const Json& line) {
+  return std::ranges::find(kLeadershipEvents, Text(line, "event")) !=
+         kLeadershipEvents.end();
 }
 
-// The lines of one job, and what can be read from them.
-class JobStory {
+// Explains one job from the log lines.
+class JobExplainer {
  public:
-  JobStory(const std::vector<Json>& events, const std::string& job)
+  JobExplainer(const std::vector<Json>& events, const std::string& job)
       : m_events(events), m_job(job) {
     for (const Json& line : events) {
       if (Text(line, "job") == job) {
-        m_own.push_back(&line);
+        m_job_lines.push_back(&line);
       }
     }
   }
 
-  Explanation Tell() {
-    if (!m_own.empty()) {
-      m_story.cause = FindCause();
+  Explanation Explain() {
+    if (!m_job_lines.empty()) {
+      m_explanation.cause = FindCause();
     }
     AddLines();
-    return std::move(m_story);
+    return std::move(m_explanation);
   }
 
  private:
   const Json* Last(std::string_view event) const {
     const Json* last = nullptr;
-    for (const Json* line : m_own) {
-      last = Is(*line, event) ? line : last;
+    for (const Json* line : m_job_lines) {
+      last = IsEvent(*line, event) ? line : last;
     }
     return last;
   }
 
   const Json* First(std::string_view event) const {
     const auto found = std::ranges::find_if(
-        m_own, [event](const Json* line) { return Is(*line, event); });
-    return found == m_own.end() ? nullptr : *found;
+        m_job_lines,
+        [event](const Json* line) { return IsEvent(*line, event); });
+    return found == m_job_lines.end() ? nullptr : *found;
   }
 
-  void Because(std::string sentence) {
-    m_story.reasons.push_back(std::move(sentence));
+  void AddReason(std::string sentence) {
+    m_explanation.reasons.push_back(std::move(sentence));
   }
 
   OutcomeCause FindCause() {
@@ -115,19 +118,19 @@
       return CauseOfUnfinished(*accepted);
     }
     if (const Json* invalid = Last("job.invalid")) {
-      Because(Text(*invalid, "error"));
+      AddReason(Text(*invalid, "error"));
       return OutcomeCause::kInvalid;
     }
-    // What the caller heard last counts.
-    for (auto line = m_own.rbegin(); line != m_own.rend(); ++line) {
-      if (Is(**line, "job.refused")) {
+    // The last answer that the caller got decides.
+    for (auto line = m_job_lines.rbegin(); line != m_job_lines.rend(); ++line) {
+      if (IsEvent(**line, "job.refused")) {
         return CauseOfRefusal(**line);
       }
-      if (Is(**line, "request.no_office")) {
-        return WithoutOffice(**line, OutcomeCause::kNoLeader);
+      if (IsEvent(**line, "request.no_office")) {
+        return ExplainWithoutLeader(**line, OutcomeCause::kNoLeader);
       }
-      if (Is(**line, "request.undecided")) {
-        return WithoutOffice(**line, OutcomeCause::kUnanswered);
+      if (IsEvent(**line, "request.undecided")) {
+        return ExplainWithoutLeader(**line, OutcomeCause::kUnanswered);
       }
     }
     return OutcomeCause::kUnfinished;
@@ -135,34 +138,34 @@
 
   OutcomeCause CauseOfUnfinished(const Json& accepted) {
     const Json* start = Last("run.start");
-    Because(fmt::format("accepted at {} by {}", Text(accepted, "at"),
-                        Text(accepted, "host")));
-    Because(start == nullptr
-                ? "no task was started"
-                : fmt::format("last start at {} on worker {}",
-                              Text(*start, "at"), Text(*start, "worker")));
-    // Hosts that are killed lose their last lines.
+    AddReason(fmt::format("accepted at {} by {}", Text(accepted, "at"),
+                          Text(accepted, "host")));
+    AddReason(start == nullptr
+                  ? "no task was started"
+                  : fmt::format("last start at {} on worker {}",
+                                Text(*start, "at"), Text(*start, "worker")));
+    // A killed host loses its last log lines, so the job may have ended.
     return OutcomeCause::kUnfinished;
   }
 
   OutcomeCause CauseOfRefusal(const Json& line) {
     const std::string reason = Text(line, "reason");
     if (reason == "store away") {
-      Because(fmt::format("commits had failed for {:.0f} ms",
-                          Number(line, "commits_fail_for_ms")));
+      AddReason(fmt::format("commits had failed for {:.0f} ms",
+                            Number(line, "commits_fail_for_ms")));
       return OutcomeCause::kRefusedStore;
     }
     if (reason == "too large") {
       return OutcomeCause::kRefusedTooLarge;
     }
-    Because(
+    AddReason(
         fmt::format("the work ahead would have taken {:.0f} ms, and it "
                     "could bear {:.0f} ms, {:.0f} ms after it was first "
                     "handed in; told to come back after {:.0f} ms",
                     Number(line, "wait_ms"), Number(line, "slack_ms"),
                     Number(line, "age_ms"), Number(line, "retry_after_ms")));
     if (const Json* load = LoadBefore(line)) {
-      Because(fmt::format(
+      AddReason(fmt::format(
           "pool {} had {:.0f} workers, {:.0f} core-seconds of work waiting "
           "and {:.0f} cores of new work arriving ({} ms before)",
           Text(line, "service"), Number(*load, "workers"),
@@ -172,15 +175,15 @@
     const auto share = line.find("beyond_share");
     const bool beyond = share != line.end() && *share == Json(true);
     if (beyond) {
-      Because("customer " + Text(line, "customer") +
-              " handed in more jobs a second than its weight");
+      AddReason("customer " + Text(line, "customer") +
+                " handed in more jobs a second than its weight");
     }
     return beyond ? OutcomeCause::kRefusedOverShare
                   : OutcomeCause::kRefusedOverload;
   }
 
-  OutcomeCause WithoutOffice(const Json& line, OutcomeCause cause) {
-    Because(fmt::format(
+  OutcomeCause ExplainWithoutLeader(const Json& line, OutcomeCause cause) {
+    AddReason(fmt::format(
         "{} waited {:.0f} ms; it believed {} in office (fence {:.0f}), last "
         "heard of {:.0f} ms before",
         Text(line, "host"), Number(line, "waited_ms"),
@@ -192,7 +195,7 @@
   const Json* LoadBefore(const Json& line) const {
     const Json* load = nullptr;
     for (const Json& each : m_events) {
-      if (Is(each, "pool.load") && TimeOf(each) <= TimeOf(line) &&
+      if (IsEvent(each, "pool.load") && TimeOf(each) <= TimeOf(line) &&
           Text(each, "service") == Text(line, "service") &&
           Text(each, "host") == Text(line, "host")) {
         load = &each;
@@ -211,23 +214,24 @@
       return OutcomeCause::kAttemptsExhausted;
     }
     if (end.value("late", false)) {
-      Because(fmt::format("done after {:.0f} ms, {:.0f} ms were allowed",
-                          Number(end, "age_ms"), Number(end, "allowed_ms")));
+      AddReason(fmt::format("done after {:.0f} ms, {:.0f} ms were allowed",
+                            Number(end, "age_ms"), Number(end, "allowed_ms")));
       return CauseOfLateness(end);
     }
     return OutcomeCause::kInTime;
   }
 
-  // Lateness goes to what took the largest part of the time.
+  // Returns the cause that took the largest part of the job's time.
   OutcomeCause CauseOfLateness(const Json& end) {
     std::map<OutcomeCause, double> spent;
     const Json* accepted = First("job.accepted");
     const double age = Number(end, "age_ms");
     const std::int64_t began = TimeOf(end) - static_cast<std::int64_t>(age);
     spent[OutcomeCause::kLateLeaderChange] =
-        WithoutOfficeBetween(began, TimeOf(end));
+        TimeWithoutLeader(began, TimeOf(end));
     if (accepted != nullptr) {
-      spent[OutcomeCause::kLateNoCapacity] = WaitedForRoom(TimeOf(*accepted));
+      spent[OutcomeCause::kLateNoCapacity] =
+          TimeWaitingForCapacity(TimeOf(*accepted));
     }
     const auto [repeated, lost] = TimeOfRepeatedRuns();
     spent[OutcomeCause::kLateFailedRuns] = repeated;
@@ -240,8 +244,8 @@
     OutcomeCause largest = OutcomeCause::kLateLongRuns;
     for (const auto& [cause, time] : spent) {
       if (time > 0) {
-        Because(fmt::format("{:.0f} ms: {}", time,
-                            base::FindName(kOutcomeCauseNames, cause)));
+        AddReason(fmt::format("{:.0f} ms: {}", time,
+                              base::FindName(kOutcomeCauseNames, cause)));
       }
       largest = time > spent[largest] ? cause : largest;
     }
@@ -249,23 +253,25 @@
     return largest;
   }
 
-  // Over all steps, from the end of what came before to the start of the last
-  // task that had not run yet.
-  double WaitedForRoom(std::int64_t accepted) const {
+  // Sums, over the job's steps, the milliseconds from the time when the step
+  // was ready (the end of the steps before it, or acceptance) to the first
+  // start of its last task.
+  double TimeWaitingForCapacity(std::int64_t accepted) const {
     struct Step {
       std::int64_t last_start = 0;
       std::int64_t last_end = 0;
     };
-    std::map<std::pair<int, int>, Step> steps;  // By occurrence and number.
-    for (const Json* line : m_own) {
+    std::map<std::pair<int, int>, Step>
+        steps;  // By occurrence and step number.
+    for (const Json* line : m_job_lines) {
       const Json task = line->value("task", Json::array());
       if (task.size() != 3) {
         continue;
       }
       Step& step = steps[{task[0].get<int>(), task[1].get<int>()}];
-      if (Is(*line, "run.start") && Number(*line, "run") == 1) {
+      if (IsEvent(*line, "run.start") && Number(*line, "run") == 1) {
         step.last_start = TimeOf(*line);
-      } else if (Is(*line, "run.ended") && Text(*line, "how") == "done") {
+      } else if (IsEvent(*line, "run.ended") && Text(*line, "how") == "done") {
         step.last_end = TimeOf(*line);
       }
     }
@@ -279,18 +285,18 @@
     return waited;
   }
 
-  // How long no host served between two times.
-  double WithoutOfficeBetween(std::int64_t from, std::int64_t to) const {
+  // Milliseconds between two times in which no leader served.
+  double TimeWithoutLeader(std::int64_t from, std::int64_t to) const {
     double gap = 0;
     std::optional<std::int64_t> taken;
     for (const Json& line : m_events) {
       const std::int64_t at = TimeOf(line);
-      if (Is(line, "office.take") && !taken) {
+      if (IsEvent(line, "office.take") && !taken) {
         taken = at;
-      } else if (Is(line, "office.serving")) {
+      } else if (IsEvent(line, "office.serving")) {
         const std::int64_t since = std::max(from, taken.value_or(at));
         if (at > from && since < to) {
-          // The former holder was silent for a term before, at most.
+          // The former leader was silent for at most one term before.
           constexpr std::int64_t kTermMs = 1800;
           gap += static_cast<double>(std::min(at, to) -
                                      std::max(from, since - kTermMs));
@@ -301,16 +307,17 @@
     return gap;
   }
 
-  // Of each task that was started more than once, the time up to its last
-  // start; the longest of them, apart for failed and for lost runs.
+  // For tasks that were started more than once, the longest time in
+  // milliseconds from the first to the last start: first of tasks whose runs
+  // failed or were stopped, second of tasks whose runs were lost.
   std::pair<double, double> TimeOfRepeatedRuns() const {
     std::map<std::string, std::vector<const Json*>> starts;
     std::set<std::string> ended;
-    for (const Json* line : m_own) {
+    for (const Json* line : m_job_lines) {
       const std::string task = line->value("task", Json()).dump();
-      if (Is(*line, "run.start")) {
+      if (IsEvent(*line, "run.start")) {
         starts[task].push_back(line);
-      } else if (Is(*line, "run.ended") || Is(*line, "run.stop")) {
+      } else if (IsEvent(*line, "run.ended") || IsEvent(*line, "run.stop")) {
         ended.insert(task);
       }
     }
@@ -327,11 +334,11 @@
 
   void ReportFailedRuns() {
     std::map<std::string, int> failures;
-    for (const Json* line : m_own) {
+    for (const Json* line : m_job_lines) {
       const bool failed =
-          (Is(*line, "run.ended") && Text(*line, "how") != "done") ||
-          Is(*line, "run.stop") ||
-          (Is(*line, "run.start") && Text(*line, "result") != "running");
+          (IsEvent(*line, "run.ended") && Text(*line, "how") != "done") ||
+          IsEvent(*line, "run.stop") ||
+          (IsEvent(*line, "run.start") && Text(*line, "result") != "running");
       if (failed) {
         const std::string how =
             Text(*line, "how") + Text(*line, "reason") + Text(*line, "result");
@@ -339,46 +346,53 @@
       }
     }
     for (const auto& [what, times] : failures) {
-      Because(fmt::format(
+      AddReason(fmt::format(
           "{} {}", times == 1 ? "once" : fmt::format("{} times", times), what));
     }
   }
 
-  // The job's lines, and those of the office and of its workers around them.
+  // Adds the job's lines, and the lines about the leadership and about the
+  // job's workers around them.
   void AddLines() {
     std::set<std::string> workers;
-    std::set<std::int64_t> unsure;
-    for (const Json* line : m_own) {
+    std::set<std::int64_t> unserved_times;
+    for (const Json* line : m_job_lines) {
       workers.insert(Text(*line, "worker"));
-      if (Is(*line, "request.no_office") || Is(*line, "request.undecided") ||
-          Is(*line, "job.refused")) {
-        unsure.insert(TimeOf(*line));
+      if (IsEvent(*line, "request.no_office") ||
+          IsEvent(*line, "request.undecided") ||
+          IsEvent(*line, "job.refused")) {
+        unserved_times.insert(TimeOf(*line));
       }
     }
     workers.erase("");
-    const std::int64_t first = m_own.empty() ? 0 : TimeOf(*m_own.front());
-    const std::int64_t last = m_own.empty() ? 0 : TimeOf(*m_own.back());
+    const std::int64_t first =
+        m_job_lines.empty() ? 0 : TimeOf(*m_job_lines.front());
+    const std::int64_t last =
+        m_job_lines.empty() ? 0 : TimeOf(*m_job_lines.back());
     for (const Json& line : m_events) {
       const std::int64_t at = TimeOf(line);
-      const bool during = at >= first - kAroundMs && at <= last + kAroundMs;
+      const bool during =
+          at >= first - kContextWindowMs && at <= last + kContextWindowMs;
       const bool own = Text(line, "job") == m_job;
       const bool of_worker = Text(line, "event").starts_with("worker.") &&
                              workers.contains(Text(line, "worker"));
-      const bool near_unsure =
-          std::ranges::any_of(unsure, [at](std::int64_t time) {
-            return at >= time - kAroundMs && at <= time + kAroundMs;
+      const bool near_unserved =
+          std::ranges::any_of(unserved_times, [at](std::int64_t time) {
+            return at >= time - kContextWindowMs &&
+                   at <= time + kContextWindowMs;
           });
       if (own || (during && of_worker) ||
-          (IsOfOffice(line) && (near_unsure || (during && !unsure.empty())))) {
-        m_story.lines.push_back(line);
+          (IsLeadershipEvent(line) &&
+           (near_unserved || (during && !unserved_times.empty())))) {
+        m_explanation.lines.push_back(line);
       }
     }
   }
 
   const std::vector<Json>& m_events;
   const std::string& m_job;
-  std::vector<const Json*> m_own;
-  Explanation m_story;
+  std::vector<const Json*> m_job_lines;
+  Explanation m_explanation;
 };
 
 }  // namespace
@@ -408,29 +422,30 @@
 }
 
 Explanation ExplainId(const LogLines& lines, const std::string& id) {
-  Explanation story = JobStory(lines.Events(), id).Tell();
-  if (story.cause == OutcomeCause::kUnknownId) {
+  Explanation explanation = JobExplainer(lines.Events(), id).Explain();
+  if (explanation.cause == OutcomeCause::kUnknownId) {
     for (const Json& line : lines.Events()) {
       if (Names(line, id)) {
-        story.lines.push_back(line);
+        explanation.lines.push_back(line);
       }
     }
   }
-  return story;
+  return explanation;
 }
 
-std::string FormatExplanation(const Explanation& story, const std::string& id) {
+std::string FormatExplanation(const Explanation& explanation,
+                              const std::string& id) {
   std::string text;
-  if (story.cause == OutcomeCause::kUnknownId) {
+  if (explanation.cause == OutcomeCause::kUnknownId) {
     text = fmt::format("{}: no job; lines that name it follow\n", id);
   } else {
     text = fmt::format("{}: {}\n", id,
-                       base::FindName(kOutcomeCauseNames, story.cause));
+                       base::FindName(kOutcomeCauseNames, explanation.cause));
   }
-  for (const std::string& reason : story.reasons) {
+  for (const std::string& reason : explanation.reasons) {
     text += fmt::format("  {}\n", reason);
   }
-  for (Json line : story.lines) {
+  for (Json line : explanation.lines) {
     std::string fields;
     const std::string head =
         fmt::format("{} {:<20} {:<18}", Text(line, "at"), Text(line, "host"),
--- a/src/cassiastile/operator/log_explanation_test.cpp
+++ b/src/cassiastile/operator/log_explanation_test.cpp
@@ -14,9 +14,9 @@
 
 constexpr char kJob[] = "5c0e7a21d94b36f8";
 
-class LogStoryTest : public testing::Test {
+class LogExplanationTest : public testing::Test {
  protected:
-  // A line of a host, some milliseconds after the begin.
+  // Adds a host's log line `at_ms` milliseconds after the start.
   void Add(int at_ms, const std::string& host, nlohmann::json fields) {
     fields["at"] = "2026-12-04T01:00:0" + std::to_string(at_ms / 1000) + "." +
                    std::to_string(1000 + at_ms % 1000).substr(1) + "Z";
@@ -24,7 +24,7 @@
     m_text += fields.dump() + "\n";
   }
 
-  Explanation Tell(const std::string& id = kJob) {
+  Explanation Explain(const std::string& id = kJob) {
     std::istringstream in(m_text);
     m_lines.Read(in, "log");
     m_lines.Sort();
@@ -35,7 +35,7 @@
   LogLines m_lines;
 };
 
-TEST_F(LogStoryTest, RefusalSaysWhatWasWeighed) {
+TEST_F(LogExplanationTest, RefusalNamesWaitAndPoolSize) {
   Add(900, "h1",
       {{"event", "pool.load"},
        {"service", "s"},
@@ -52,25 +52,25 @@
        {"age_ms", 0},
        {"beyond_share", false},
        {"retry_after_ms", 1200}});
-  const Explanation story = Tell();
-  EXPECT_EQ(story.cause, OutcomeCause::kRefusedOverload);
-  EXPECT_THAT(story.reasons, Contains(HasSubstr("2800 ms")));
-  EXPECT_THAT(story.reasons, Contains(HasSubstr("24 workers")));
+  const Explanation explanation = Explain();
+  EXPECT_EQ(explanation.cause, OutcomeCause::kRefusedOverload);
+  EXPECT_THAT(explanation.reasons, Contains(HasSubstr("2800 ms")));
+  EXPECT_THAT(explanation.reasons, Contains(HasSubstr("24 workers")));
 }
 
-TEST_F(LogStoryTest, CustomerBeyondItsShare) {
+TEST_F(LogExplanationTest, RefusesCustomerBeyondItsShare) {
   Add(1000, "h1",
       {{"event", "job.refused"},
        {"job", kJob},
        {"reason", "overload"},
        {"customer", "c"},
        {"beyond_share", true}});
-  const Explanation story = Tell();
-  EXPECT_EQ(story.cause, OutcomeCause::kRefusedOverShare);
-  EXPECT_THAT(story.reasons, Contains(HasSubstr("customer c")));
+  const Explanation explanation = Explain();
+  EXPECT_EQ(explanation.cause, OutcomeCause::kRefusedOverShare);
+  EXPECT_THAT(explanation.reasons, Contains(HasSubstr("customer c")));
 }
 
-TEST_F(LogStoryTest, LostInATakeover) {
+TEST_F(LogExplanationTest, UnansweredDuringALeaderChange) {
   Add(1000, "h2",
       {{"event", "request.undecided"},
        {"job", kJob},
@@ -79,13 +79,13 @@
        {"fence", 3},
        {"heard_ms_ago", 1600}});
   Add(1400, "h3", {{"event", "office.take"}, {"why", "term over"}});
-  const Explanation story = Tell();
-  EXPECT_EQ(story.cause, OutcomeCause::kUnanswered);
-  EXPECT_THAT(story.reasons, Contains(HasSubstr("h1 in office")));
-  EXPECT_THAT(story.lines, SizeIs(2));
+  const Explanation explanation = Explain();
+  EXPECT_EQ(explanation.cause, OutcomeCause::kUnanswered);
+  EXPECT_THAT(explanation.reasons, Contains(HasSubstr("h1 in office")));
+  EXPECT_THAT(explanation.lines, SizeIs(2));
 }
 
-TEST_F(LogStoryTest, LateOnABadWorker) {
+TEST_F(LogExplanationTest, LateBecauseOfAFailedRun) {
   Add(0, "h1", {{"event", "job.accepted"}, {"job", kJob}});
   Add(50, "h1",
       {{"event", "run.start"},
@@ -114,12 +114,12 @@
        {"late", true},
        {"age_ms", 2900},
        {"allowed_ms", 1500}});
-  const Explanation story = Tell();
-  EXPECT_EQ(story.cause, OutcomeCause::kLateFailedRuns);
-  EXPECT_THAT(story.reasons, Contains(HasSubstr("failed on worker w1")));
+  const Explanation explanation = Explain();
+  EXPECT_EQ(explanation.cause, OutcomeCause::kLateFailedRuns);
+  EXPECT_THAT(explanation.reasons, Contains(HasSubstr("failed on worker w1")));
 }
 
-TEST_F(LogStoryTest, LateForWantOfRoom) {
+TEST_F(LogExplanationTest, LateBecauseOfMissingCapacity) {
   Add(0, "h1", {{"event", "job.accepted"}, {"job", kJob}});
   Add(2500, "h1",
       {{"event", "run.start"},
@@ -135,33 +135,33 @@
        {"late", true},
        {"age_ms", 3000},
        {"allowed_ms", 1500}});
-  EXPECT_EQ(Tell().cause, OutcomeCause::kLateNoCapacity);
+  EXPECT_EQ(Explain().cause, OutcomeCause::kLateNoCapacity);
 }
 
-TEST_F(LogStoryTest, LinesComeInTheOrderOfTheirTimes) {
+TEST_F(LogExplanationTest, SortsLinesByTime) {
   Add(2000, "h1",
       {{"event", "job.finished"}, {"job", kJob}, {"phase", "done"}});
   Add(1000, "h2", {{"event", "job.accepted"}, {"job", kJob}});
-  const Explanation story = Tell();
-  ASSERT_THAT(story.lines, SizeIs(2));
-  EXPECT_EQ(story.lines.front()["host"], "h2");
-  EXPECT_EQ(story.cause, OutcomeCause::kInTime);
+  const Explanation explanation = Explain();
+  ASSERT_THAT(explanation.lines, SizeIs(2));
+  EXPECT_EQ(explanation.lines.front()["host"], "h2");
+  EXPECT_EQ(explanation.cause, OutcomeCause::kInTime);
 }
 
-TEST_F(LogStoryTest, ForeignAndTruncatedLinesAreCounted) {
+TEST_F(LogExplanationTest, CountsForeignAndTruncatedLinesAsSkipped) {
   m_text += "a line of another program\n{\"event\":\"job.acc\n{\"x\":1}\n";
-  m_text += "12.5 host-1 ";  // A prefix that a collector put in front.
+  m_text += "12.5 host-1 ";  // A prefix added by a log collector.
   Add(1000, "h2", {{"event", "job.accepted"}, {"job", kJob}});
-  EXPECT_EQ(Tell().cause, OutcomeCause::kUnfinished);
+  EXPECT_EQ(Explain().cause, OutcomeCause::kUnfinished);
   EXPECT_EQ(m_lines.LinesRead(), 4U);
   EXPECT_EQ(m_lines.LinesSkipped(), 3U);
 }
 
-TEST_F(LogStoryTest, WorkersLinesAreFoundByItsId) {
+TEST_F(LogExplanationTest, FindsTheLinesOfAWorkerById) {
   Add(1000, "h1", {{"event", "worker.silent"}, {"worker", "w1"}});
-  const Explanation story = Tell("w1");
-  EXPECT_EQ(story.cause, OutcomeCause::kUnknownId);
-  EXPECT_THAT(story.lines, SizeIs(1));
+  const Explanation explanation = Explain("w1");
+  EXPECT_EQ(explanation.cause, OutcomeCause::kUnknownId);
+  EXPECT_THAT(explanation.lines, SizeIs(1));
 }
 
 }  // namespace
--- a/src/cassiastile/operator/report.cpp
+++ b/src/cassiastile/operator/report.cpp
@@ -13,7 +13,7 @@
 constexpr int kFirstServerError = 500;
 constexpr int kJsonIndent = 2;
 
-// What a refusal says, in one or more lines.
+// Formats a refusal as one or more lines.
 std::string FormatProblem(const ApiAnswer& answer) {
   const nlohmann::json& body = answer.body;
   std::string text = fmt::format("refused with status {}:", answer.status);
--- a/src/cassiastile/operator/report.hpp
+++ b/src/cassiastile/operator/report.hpp
@@ -12,11 +12,11 @@
 
 namespace cassiastile::operators {
 
-// Prints findings and returns kRefused.
+// Prints findings, as JSON if --json is set, and returns kRefused.
 ExitCode ReportFindings(const Invocation& invocation,
                         const base::Findings& findings);
 
-// Prints a sentence about an input of the operator's and returns kRefused.
+// Prints a sentence about invalid or unreadable input and returns kRefused.
 ExitCode ReportInputError(const Invocation& invocation,
                           const std::string& sentence);
 
@@ -24,26 +24,30 @@
 ExitCode ReportUsageError(const Invocation& invocation,
                           const std::string& sentence);
 
-// Prints what a server refused or that it could not be reached, and returns the
-// exit code for it. For kDone prints nothing.
+// Prints why a call was refused or failed, and returns the exit code for it.
+// Prints nothing if the call succeeded.
 ExitCode ReportOutcome(const Invocation& invocation, const ApiOutcome& outcome);
 
-// Reports the outcome; when it is done, prints its body as JSON or as `format`
-// gives it.
+// Reports the outcome as ReportOutcome() does. If the call succeeded, prints
+// the body: as JSON if --json is set, otherwise as formatted by `format`.
 ExitCode ShowOutcome(
     const Invocation& invocation,
     const ApiOutcome& outcome,
     const std::function<std::string(const nlohmann::json&)>& format);
 
+// Prints indented JSON. Invalid UTF-8 is replaced.
 void PrintJson(const Invocation& invocation, const nlohmann::json& body);
 
-// Findings as the server sends them, under the name of the document.
+// Decodes the "findings" of a server's answer. `file` is the file name that
+// they get.
 base::Findings ReadFindings(const nlohmann::json& body,
                             const std::string& file);
 
+// Encodes findings for --json.
 nlohmann::json FindingsToJson(const base::Findings& findings);
 
-// A member of an object, or the default when it is absent or of another type.
+// Returns a member of a JSON object; "" or 0 if it is absent or of another
+// type.
 std::string TextOf(const nlohmann::json& body, const std::string& name);
 std::uint64_t NumberOf(const nlohmann::json& body, const std::string& name);
 
--- a/src/cassiastile/operator/table.cpp
+++ b/src/cassiastile/operator/table.cpp
@@ -15,7 +15,7 @@
 constexpr unsigned char kFirstPrintable = 0x20;
 constexpr unsigned char kDelete = 0x7F;
 
-// The number of characters of UTF-8 text.
+// Counts the code points of UTF-8 text.
 std::size_t Width(std::string_view text) {
   return static_cast<std::size_t>(
       std::count_if(text.begin(), text.end(), [](char character) {
@@ -41,7 +41,8 @@
                      [](const auto& item) { return item.is_object(); });
 }
 
-// The names of the members of all rows, in the order of their first use.
+// Collects the member names of all rows, in the order in which they first
+// occur.
 std::vector<std::string> ColumnsOf(const nlohmann::json& rows) {
   std::vector<std::string> columns;
   for (const auto& row : rows) {
@@ -80,7 +81,8 @@
   return fmt::format("{}: {}\n", label, FormatCell(value));
 }
 
-// An object in a cell stands by its name where it has one.
+// Shows an object in a cell as its name, if it has one, otherwise as its
+// members.
 std::string FormatObject(const nlohmann::json& object) {
   for (const char* name : {"name", "host", "subject", "id"}) {
     if (object.contains(name)) {
@@ -95,16 +97,17 @@
   return text;
 }
 
-// The first items of a list and how many more there are; --json shows all.
+// Shows the first items of a list and the number of further ones; --json shows
+// all.
 std::string FormatList(const nlohmann::json& list) {
-  constexpr std::size_t kMostItems = 6;
+  constexpr std::size_t kMaxItems = 6;
   std::string text;
-  for (std::size_t i = 0; i < std::min(list.size(), kMostItems); ++i) {
+  for (std::size_t i = 0; i < std::min(list.size(), kMaxItems); ++i) {
     text += text.empty() ? "" : ", ";
     text += FormatCell(list[i]);
   }
-  if (list.size() > kMostItems) {
-    text += fmt::format(" and {} more", list.size() - kMostItems);
+  if (list.size() > kMaxItems) {
+    text += fmt::format(" and {} more", list.size() - kMaxItems);
   }
   return text;
 }
--- a/src/cassiastile/operator/table.hpp
+++ b/src/cassiastile/operator/table.hpp
@@ -8,29 +8,31 @@
 
 namespace cassiastile::operators {
 
-// Text in columns for people to read.
+// Formats rows of text as aligned columns.
 class Table {
  public:
   explicit Table(std::vector<std::string> header);
 
-  // A row has as many cells as the header.
+  // Adds a row, which must have as many cells as the header.
   void Add(std::vector<std::string> row);
-  // One line for each row, columns aligned.
+  // Returns the header and the rows, one line each.
   std::string Format() const;
 
  private:
   std::vector<std::vector<std::string>> m_rows;
 };
 
-// The text with control characters shown as question marks, so that it can't
-// steer a terminal. Line feeds stay where `multiline` is set.
+// Replaces control characters by question marks, so that text from a server or
+// a file can't send escape sequences to the terminal. Line feeds and tabs stay
+// if `multiline` is set.
 std::string Printable(std::string_view text, bool multiline = false);
 
-// Any JSON for people: scalars as `name: value`, lists of objects as tables,
-// objects within objects under their name.
+// Formats JSON as plain text: scalars as `name: value`, lists of objects as
+// tables, and nested objects indented under their name.
 std::string FormatJson(const nlohmann::json& value);
 
-// A scalar as it is shown in a cell; lists of scalars joined by commas.
+// Formats a value for one table cell. Lists are joined by commas and cut after
+// six items; null and empty values are shown as "-".
 std::string FormatCell(const nlohmann::json& value);
 
 }  // namespace cassiastile::operators
--- a/src/cassiastile/operator/table_test.cpp
+++ b/src/cassiastile/operator/table_test.cpp
@@ -8,7 +8,7 @@
 
 using nlohmann::json;
 
-TEST(TableTest, ObjectsInACellStandByTheirNames) {
+TEST(TableTest, ShowsObjectsInACellByTheirNames) {
   EXPECT_EQ(FormatCell(json::parse(R"([{"detail": "x", "host": "w-1"},
                                        {"detail": "y", "host": "w-2"}])")),
             "w-1, w-2");
@@ -16,7 +16,7 @@
             "basis 900 s, finish -");
 }
 
-TEST(TableTest, LongListsAreCutAndSaySo) {
+TEST(TableTest, CutsLongListsAndCountsTheRest) {
   EXPECT_EQ(FormatCell(json{1, 2, 3, 4, 5, 6}), "1, 2, 3, 4, 5, 6");
   EXPECT_EQ(FormatCell(json{1, 2, 3, 4, 5, 6, 7, 8}),
             "1, 2, 3, 4, 5, 6 and 2 more");
