--- a/src/bin/cassia_backend.cpp
+++ b/src/bin/cassia_backend.cpp
@@ -7,8 +7,9 @@
 using namespace cassiastile;
 
 constexpr std::uint16_t kDefaultPort = 7300;
-constexpr std::int64_t kMostSlots = 10000;
+constexpr std::int64_t kMaxSlots = 10000;
 
+// Runs a stand-in backend server until the process is stopped.
 class BackendDaemon final : public daemon::Daemon {
  public:
   static base::Result<std::unique_ptr<BackendDaemon>> Start(
@@ -39,7 +40,7 @@
   options.address = listen.ip;
   options.port = listen.port;
   options.slots = static_cast<std::uint32_t>(
-      settings.Number("slots", options.slots, 1, kMostSlots));
+      settings.Number("slots", options.slots, 1, kMaxSlots));
   options.service_time =
       settings.Milliseconds("service_ms", options.service_time);
   return options;
@@ -47,7 +48,8 @@
 
 }  // namespace
 
-// The stand-in for a service's runner.
+// cassia-backend: a stand-in for a service's backend server (runner), which
+// fails as it is told to.
 int main(int argc, char** argv) {
   const daemon::Program program{
       "cassia-backend", "stands in for a runner and fails as it is told to"};
--- a/src/bin/cassia_control.cpp
+++ b/src/bin/cassia_control.cpp
@@ -7,13 +7,13 @@
 using namespace cassiastile;
 
 constexpr std::uint16_t kDefaultPort = 7100;
-constexpr std::int64_t kMostThreads = 64;
+constexpr std::int64_t kMaxThreads = 64;
 
 control::ControlHostOptions ReadOptions(config::Settings& settings) {
   control::ControlHostOptions options;
   options.listen = settings.Address("listen", {"127.0.0.1", kDefaultPort});
   options.http_threads = static_cast<std::size_t>(
-      settings.Number("http_threads", 4, 1, kMostThreads));
+      settings.Number("http_threads", 4, 1, kMaxThreads));
   options.member = member::ReadMemberOptions(settings, base::SystemClock());
   options.member.role = member::MemberRole::kControl;
   options.member.http_address = config::FormatAddress(options.listen);
@@ -32,7 +32,8 @@
 
 }  // namespace
 
-// The control process of an entry host.
+// cassia-control: the control process of an entry host. It takes operators'
+// edits and callers' tasks, owns pools and runs waves.
 int main(int argc, char** argv) {
   const daemon::Program program{
       "cassia-control",
--- a/src/bin/cassia_entry.cpp
+++ b/src/bin/cassia_entry.cpp
@@ -8,13 +8,13 @@
 using namespace cassiastile;
 
 constexpr std::uint16_t kDefaultPort = 7200;
-constexpr std::int64_t kMostThreads = 64;
-constexpr std::int64_t kMostBodyBytes = 64 << 20;
+constexpr std::int64_t kMaxThreads = 64;
+constexpr std::int64_t kMaxBodyBytes = 64 << 20;
 
 void ReadLimits(config::Settings& settings, entry::RequestLimits& limits) {
   limits.max_body_bytes = static_cast<std::size_t>(settings.Number(
       "max_body_bytes", static_cast<std::int64_t>(limits.max_body_bytes), 1,
-      kMostBodyBytes));
+      kMaxBodyBytes));
   limits.longest_timeout =
       settings.Milliseconds("longest_timeout_ms", limits.longest_timeout);
 }
@@ -23,7 +23,7 @@
   entry::EntryHostOptions options;
   options.listen = settings.Address("listen", {"127.0.0.1", kDefaultPort});
   options.http_threads = static_cast<std::size_t>(
-      settings.Number("http_threads", 4, 1, kMostThreads));
+      settings.Number("http_threads", 4, 1, kMaxThreads));
   options.member = member::ReadMemberOptions(settings, base::SystemClock());
   options.member.role = member::MemberRole::kEntry;
   options.member.http_address = config::FormatAddress(options.listen);
@@ -45,7 +45,8 @@
 
 }  // namespace
 
-// The request process of an entry host.
+// cassia-entry: the request process of an entry host, which forwards callers'
+// requests to backend servers.
 int main(int argc, char** argv) {
   const daemon::Program program{
       "cassia-entry",
--- a/src/bin/cassia_host.cpp
+++ b/src/bin/cassia_host.cpp
@@ -1,5 +1,5 @@
-// cassia-host: one entry host. Takes callers' jobs, and gives the orders while
-// it holds the office.
+// cassia-host: the process of one host. It takes callers' jobs and, while it is
+// the leader, schedules them.
 #include <csignal>
 #include <iostream>
 
@@ -27,9 +27,10 @@
 constexpr int kUnavailable = 503;
 constexpr std::chrono::milliseconds kLogFlush{100};
 constexpr std::chrono::milliseconds kStopPoll{50};
-// The balancer looks once a second and needs two misses.
-constexpr std::chrono::milliseconds kBalancerNotices{2500};
-// Kept back from the grace period for the exit itself.
+// The load balancer checks readiness once a second and takes a host out after
+// two failed checks.
+constexpr std::chrono::milliseconds kBalancerDetectionTime{2500};
+// The end of the stop grace period that is reserved for the exit itself.
 constexpr std::chrono::milliseconds kExitReserve{600};
 
 host::HostPorts MakePorts(adapter::TableClient& table,
@@ -69,7 +70,9 @@
   return options;
 }
 
-// The process: its loop, its servers and what stops it.
+// The process: its event loop, its HTTP servers, its signal handling and its
+// graceful stop. SIGHUP only checks the settings file and logs whether it
+// changed.
 class Program {
  public:
   Program(host::HostSettings settings, std::string settings_path)
@@ -92,9 +95,11 @@
                base::MakeRandom()),
         m_signals(m_context, SIGTERM, SIGINT, SIGHUP) {}
 
+  // Serves until SIGTERM or SIGINT has been handled. Fails if a port can't be
+  // bound.
   base::Result<void> Run() {
     for (const base::Result<void>& started :
-         {StartFront(), StartReady(), StartPeers(), StartMetrics()}) {
+         {StartJobApi(), StartReadiness(), StartPeers(), StartMetrics()}) {
       if (!started) {
         return started;
       }
@@ -122,7 +127,7 @@
     return {};
   }
 
-  base::Result<void> StartFront() {
+  base::Result<void> StartJobApi() {
     const host::Endpoint& at = m_settings.client_endpoint;
     return Listen(at.address, at.port,
                   [this](const wire::HttpRequest& request,
@@ -131,7 +136,7 @@
                   });
   }
 
-  base::Result<void> StartReady() {
+  base::Result<void> StartReadiness() {
     const host::Endpoint& at = m_settings.ready_endpoint;
     return Listen(
         at.address, at.port,
@@ -199,6 +204,8 @@
     m_log.Write("host.reload", {{"changed", !(*settings == m_settings)}});
   }
 
+  // Answers the clients with "Connection: close" from now on and lets the node
+  // finish its work.
   void Stop() {
     if (m_stopping) {
       return;
@@ -207,17 +214,20 @@
     m_stop_at = m_clock.Now();
     m_servers.front()->BeginDrain();
     m_node.BeginStop();
-    AwaitEnd();
+    AwaitExit();
   }
 
-  void AwaitEnd() {
+  // Exits once the load balancer has noticed the stop and the node is ready, or
+  // when the grace period is nearly over.
+  void AwaitExit() {
     const auto waited = m_clock.Now() - m_stop_at;
-    const bool quiet = waited > kBalancerNotices && m_node.IsReadyToExit();
+    const bool quiet =
+        waited > kBalancerDetectionTime && m_node.IsReadyToExit();
     if (quiet || waited > m_settings.stop_grace - kExitReserve) {
       m_context.stop();
       return;
     }
-    m_loop.After(kStopPoll, [this] { AwaitEnd(); });
+    m_loop.After(kStopPoll, [this] { AwaitExit(); });
   }
 
   host::HostSettings m_settings;
--- a/src/bin/cassia_platform.cpp
+++ b/src/bin/cassia_platform.cpp
@@ -9,8 +9,9 @@
 using namespace cassiastile;
 
 constexpr std::uint16_t kDefaultPort = 7000;
-constexpr std::int64_t kMostSeed = 1'000'000'000;
+constexpr std::int64_t kMaxSeed = 1'000'000'000;
 
+// Runs the stand-in platform until the process is stopped.
 class PlatformDaemon final : public daemon::Daemon {
  public:
   static base::Result<std::unique_ptr<PlatformDaemon>> Start(
@@ -47,13 +48,13 @@
   options.list_lag = settings.Milliseconds("list_lag_ms", options.list_lag);
   options.reboot_time = settings.Milliseconds("reboot_ms", options.reboot_time);
   options.seed =
-      static_cast<std::uint64_t>(settings.Number("seed", 1, 0, kMostSeed));
+      static_cast<std::uint64_t>(settings.Number("seed", 1, 0, kMaxSeed));
   return options;
 }
 
 }  // namespace
 
-// The stand-in for the platform's services.
+// cassia-platform: a stand-in for the platform's services.
 int main(int argc, char** argv) {
   const daemon::Program program{
       "cassia-platform",
--- a/src/bin/cassia_soak.cpp
+++ b/src/bin/cassia_soak.cpp
@@ -1,5 +1,5 @@
-// cassia-soak: plays seeds of faults against real hosts and checks the
-// promises.
+// cassia-soak: injects seeded faults into real host processes and checks the
+// invariants.
 #include <filesystem>
 #include <fstream>
 #include <iostream>
@@ -28,15 +28,17 @@
             << std::endl;
 }
 
-// Plays one seed after the other; returns how many failed.
-base::Result<int> PlaySeeds(soak::SoakOptions options,
-                            std::uint64_t seeds,
-                            const std::string& keep) {
+// Runs one seed after the other and returns how many violated an invariant.
+// Keeps the logs of these and removes the others. Fails if a run can't be
+// carried out.
+base::Result<int> RunSeeds(soak::SoakOptions options,
+                           std::uint64_t seeds,
+                           const std::string& kept_folder) {
   int failed = 0;
   const std::uint64_t first = options.seed;
   for (std::uint64_t seed = first; seed < first + seeds; ++seed) {
     options.seed = seed;
-    options.folder = keep + "/seed-" + std::to_string(seed);
+    options.folder = kept_folder + "/seed-" + std::to_string(seed);
     std::filesystem::create_directories(options.folder);
     const auto result = soak::RunSoak(options);
     if (!result) {
@@ -58,7 +60,7 @@
   soak::SoakOptions options;
   std::uint64_t seeds = 1;
   std::int64_t seconds = 10;
-  std::string keep;
+  std::string kept_folder;
   std::string plan_file;
   int shrink_tries = 0;
   po::options_description names("cassia-soak");
@@ -81,7 +83,7 @@
       "seed's")("shrink", po::value(&shrink_tries)->implicit_value(2),
                 "looks for a shorter plan that still fails, and prints it; "
                 "each is tried so many times")(
-      "keep", po::value(&keep)->default_value("soak-logs"),
+      "keep", po::value(&kept_folder)->default_value("soak-logs"),
       "folder for the logs and plans of seeds that failed");
   try {
     po::variables_map values;
@@ -106,8 +108,8 @@
       options.faults = std::move(*plan);
     }
     if (shrink_tries > 0) {
-      options.folder = keep;
-      std::filesystem::create_directories(keep);
+      options.folder = kept_folder;
+      std::filesystem::create_directories(kept_folder);
       const auto plan = soak::ShrinkPlan(options, shrink_tries);
       if (!plan) {
         std::cerr << "cassia-soak: " << plan.error().message << "\n";
@@ -116,7 +118,7 @@
       std::cout << soak::EncodePlan(*plan);
       return 0;
     }
-    const auto failed = PlaySeeds(options, seeds, keep);
+    const auto failed = RunSeeds(options, seeds, kept_folder);
     if (!failed) {
       std::cerr << "cassia-soak: " << failed.error().message << "\n";
       return 2;
--- a/src/bin/cassia_worker.cpp
+++ b/src/bin/cassia_worker.cpp
@@ -12,11 +12,13 @@
 constexpr std::chrono::milliseconds kDrainNotice{100};
 constexpr std::chrono::milliseconds kDrainDeadline{2000};
 
+// The address of the worker's HTTP server, and its agent's options.
 struct WorkerDaemonOptions {
   config::SocketAddress listen;
   standin::WorkerAgentOptions agent;
 };
 
+// Runs a stand-in worker's agent until the process is stopped.
 class WorkerDaemon final : public daemon::Daemon {
  public:
   static base::Result<std::unique_ptr<WorkerDaemon>> Start(
@@ -74,7 +76,8 @@
   agent.worker.usage_lag = settings.Milliseconds(
       "usage_lag_ms", std::chrono::duration_cast<std::chrono::milliseconds>(
                           agent.worker.usage_lag));
-  // A process started anew has a higher incarnation.
+  // The start time in milliseconds: a restarted process must have a higher
+  // incarnation.
   agent.worker.incarnation = static_cast<std::uint64_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(
           base::SystemClock().WallNow().time_since_epoch())
@@ -84,7 +87,7 @@
 
 }  // namespace
 
-// The stand-in for a worker's agent.
+// cassia-worker: a stand-in for a worker's agent.
 int main(int argc, char** argv) {
   const daemon::Program program{"cassia-worker",
                                 "stands in for a host's agent that runs tasks"};
--- a/src/bin/cassiactl.cpp
+++ b/src/bin/cassiactl.cpp
@@ -4,6 +4,7 @@
 
 #include "cassiastile/operator/cassiactl.hpp"
 
+// cassiactl: the operators' command line tool.
 int main(int argc, char** argv) {
   using namespace cassiastile::operators;
   const std::vector<std::string> arguments(argv + 1, argv + argc);
--- a/src/bin/measure_fleet.cpp
+++ b/src/bin/measure_fleet.cpp
@@ -19,9 +19,9 @@
 #include "cassiastile/fleet/demand.hpp"
 #include "cassiastile/fleet/wave_plan.hpp"
 
-// Measures pools, waves, moves and buffers in virtual time and prints JSON
-// lines. `--chart FILE` writes the availability of a pool over a wave as SVG in
-// place of measuring.
+// measure-fleet: measures waves, budgets, host moves between pools and pool
+// buffers in virtual time, and prints the figures as JSON lines. `--chart FILE`
+// measures nothing and writes the availability of a pool during a wave as SVG.
 namespace {
 
 namespace fleet = cassiastile::fleet;
@@ -32,7 +32,7 @@
 
 constexpr std::uint64_t kSeed = 20261203;
 
-// One figure; `baseline` is the same for the policy compared with.
+// One figure; `baseline` is the value under the policy compared with.
 struct Figure {
   std::string_view name;
   double value = 0;
@@ -49,7 +49,8 @@
       figure.baseline);
 }
 
-// Hosts that run tasks one after another while they are in service.
+// Keeps every host that is not draining busy with tasks of 1 to 600 seconds,
+// one after another.
 class TaskLoad {
  public:
   TaskLoad(fake::World& world, std::uint64_t seed)
@@ -100,20 +101,21 @@
   return document;
 }
 
-// How a wave goes: how many hosts of one rack never come back, and how long the
-// operator takes to resume a wave that halts.
+// A measured wave: how many hosts of one rack never return from maintenance,
+// and how long the operator takes to resume a halted wave.
 struct WaveCase {
   std::uint32_t parallel = kWaveBudget;
   std::uint32_t stuck = 0;
   seconds resume_after{120};
 };
 
-// One second of a wave: the availability of its pool.
+// The availability of the wave's pool in one second, in hosts.
 struct WaveSample {
   std::size_t in_service = 0;
   std::size_t out = 0;
 };
 
+// Runs one wave in virtual time, in steps of a second.
 class WaveRun {
  public:
   explicit WaveRun(const WaveCase& wave_case)
@@ -121,13 +123,14 @@
         m_world(MakeWaveDocument(wave_case.parallel), kSeed, kReboot),
         m_load(m_world, kSeed),
         m_reconciler(m_world.MakeReconciler("control-1", kSeed)) {
-    // Hosts of one rack, which fail together.
+    // The first hosts share a rack, so their failures are correlated.
     for (std::uint32_t i = 0; i < m_case.stuck; ++i) {
       m_world.machines.stuck.insert(fmt::format("p0-h{}", i));
     }
   }
 
-  // The seconds that the wave takes.
+  // Runs the wave to its end and returns its duration in seconds, 200000 at
+  // most.
   double Run() {
     constexpr int kLimit = 200000;
     m_load.Advance();
@@ -228,8 +231,8 @@
          "higher", 0});
 }
 
-// Demand of one queue: a burst of about five times its mean for some seconds,
-// a twentieth of it in between.
+// Draws the demand of one queue for each second: bursts of about five times the
+// mean that last 8 to 12 seconds, and a twentieth of the mean in between.
 std::vector<double> MakeDemand(double mean, int length, base::Random& random) {
   constexpr double kBurst = 5;
   constexpr double kBetween = 0.05;
@@ -250,8 +253,9 @@
   return demand;
 }
 
-// The least idle hosts, summed over the hours, that keep to the same misses
-// when each hour's demand is known before it comes.
+// Returns the fewest idle hosts, summed over the hours, that a policy with
+// perfect foresight of each hour's demand needs to miss no more deadlines than
+// `misses`.
 double LeastBuffer(std::span<const double> demand,
                    std::size_t hour,
                    double mean,
@@ -285,13 +289,13 @@
   constexpr double kMean = 8;
   constexpr double kFixedSpare = 1.2;
   base::Random random(kSeed);
-  // The mean wanders by a sixth over ten hours.
-  constexpr double kWander = 1.0 / 6;
+  // The mean demand drifts by up to a sixth in a cycle of ten hours.
+  constexpr double kDriftAmplitude = 1.0 / 6;
   constexpr double kRadiansPerHour = 0.63;
   std::vector<double> demand;
   for (int hour = 0; hour <= kHours; ++hour) {
     const double mean =
-        kMean * (1 + kWander * std::sin(hour * kRadiansPerHour));
+        kMean * (1 + kDriftAmplitude * std::sin(hour * kRadiansPerHour));
     const std::vector<double> next = MakeDemand(mean, kHour, random);
     demand.insert(demand.end(), next.begin(), next.end());
   }
@@ -318,13 +322,15 @@
       {"buffer_deadline_misses", held_misses, "share", "lower", fixed_misses});
 }
 
-// What a policy of moves comes to over a trace of demand.
+// The result of a policy over a demand trace: hosts moved and work that was
+// late.
 struct MoveCount {
   std::uint32_t moves = 0;
   double missed = 0;
 };
 
-// Late work of one second under a size, with the backlog carried on.
+// Sums the work that misses its deadline of 30 seconds, given the demand and
+// the pool size of each second. The backlog is carried over between seconds.
 class LateWork {
  public:
   void Add(double demand, double size) {
@@ -339,6 +345,8 @@
   double m_missed = 0;
 };
 
+// Changes the pool size only for lasting shifts of the demand, as the fleet
+// does.
 MoveCount FollowLastingShifts(const std::vector<double>& demand,
                               std::uint32_t size) {
   MoveCount count;
@@ -358,8 +366,9 @@
   return count;
 }
 
-// Chases each burst; a moved host serves after the time that a move takes.
-MoveCount ChaseBursts(const std::vector<double>& demand, std::uint32_t size) {
+// The baseline: resizes the pool for every burst. A moved host serves after the
+// 30 seconds that a move takes.
+MoveCount FollowBursts(const std::vector<double>& demand, std::uint32_t size) {
   constexpr std::size_t kMoveSeconds = 30;
   constexpr std::uint32_t kLeast = 1;
   MoveCount count;
@@ -390,7 +399,7 @@
     demand.insert(demand.end(), next.begin(), next.end());
   }
   const MoveCount lasting = FollowLastingShifts(demand, kSize);
-  const MoveCount chasing = ChaseBursts(demand, kSize);
+  const MoveCount chasing = FollowBursts(demand, kSize);
   double total = 0;
   for (const double sample : demand) {
     total += sample;
@@ -401,7 +410,8 @@
          chasing.missed / total});
 }
 
-// The time of one plan of a wave over that many hosts, in seconds.
+// Returns the mean time in seconds to plan one step of a wave over `hosts`
+// hosts.
 double TimePlan(std::uint32_t hosts) {
   constexpr int kRepeats = 200;
   const auto document = fake::MakeDocument({.hosts = hosts});
@@ -434,13 +444,14 @@
          static_cast<double>(kFull) / kSmall});
 }
 
-// The pool's hosts in service over a wave with failures, and its budget.
+// Draws the pool's hosts in service during a wave with failures, and its
+// budget.
 int WriteChart(const std::string& path) {
   constexpr int kWidth = 800;
   constexpr int kHeight = 260;
   constexpr int kLeft = 60;
   constexpr int kTop = 20;
-  constexpr double kShown = 12;  // Hosts from the bottom of the chart up.
+  constexpr double kShown = 12;  // The hosts that the vertical axis spans.
   WaveRun run({.stuck = 3});
   run.Run();
   const auto& samples = run.Samples();
--- a/src/bin/measure_jobs.cpp
+++ b/src/bin/measure_jobs.cpp
@@ -1,6 +1,6 @@
-// Processor time of the scheduler's decisions at the worst load: a queue asks
-// for several times what its pool holds. Times are real ones, so they are not
-// deterministic; tools/measure leaves them out unless asked for.
+// measure-jobs: measures the real time of the scheduler's decisions under
+// overload, when a queue's demand exceeds its pool's capacity. Real times are
+// not deterministic, so tools/measure leaves them out unless asked for.
 #include <chrono>
 #include <cstdint>
 #include <iostream>
@@ -34,7 +34,7 @@
 constexpr milliseconds kRound{10};
 constexpr int kRounds = 500;
 
-// Real time spent in one kind of call.
+// Sums the real time spent in one kind of call, and prints the mean per call.
 class Timer {
  public:
   explicit Timer(std::string name) : m_name(std::move(name)) {}
@@ -72,11 +72,13 @@
   int m_calls = 0;
 };
 
+// A run on a simulated worker, and when it ends.
 struct LiveTask {
   StartOrder order;
   cassiastile::base::TimePoint ends;
 };
 
+// A simulated worker: its runs, and the ends that are not yet acknowledged.
 struct LiveWorker {
   std::string id;
   std::vector<LiveTask> running;
@@ -114,6 +116,8 @@
   return spec;
 }
 
+// Drives the scheduler with submissions and with the reports of simulated
+// workers, in virtual time.
 class Load {
  public:
   explicit Load(std::size_t workers) : m_scheduler({}), m_random(kSeed) {
@@ -135,8 +139,8 @@
     }
   }
 
-  // One round of 10 ms: callers, a plan, a commit, starts, and reports of a
-  // tenth of the workers.
+  // Runs one round of 10 ms: submissions, a plan, a commit, task starts, and
+  // the reports of a tenth of the workers.
   void Round(int round, int submissions) {
     for (int i = 0; i < submissions; ++i) {
       const std::string id = "job-" + std::to_string(++m_job);
@@ -159,14 +163,14 @@
       m_report.Measure([&] { Report(m_workers[i]); });
     }
     if (round % static_cast<int>(kRoundsPerReport) == 0) {
-      m_look.Measure([&] { m_scheduler.GetPoolLoads(m_clock.Now()); });
+      m_pool_loads.Measure([&] { m_scheduler.GetPoolLoads(m_clock.Now()); });
     }
     m_clock.Advance(kRound);
   }
 
   void Print() const {
     for (const Timer* timer :
-         {&m_submit, &m_plan, &m_commit, &m_report, &m_look}) {
+         {&m_submit, &m_plan, &m_commit, &m_report, &m_pool_loads}) {
       timer->Print();
     }
   }
@@ -218,14 +222,15 @@
   Timer m_plan{"plan"};
   Timer m_commit{"commit"};
   Timer m_report{"report"};
-  Timer m_look{"look_at_pools"};
+  Timer m_pool_loads{"look_at_pools"};
 };
 
 }  // namespace
 
 int main() {
   constexpr std::size_t kWorkers = 280;
-  constexpr int kSubmissions = 5;  // 500 a second, about twice what fits.
+  // 500 jobs a second, about twice the capacity of the workers.
+  constexpr int kSubmissions = 5;
   Load load(kWorkers);
   for (int round = 0; round < kRounds; ++round) {
     load.Round(round, kSubmissions);
--- a/src/bin/measure_member.cpp
+++ b/src/bin/measure_member.cpp
@@ -28,11 +28,12 @@
 constexpr NetworkFaults kLossy{0.1, 0.02, milliseconds(1), milliseconds(30)};
 constexpr seconds kWarmUp{14};
 constexpr seconds kLongestWait{10};
-constexpr milliseconds kPollPeriod{5000};  // Of the polling baseline.
+// How often a process of the polling baseline reads the table.
+constexpr milliseconds kPollPeriod{5000};
 constexpr int kEdits = 30;
 constexpr int kCuts = 4;
-// A heartbeat of the full-mesh baseline: the headers, a name and a version,
-// often enough that one may be lost within the freshness.
+// A heartbeat of the full-mesh baseline is 110 bytes: the headers, a name and a
+// version. Two a second leave room to lose one within the freshness period.
 constexpr double kMeshBytes = 110;
 constexpr double kMeshPerSecond = 2;
 
@@ -60,13 +61,14 @@
   return {hosts, hosts >= 18 ? 18U : 3U, 2};
 }
 
-// Runs a fleet until it knows itself and has version 1 in force.
+// Runs a fleet until its members know each other and version 1 is in force.
 void WarmUp(VirtualNetwork& network, VirtualFleetShape shape) {
   AddFleet(network, shape);
   CommitVersion(network, 1);
   network.Run(kWarmUp);
 }
 
+// Commits a version of the configuration, which the proposer broadcasts.
 void CommitFrom(VirtualNetwork& network,
                 const std::string& proposer,
                 std::uint64_t version) {
@@ -75,8 +77,9 @@
   network.At(proposer).BroadcastHead();
 }
 
-// How long the last of the processes takes that only poll the table.
-double PollingEverywhere(std::uint32_t processes, base::Random& random) {
+// Draws the time in seconds until all processes have read a new version, if
+// they only poll the table.
+double SlowestPoll(std::uint32_t processes, base::Random& random) {
   std::uniform_real_distribution<double> phase(0, Seconds(kPollPeriod));
   double latest = 0;
   for (std::uint32_t i = 0; i < processes; ++i) {
@@ -98,7 +101,7 @@
     network.RunUntil(kLongestWait,
                      [&] { return IsInForceEverywhere(network, version); });
     times.push_back(Seconds(network.Now() - start));
-    polling.push_back(PollingEverywhere(2 * hosts, random));
+    polling.push_back(SlowestPoll(2 * hosts, random));
     network.Run(seconds(1));
   }
   for (const double part : {0.5, 0.99}) {
@@ -108,7 +111,9 @@
   }
 }
 
-bool AnyActsOnOld(VirtualNetwork& network, std::uint64_t version) {
+// Whether any member has an older version in force and still considers it
+// fresh.
+bool AnyUsesOldVersion(VirtualNetwork& network, std::uint64_t version) {
   const std::vector<std::string> names = network.Names();
   return std::any_of(names.begin(), names.end(), [&](const std::string& name) {
     const Membership& member = network.At(name);
@@ -116,9 +121,11 @@
   });
 }
 
-// The commit and a cut of most hosts from the proposer and the store happen
-// together; the cut side still has a majority.
-double LastUse(std::uint32_t hosts, std::uint64_t seed) {
+// Returns how many seconds after a commit a member last acts on the old
+// version. The commit coincides with a partition that cuts all hosts but the
+// proposer's off the proposer and the store; the cut-off side still has a
+// majority.
+double TimeToLastUse(std::uint32_t hosts, std::uint64_t seed) {
   VirtualNetwork network(seed, kLossy);
   WarmUp(network, ShapeOf(hosts));
   const std::string proposer = VirtualName(0, 1);
@@ -138,7 +145,7 @@
   base::TimePoint last = start;
   while (network.Now() - start < kLongestWait) {
     network.Run(milliseconds(20));
-    last = AnyActsOnOld(network, 2) ? network.Now() : last;
+    last = AnyUsesOldVersion(network, 2) ? network.Now() : last;
   }
   return Seconds(last - start);
 }
@@ -146,9 +153,9 @@
 void MeasureLastUse(std::uint32_t hosts) {
   double worst = 0;
   for (int i = 0; i < kCuts; ++i) {
-    worst = std::max(worst, LastUse(hosts, kSeed + i));
+    worst = std::max(worst, TimeToLastUse(hosts, kSeed + i));
   }
-  // A host that only polls uses the key for as long as it is cut off.
+  // A host that only polls uses a revoked key for as long as it is cut off.
   Print(fmt::format("member.withdrawn_key_last_use_{}_hosts", hosts), worst,
         "s", Seconds(kLongestWait));
 }
@@ -161,11 +168,12 @@
          static_cast<double>(time.tv_nsec) * kNanosecond;
 }
 
+// The cost of membership for one process.
 struct Cost {
   double bytes_per_second = 0;
   double messages_per_second = 0;
-  double cpu_per_message = 0;  // Seconds, the network's stand-in included.
-  double heap_bytes = 0;       // Of one process's membership.
+  double cpu_per_message = 0;  // Seconds, including the simulated network.
+  double heap_bytes = 0;
 };
 
 Cost MeasureCost(std::uint32_t processes) {
@@ -217,14 +225,15 @@
   }
 }
 
-// The time from an owner's death to the first grip on its shards elsewhere.
+// Crashes twelve owners in turn and returns, for each that held shards, the
+// seconds until other owners hold leases on all of them.
 std::vector<double> TakeoverTimes(milliseconds scan_period) {
   constexpr milliseconds kRound{50};
   constexpr int kDeaths = 12;
   base::ManualClock clock;
   platform::MemoryTable table(kSeed);
   std::set<std::string> dead;
-  std::map<std::string, std::unique_ptr<ShardLeaseManager>> keepers;
+  std::map<std::string, std::unique_ptr<ShardLeaseManager>> managers;
   std::vector<std::string> shards;
   shards.reserve(25);
   for (int i = 0; i < 25; ++i) {
@@ -239,17 +248,17 @@
     ShardLeaseOptions options;
     options.owner = name;
     options.scan_period = scan_period;
-    keepers[name] = std::make_unique<ShardLeaseManager>(
+    managers[name] = std::make_unique<ShardLeaseManager>(
         options, table, clock,
         ShardLeaseManager::Sources{[&] { return shards; },
                                    [&] { return names; }},
-        kSeed + keepers.size());
+        kSeed + managers.size());
   }
   const auto run = [&](base::Duration time) {
     for (base::Duration spent{}; spent < time; spent += kRound) {
-      for (auto& [name, keeper] : keepers) {
+      for (auto& [name, manager] : managers) {
         if (!dead.contains(name)) {
-          keeper->RunOnce();
+          manager->RunOnce();
         }
       }
       clock.Advance(kRound);
@@ -259,14 +268,14 @@
   std::vector<double> times;
   for (int i = 0; i < kDeaths; ++i) {
     const std::string victim = names[static_cast<std::size_t>(i)];
-    const auto lost = keepers[victim]->OwnedShards(clock.Now());
+    const auto lost = managers[victim]->OwnedShards(clock.Now());
     dead.insert(victim);
     run(milliseconds(137));
     const base::TimePoint start = clock.Now() - milliseconds(150);
     const auto taken = [&](const std::string& shard) {
       return std::any_of(names.begin(), names.end(), [&](const auto& name) {
         return name != victim &&
-               keepers[name]->CurrentLease(shard, clock.Now()).has_value();
+               managers[name]->CurrentLease(shard, clock.Now()).has_value();
       });
     };
     while (!std::all_of(lost.begin(), lost.end(), taken)) {
@@ -284,7 +293,7 @@
 void MeasureTakeover() {
   const ShardLeaseOptions options;
   const std::vector<double> times = TakeoverTimes(milliseconds(300));
-  // The baseline looks at the table once a lease.
+  // The baseline scans the table once per lease duration.
   const std::vector<double> baseline =
       TakeoverTimes(std::chrono::duration_cast<milliseconds>(options.lease));
   for (const double part : {0.5, 1.0}) {
@@ -296,6 +305,8 @@
 
 }  // namespace
 
+// measure-member: prints the figures of membership and shard leases as JSON
+// lines. All but the processor times are in virtual time.
 int main() {
   MeasureCosts();
   MeasureTakeover();
--- a/src/bin/measure_requests.cpp
+++ b/src/bin/measure_requests.cpp
@@ -21,28 +21,34 @@
 constexpr std::uint64_t kSeed = 4;
 constexpr std::uint64_t kMixes = 1000;
 constexpr std::uint64_t kBaselineMixes = 50;
-constexpr double kMeanLoad = 0.4;  // Of the capacity, at 1x.
+// The mean load as a fraction of the capacity, at 1x.
+constexpr double kMeanLoad = 0.4;
 constexpr Seconds kWarmUp{3};
 constexpr Seconds kMeasured{6};
 constexpr Seconds kSettling{3};
 constexpr std::chrono::milliseconds kTimeout{1000};
 constexpr std::chrono::milliseconds kSlow{500};
-// So short that no request is slow by itself.
+// Short enough that the service time alone never makes a request slow.
 constexpr std::chrono::milliseconds kShortService{20};
 
+// The load and the faults of one simulation.
 struct Scenario {
-  double load = 1;  // Times the mean.
+  double load = 1;  // As a multiple of the mean load.
   bool one_stalled = false;
   bool silent_link = false;
   std::chrono::milliseconds mean_service{50};
 };
 
 struct Figures {
-  double goodput = 0;  // Of what was asked for or, if less, the capacity.
-  double p99_ms = 0;   // Of whole answers.
-  double refused_p99_ms = 0;  // Until a caller was told "not run".
-  double slow_part = 0;       // Answered later than kSlow or not at all.
-  double recovery_s = 0;  // From the fault to the end of the last slow request.
+  // Good answers as a fraction of the requests or, if less, of the capacity.
+  double goodput = 0;
+  double p99_ms = 0;          // Time to a complete answer.
+  double refused_p99_ms = 0;  // Time until a caller was told "not run".
+  // The fraction of requests answered later than kSlow or not at all.
+  double slow_fraction = 0;
+  // Time from the fault to the end of the last slow request.
+  double recovery_s = 0;
+  // Starts beyond the slots of a backend server.
   std::uint64_t over_slots = 0;
 };
 
@@ -50,7 +56,7 @@
   return std::chrono::duration_cast<base::Duration>(seconds);
 }
 
-// Draws arrivals at a rate, in requests a second, as a Poisson process.
+// Submits requests as a Poisson process of `rate` requests a second.
 void Submit(RequestSimulation& simulation,
             std::vector<SimulatedRequest>& requests,
             base::TimePoint from,
@@ -90,10 +96,12 @@
   return std::chrono::duration<double, std::milli>(to - from).count();
 }
 
-Figures Judge(const RequestSimulation& simulation,
-              const std::vector<SimulatedRequest>& requests,
-              base::TimePoint from,
-              double expected) {
+// Computes the figures of the requests submitted since `from`. `expected` is
+// the number of requests that the capacity allows for.
+Figures ComputeFigures(const RequestSimulation& simulation,
+                       const std::vector<SimulatedRequest>& requests,
+                       base::TimePoint from,
+                       double expected) {
   Figures figures;
   std::vector<double> answered;
   std::vector<double> refused;
@@ -121,13 +129,15 @@
   }
   figures.goodput =
       static_cast<double>(answered.size()) / std::min(total, expected);
-  figures.slow_part = late / std::max(1.0, total);
+  figures.slow_fraction = late / std::max(1.0, total);
   figures.p99_ms = Percentile99(answered);
   figures.refused_p99_ms = Percentile99(refused);
   figures.over_slots = simulation.Backends().StartsOverSlots();
   return figures;
 }
 
+// Simulates a warm-up at the mean load, then the scenario, and returns the
+// figures of the requests since its start.
 Figures Run(const Scenario& scenario, SimulatedPolicy policy) {
   standin::SimulationOptions options;
   options.policy = policy;
@@ -151,7 +161,8 @@
     runner.blackhole_until = from + ToDuration(2 * kMeasured);
   }
   simulation.RunUntil(from + ToDuration(kMeasured + kSettling));
-  return Judge(simulation, requests, from, capacity * kMeasured.count());
+  return ComputeFigures(simulation, requests, from,
+                        capacity * kMeasured.count());
 }
 
 void Print(const std::string& name,
@@ -172,8 +183,8 @@
   Print("p99." + name, ours.p99_ms, "ms", "lower", baseline.p99_ms);
   Print("refusal_p99." + name, ours.refused_p99_ms, "ms", "lower",
         baseline.refused_p99_ms);
-  Print("slow_or_failed." + name, ours.slow_part, "ratio", "lower",
-        baseline.slow_part);
+  Print("slow_or_failed." + name, ours.slow_fraction, "ratio", "lower",
+        baseline.slow_fraction);
   Print("over_slots." + name, static_cast<double>(ours.over_slots), "starts",
         "lower", static_cast<double>(baseline.over_slots));
   if (scenario.silent_link) {
@@ -195,7 +206,7 @@
   return sum;
 }
 
-// The baseline is run over fewer mixes and scaled up to as many.
+// The baseline runs fewer fault mixes; its counts are scaled up to kMixes.
 void MeasureMixes() {
   const auto ours = SumMixes(kMixes, SimulatedPolicy::kCassiastile);
   const auto baseline = SumMixes(kBaselineMixes, SimulatedPolicy::kRoundRobin);
@@ -213,8 +224,9 @@
 
 }  // namespace
 
-// Prints the figures of request handling as JSON lines, each against plain
-// round robin with first-come queues and blind retry.
+// measure-requests: prints the figures of request handling as JSON lines, each
+// compared with plain round robin, first-come-first-served queues and blind
+// retries.
 int main() {
   MeasureScenario("1x", {});
   MeasureScenario("5x", {.load = 5});
--- a/src/bin/measure_store.cpp
+++ b/src/bin/measure_store.cpp
@@ -20,11 +20,11 @@
 constexpr milliseconds kCallEvery{50};
 constexpr int kBlindRetries = 20;
 
-// What reached the store while it was down and in the seconds after.
+// Calls that reached the store while it was down, and in the ten seconds after.
 struct OutageCounts {
   std::uint64_t during = 0;
   std::uint64_t after = 0;
-  std::uint64_t failed_after = 0;
+  std::uint64_t failed_after = 0;  // Calls of hosts that failed then.
 };
 
 void Print(const std::string& name,
@@ -37,8 +37,8 @@
   std::cout << line.dump() << '\n';
 }
 
-// Makes calls to a table that is down for a minute and for the seconds after.
-// `run` makes them for a length of time and returns how many failed.
+// Counts the calls to a table that is down for a minute, and in the ten seconds
+// after. `run` makes calls for a length of time and returns how many failed.
 template <typename Run>
 OutageCounts MeasureOutage(platform::MemoryTable& table, const Run& run) {
   OutageCounts counts;
@@ -73,7 +73,8 @@
   });
 }
 
-// Whether a call is answered when it is retried at once, up to twenty times.
+// Makes a call with up to twenty immediate retries; returns whether it was
+// answered.
 bool CallBlindly(platform::MemoryTable& table) {
   for (int retry = 0; retry <= kBlindRetries; ++retry) {
     if (table.Get("config/head")) {
@@ -83,7 +84,7 @@
   return false;
 }
 
-// The same calls with blind retry.
+// The baseline: the same calls, each retried at once.
 OutageCounts MeasureBlindRetry() {
   platform::MemoryTable table(kSeed);
   return MeasureOutage(table, [&table](base::Duration time) {
@@ -99,8 +100,9 @@
 
 }  // namespace
 
-// Prints how many calls reach the store during and after an outage of a minute,
-// by seven hosts, through the guard and with blind retry.
+// measure-store: prints how many calls of seven hosts reach the store during
+// and after an outage of a minute, through the store guard and with blind
+// retries.
 int main() {
   const OutageCounts guarded = MeasureGuarded();
   const OutageCounts blind = MeasureBlindRetry();
--- a/src/bin/measure_tasks.cpp
+++ b/src/bin/measure_tasks.cpp
@@ -19,7 +19,7 @@
   std::cout << line.dump() << std::endl;
 }
 
-// Six teams, two of them large, on ten workers.
+// Today's fleet: six teams, two of them large, on ten workers.
 Scenario MakeToday() {
   Scenario scenario;
   const std::vector<std::uint32_t> weights{4, 4, 1, 1, 1, 1};
@@ -39,6 +39,7 @@
   return scenario;
 }
 
+// 130 teams on 3200 workers.
 Scenario MakeFull() {
   constexpr std::size_t kTeams = 130;
   Scenario scenario;
@@ -74,7 +75,7 @@
         100 * first.utilisation, "more");
   Print(name + ".utilisation.against_static", 100 * ours.utilisation, "%",
         100 * split.utilisation, "more");
-  // Without batches a task costs a write for each change of its state.
+  // Without batching, each state change of a task costs a write.
   constexpr double kWritesUnbatched = 4;
   Print(name + ".store_writes_per_task", ours.writes_per_task, "writes",
         kWritesUnbatched);
@@ -99,12 +100,13 @@
 
 void MeasureLimits() {
   const LimitResult limits = RunLimits();
-  Print("limit.overruns", limits.overruns, "runs", limits.overruns_forgetful);
+  Print("limit.overruns", limits.overruns, "runs",
+        limits.overruns_if_forgotten);
   Print("limit.stranded_after_10s", limits.stranded, "% of limit",
         limits.stranded_static);
 }
 
-// The baseline reads everything before it takes submissions.
+// The baseline owner loads all tasks before it accepts submissions.
 void MeasureRecovery() {
   for (const std::size_t tasks : {1000, 20000}) {
     const RecoveryTimes open = RunRecovery(tasks, true);
@@ -131,8 +133,8 @@
 
 }  // namespace
 
-// Prints the figures of the tasks' part, in virtual time or as counts and
-// ratios.
+// measure-tasks: prints the figures of task scheduling as JSON lines. Times are
+// virtual; what depends on real time is printed as a ratio.
 int main() {
   MeasureShares("share.today", MakeToday());
   MeasureUrgent();
--- a/src/bin/measure_tasks_faults.hpp
+++ b/src/bin/measure_tasks_faults.hpp
@@ -22,6 +22,8 @@
 constexpr milliseconds kFineStep{50};
 constexpr std::size_t kSweeps = 6000;
 
+// A long batch task. A checkpointable one takes 600 seconds and may be
+// preempted.
 inline work::TaskSpec MakeSweep(std::size_t number, bool checkpointable) {
   work::TaskSpec spec;
   spec.id = "s" + std::to_string(number);
@@ -35,6 +37,7 @@
   return spec;
 }
 
+// A short task of the "push" queue.
 inline work::TaskSpec MakePush(std::size_t number, bool urgent) {
   work::TaskSpec spec;
   spec.id = "p" + std::to_string(number);
@@ -47,14 +50,15 @@
   return spec;
 }
 
+// How long pushes wait for their start, in seconds.
 struct UrgentTimes {
   double p50 = 0;
   double p99 = 0;
-  double idle = 0;  // Percent of the cores.
+  double idle = 0;  // Idle cores in percent.
 };
 
-// Sweeps fill ten workers and pushes come at random, three seconds apart in the
-// mean. Without urgency pushes wait as any other task.
+// Sweeps fill ten workers while pushes arrive at random, three seconds apart on
+// average. If pushes aren't urgent, they wait like any other task.
 inline UrgentTimes RunUrgentShard(bool checkpointable, bool urgent) {
   Scenario scenario;
   config::AcceptedFleet accepted = MakeFleet(scenario);
@@ -114,8 +118,8 @@
           100 * (1 - busy / (time * cores))};
 }
 
-// How long a push waits behind all the sweeps in the order of submission, the
-// run's length at most.
+// The baseline: seconds that a push waits behind all sweeps if tasks start in
+// the order of submission, at most the measured length of the run.
 inline double FirstComeWait(bool checkpointable) {
   double work = 0;
   for (std::size_t number = 0; number < kSweeps; ++number) {
@@ -127,18 +131,20 @@
   return std::min(most, work / cores);
 }
 
+// How a team's limit on running tasks is kept. The `_if_forgotten` and
+// `_static` fields are the baselines.
 struct LimitResult {
-  double overruns = 0;
-  double overruns_forgetful = 0;
-  double stranded = 0;
+  double overruns = 0;  // Runs beyond the limit.
+  double overruns_if_forgotten = 0;
+  double stranded = 0;  // Unused part of the limit in percent.
   double stranded_static = 0;
 };
 
 constexpr std::uint32_t kLimit = 100;
 
 // Workers pause past their leases, restart and lose messages while a team is at
-// its limit. A scheduler that forgot runs it gave up would exceed the limit by
-// as many as are not confirmed as stopped.
+// its limit. The baseline is a scheduler that forgets the runs it gave up: it
+// would exceed the limit by the runs that are not confirmed as stopped.
 inline void RunOverruns(LimitResult& result) {
   Scenario scenario;
   config::AcceptedFleet accepted = MakeFleet(scenario);
@@ -189,17 +195,18 @@
     unconfirmed = std::max(unconfirmed, now);
   }
   result.overruns = std::max(0.0, static_cast<double>(most) - kLimit);
-  result.overruns_forgetful = static_cast<double>(unconfirmed);
+  result.overruns_if_forgotten = static_cast<double>(unconfirmed);
 }
 
-// A team's demand moves from five pools to one of them. What it can't use of
-// its limit ten seconds later is stranded.
+// A team's demand moves from five pools to one of them. The part of its limit
+// that it can't use there ten seconds later is stranded. The baseline splits
+// the limit equally among the pools.
 inline void RunStranded(LimitResult& result) {
   constexpr std::size_t kPools = 5;
   constexpr std::size_t kTasksEach = 60;
   Scenario scenario;
   platform::MemoryTable table;
-  NoDecisions decisions;
+  NullDecisionSink decisions;
   ManualClock clock;
   std::vector<std::unique_ptr<work::TaskOwner>> owners;
   std::vector<std::unique_ptr<standin::WorkerFleet>> fleets;
@@ -224,16 +231,17 @@
       clock.Advance(kFineStep);
       for (std::size_t index = 0; index < kPools; ++index) {
         const work::Moment moment{clock.Now(), clock.WallNow()};
-        const work::OwnerLease grip{1, {"lease/p" + std::to_string(index), 0}};
+        const work::OwnerLease owner_lease{
+            1, {"lease/p" + std::to_string(index), 0}};
         if (passed == base::Duration{} && (index == 0 || !first.empty())) {
-          owners[index]->Handle(first, moment, grip);
+          owners[index]->Handle(first, moment, owner_lease);
         }
         const auto polls = fleets[index]->CollectPolls(clock.Now());
         std::vector<work::TaskEvent> events;
         for (const auto& poll : polls) {
           events.emplace_back(poll.poll);
         }
-        const auto results = owners[index]->Handle(events, moment, grip);
+        const auto results = owners[index]->Handle(events, moment, owner_lease);
         for (std::size_t each = 0; each < polls.size(); ++each) {
           fleets[index]->Deliver(polls[each], results[each].answer,
                                  clock.Now());
@@ -241,26 +249,26 @@
       }
     }
   };
-  std::vector<work::TaskEvent> everywhere;
+  std::vector<work::TaskEvent> initial_tasks;
   for (std::size_t number = 0; number < kTasksEach; ++number) {
     work::TaskSpec spec = MakeSweep(number, true);
     spec.team = "a";
     spec.seconds = 5;
     spec.declared.cores = 1;
-    everywhere.emplace_back(work::SubmitEvent{spec});
+    initial_tasks.emplace_back(work::SubmitEvent{spec});
   }
-  run(seconds(40), everywhere);
-  std::vector<work::TaskEvent> many;
+  run(seconds(40), initial_tasks);
+  std::vector<work::TaskEvent> shifted_tasks;
   for (std::size_t number = 0; number < 5 * kTasksEach; ++number) {
     work::TaskSpec spec = MakeSweep(number, true);
     spec.id = "late" + std::to_string(number);
     spec.team = "a";
     spec.seconds = 30;
     spec.declared.cores = 1;
-    many.emplace_back(work::SubmitEvent{spec});
+    shifted_tasks.emplace_back(work::SubmitEvent{spec});
   }
   const work::Moment moment{clock.Now(), clock.WallNow()};
-  owners[0]->Handle(many, moment, {1, {"lease/p0", 0}});
+  owners[0]->Handle(shifted_tasks, moment, {1, {"lease/p0", 0}});
   run(seconds(10), {});
   result.stranded = 100.0 * (kLimit - static_cast<double>(running[0])) / kLimit;
   result.stranded_static = 100.0 * (kPools - 1) / kPools;
--- a/src/bin/measure_tasks_growth.hpp
+++ b/src/bin/measure_tasks_growth.hpp
@@ -6,8 +6,8 @@
 
 namespace measure {
 
-// A table in virtual time: each call takes as long as the platform's service
-// takes at two thousand rows read a second.
+// A table whose calls take virtual time, as the platform's table does at two
+// thousand rows read a second.
 class TimedTable final : public platform::Table {
  public:
   TimedTable(platform::Table& table, ManualClock& clock)
@@ -44,17 +44,19 @@
   ManualClock& m_clock;
 };
 
+// A takeover: the seconds until the first submission is accepted and the first
+// task is started, and the submissions that were refused or timed out.
 struct RecoveryTimes {
   double first_accept = 0;
   double refusals = 0;
   double first_start = 0;
 };
 
-// A new owner takes over a shard with so many tasks while ten tasks a second
-// are submitted. Callers give up after two seconds.
+// A new owner takes over a shard of `tasks` tasks while ten tasks a second are
+// submitted. Callers give up after two seconds.
 inline RecoveryTimes RunRecovery(std::size_t tasks, bool open_while_reading) {
   constexpr double kSubmitEvery = 0.1;
-  constexpr double kPatience = 2;
+  constexpr double kCallerTimeout = 2;
   const config::AcceptedFleet accepted = MakeFleet(Scenario{});
   ManualClock clock;
   platform::MemoryTable memory;
@@ -71,7 +73,7 @@
                         work::EncodeTask(task)}}}));
   }
   TimedTable table(memory, clock);
-  NoDecisions decisions;
+  NullDecisionSink decisions;
   work::TaskOwnerOptions options;
   options.open_while_reading = open_while_reading;
   options.shard.max_tasks = 2 * tasks;
@@ -107,7 +109,7 @@
     for (std::size_t index = 0; index < arrivals.size(); ++index) {
       const bool accepted_it =
           results[index].effect == work::Effect::kCommitted &&
-          now() - arrivals[index] <= kPatience;
+          now() - arrivals[index] <= kCallerTimeout;
       times.refusals += accepted_it ? 0 : 1;
       if (accepted_it && times.first_accept < 0) {
         times.first_accept = now();
@@ -124,6 +126,7 @@
   return times;
 }
 
+// The real time and the memory that decisions take at one size of a shard.
 struct GrowthResult {
   double seconds_per_placement = 0;
   double seconds_per_poll = 0;
@@ -131,12 +134,13 @@
   double bytes_per_worker = 0;
 };
 
+// Heap bytes in use by the process.
 inline double BytesInUse() {
   return static_cast<double>(mallinfo2().uordblks);
 }
 
-// Fills a shard of so many workers with tasks and lets the workers poll. Only
-// ratios between sizes within one run are of use.
+// Fills a shard of `hosts` workers with tasks and lets the workers poll. Times
+// are real, so only ratios between sizes within one run are meaningful.
 inline GrowthResult RunGrowth(std::size_t hosts) {
   constexpr std::size_t kTeams = 130;
   constexpr std::size_t kTasksPerHost = 8;
--- a/src/bin/measure_tasks_load.hpp
+++ b/src/bin/measure_tasks_load.hpp
@@ -30,18 +30,21 @@
 constexpr std::size_t kZones = 3;
 constexpr int kWindowSeconds = 60;
 
-// A team whose demand is above its share all the time. Its declarations are off
-// by up to four times either way.
+// A team whose demand always exceeds its share. The sizes that its tasks
+// declare are wrong by up to a factor of four either way.
 struct TeamLoad {
   std::string name;
   std::uint32_t weight = 1;
-  double demand = 2;  // Times its entitlement.
-  double cores = 1;   // Real means.
+  double demand = 2;  // As a multiple of its entitlement.
+  // The real means per task.
+  double cores = 1;
   double memory_gb = 2;
   double seconds = 5;
-  double declared_factor = 1;
+  double declared_factor = 1;  // Declared size divided by the real one.
 };
 
+// A pool of workers and the teams that load it. Figures are taken after the
+// warm-up.
 struct Scenario {
   std::size_t hosts = 10;
   std::vector<TeamLoad> teams;
@@ -82,7 +85,7 @@
   return accepted;
 }
 
-// What a task really takes.
+// The real usage and duration of a task.
 struct RealSize {
   work::Resources usage;
   double seconds = 0;
@@ -93,7 +96,7 @@
   return {{json.at("cores"), json.at("memory_gb"), 0}, json.at("seconds")};
 }
 
-// Draws a team's tasks, one after the other.
+// Draws the tasks that one team submits. Their real size is in the payload.
 class TaskSource {
  public:
   TaskSource(const Scenario& scenario, const TeamLoad& team, std::uint64_t seed)
@@ -104,7 +107,7 @@
                          (part * team.seconds);
   }
 
-  // The tasks submitted in the next span of time.
+  // Returns the tasks submitted in the next `span` of time.
   std::vector<work::TaskSpec> Next(base::Duration span) {
     m_due += m_tasks_per_second * std::chrono::duration<double>(span).count();
     std::vector<work::TaskSpec> specs;
@@ -144,13 +147,14 @@
   std::uint64_t m_drawn = 0;
 };
 
-// Sums what each team really used in windows of a minute. A team's part of a
-// window is its dominant share: the largest of its parts of each resource.
+// Sums each team's real usage in windows of a minute. A team's part of a window
+// is its dominant share: the largest of its shares of the single resources.
 class UsageMeter {
  public:
   explicit UsageMeter(const Scenario& scenario) : m_scenario(scenario) {}
 
-  // Times are seconds from the start of the run.
+  // Adds usage from one time to another, in seconds since the start of the run.
+  // Usage beyond the last whole window is ignored.
   void Add(const std::string& team,
            const work::Resources& usage,
            double from,
@@ -167,8 +171,8 @@
     }
   }
 
-  // The largest error of any team in any whole window after the warm-up, or in
-  // those of the warm-up, as a part of the team's share.
+  // Returns the largest deviation of any team from its share in any whole
+  // window after the warm-up, or during it, relative to the share.
   double LargestError(bool in_warm_up = false) const {
     double largest = 0;
     const double weights = TotalWeight(m_scenario);
@@ -189,7 +193,8 @@
     return largest;
   }
 
-  // The part of the pool's scarcest resource in use after the warm-up.
+  // Returns the used fraction of the pool's scarcest resource after the
+  // warm-up.
   double Utilisation() const {
     work::Resources sum;
     double time = 0;
--- a/src/bin/measure_tasks_run.hpp
+++ b/src/bin/measure_tasks_run.hpp
@@ -15,7 +15,8 @@
 namespace standin = cassiastile::standin;
 namespace fleet = cassiastile::fleet;
 
-class NoDecisions final : public base::DecisionSink {
+// Discards decisions.
+class NullDecisionSink final : public base::DecisionSink {
  public:
   void Record(base::Decision) override {}
 };
@@ -31,7 +32,7 @@
   return views;
 }
 
-// A shard with its table and workers in virtual time.
+// A task shard with its owner, table and workers in virtual time.
 class ShardRun {
  public:
   ShardRun(const config::AcceptedFleet& accepted,
@@ -44,6 +45,8 @@
     owner.SetHosts(ViewsOf(accepted.fleet.pools[0]));
   }
 
+  // Advances the clock, handles the events and the workers' polls, and delivers
+  // the answers to the workers.
   void Step(base::Duration by, std::vector<work::TaskEvent> events) {
     clock.Advance(by);
     const std::vector<standin::SentPoll> polls =
@@ -67,7 +70,7 @@
   platform::MemoryTable table;
 
  private:
-  NoDecisions m_decisions;
+  NullDecisionSink m_decisions;
 
  public:
   work::TaskOwner owner;
@@ -75,6 +78,7 @@
   TimePoint start;
 };
 
+// How closely teams got their shares, as fractions, and the table's load.
 struct ShareResult {
   double error = 0;
   double error_in_warm_up = 0;
@@ -94,7 +98,7 @@
   return sources;
 }
 
-// The shares that teams get from the shard.
+// Measures the shares that teams get from a shard.
 inline ShareResult RunShard(const Scenario& scenario) {
   UsageMeter meter(scenario);
   std::map<std::string, TimePoint> started;
@@ -128,7 +132,7 @@
     }
     run->Step(scenario.step, std::move(events));
   }
-  // Ends what still runs, for the meter.
+  // Ends the running tasks so that the meter counts them.
   for (std::size_t index = 0; index < run->workers.Count(); ++index) {
     run->workers.At(index).Restart(run->clock.Now());
   }
@@ -147,8 +151,9 @@
 
 enum class Baseline : std::uint8_t { kFirstCome, kStaticPartition };
 
-// The shares that teams get when tasks start in the order of submission, or
-// each team has its own part of the pool. Declared sizes are believed.
+// Measures the shares that teams get if tasks start in the order of submission,
+// or if each team has its own partition of the pool. Declared sizes are
+// trusted.
 inline ShareResult RunBaseline(const Scenario& scenario, Baseline kind) {
   struct Running {
     double end = 0;
