--- a/include/cassiastile/config/diff.hpp
+++ b/include/cassiastile/config/diff.hpp
@@ -11,21 +11,23 @@
 
 namespace cassiastile::config {
 
-// The lines that differ in the unified format with three lines of context, or
-// an empty text when none do.
+// Returns a unified diff with three lines of context, or an empty text when the
+// texts are equal.
 std::string UnifiedDiff(std::string_view before,
                         std::string_view after,
                         std::string_view before_label,
                         std::string_view after_label);
 
-// A host that changes pool. An empty pool means that the host is new or gone.
+// A host that changes pool. An empty `from` means that the host is added to the
+// fleet, an empty `to` that it is removed.
 struct HostMove {
   std::string host;
   std::string from;
   std::string to;
 };
 
-// A team whose upper limits change.
+// A team whose upper limits on running requests and tasks change. Zero stands
+// for a missing limit.
 struct LimitChange {
   std::string team;
   std::uint32_t requests_before = 0;
@@ -34,35 +36,37 @@
   std::uint32_t tasks_after = 0;
 };
 
-// What a team has running now.
+// The requests and tasks that a team has running now.
 struct TeamUsage {
   std::string team;
   std::uint32_t requests = 0;
   std::uint32_t tasks = 0;
 };
 
-// What the fleet would do on an edit.
+// The effects that an edit of the fleet document would have.
 struct FleetChange {
   std::vector<HostMove> hosts;
-  std::vector<std::string> keys_gone;  // Ids; a replaced secret counts as gone.
+  std::vector<std::string> keys_gone;  // Ids; a key with a new secret counts.
   std::vector<std::string> keys_new;
   std::vector<std::string> teams_gone;
   std::vector<std::string> queues_gone;
   std::vector<LimitChange> limits;
   std::vector<std::string> waves_new;
   std::vector<std::string> waves_gone;
-  // Teams that have more running than their new limit allows.
+  // Teams with more requests or tasks running than their new limit allows.
   std::vector<std::string> teams_over_limit;
 };
 
-// The use of teams that are not listed counts as none.
+// Compares two fleets. Teams that `use` doesn't list count as having nothing
+// running.
 FleetChange CompareFleets(const Fleet& before,
                           const Fleet& after,
                           const std::vector<TeamUsage>& use = {});
 
 nlohmann::json ToJson(const FleetChange& change);
 
-// One sentence a line, or a line that says that nothing changes.
+// Describes the change in words, one sentence a line; a single line says so
+// when nothing changes.
 std::string DescribeChange(const FleetChange& change);
 
 }  // namespace cassiastile::config
--- a/include/cassiastile/config/field_reader.hpp
+++ b/include/cassiastile/config/field_reader.hpp
@@ -13,47 +13,48 @@
 
 namespace cassiastile::config {
 
-// The least and the greatest value that a number may have.
+// The inclusive bounds of a number.
 struct NumberRange {
   std::int64_t least = 0;
   std::int64_t greatest = std::numeric_limits<std::uint32_t>::max();
 };
 
-// Once so many findings are collected the rest are left out, and the last one
-// says so.
+// At most this many findings are collected; one more then says that the rest
+// are omitted.
 constexpr std::size_t kMaxFindings = 1000;
 
-// Adds a finding unless there are too many.
+// Adds a finding, unless kMaxFindings was reached.
 void AddFinding(base::Findings& findings, base::Finding finding);
 
-// Reads the fields of one object and collects what is wrong with them. A field
-// with a fault is read as its default. The document and the findings must
+// Reads the fields of one object and collects findings about them. An invalid
+// field is read as its default value. The document and the findings must
 // outlive the reader.
 class FieldReader {
  public:
-  // A value that is not an object is a finding; all its fields are then absent.
+  // Reports a value that is not an object; all its fields then count as absent.
   FieldReader(const PositionedDocument& document,
               const PositionedValue& value,
               std::string path,
               base::Findings& findings);
 
-  // Text that must be there and not be empty.
+  // Reads a required text that must not be empty.
   std::string Text(std::string_view name);
-  std::string Text(std::string_view name, std::string_view absent);
-  // Text that names something: up to 63 letters, digits, dots, dashes and
+  std::string Text(std::string_view name, std::string_view default_value);
+  // Reads a required name: up to 63 letters, digits, dots, dashes and
   // underscores, starting with a letter or digit.
   std::string Name(std::string_view name);
-  bool Flag(std::string_view name, bool absent);
-  // A whole number with a default.
+  bool Flag(std::string_view name, bool default_value);
+  // Reads an optional integer.
   std::int64_t Number(std::string_view name,
                       NumberRange range,
-                      std::int64_t absent);
-  // A whole number that must be there; a fault is read as the least one.
+                      std::int64_t default_value);
+  // Reads a required integer. An invalid or absent one is read as the least of
+  // the range.
   std::int64_t RequiredNumber(std::string_view name, NumberRange range);
   std::vector<std::string> TextList(std::string_view name);
 
-  // Calls `read` with a reader for each object of a list. A list that must be
-  // there and is not is a finding.
+  // Calls `read` with a reader for each object of a list. An absent list is a
+  // finding if it is required.
   void ForEach(std::string_view name,
                bool required,
                const std::function<void(FieldReader&)>& read);
@@ -61,8 +62,8 @@
   // Adds a finding about a field of this object.
   void Report(std::string_view name, std::string message);
 
-  // Adds a finding for each field that was never asked for, with the nearest
-  // known name.
+  // Adds a finding for each field that was never read, with the nearest known
+  // name as a suggestion.
   void ReportUnknownFields();
 
  private:
@@ -73,9 +74,9 @@
                           const PositionedValue& value,
                           NumberRange range,
                           std::int64_t fallback);
-  void ReportKind(std::string_view name,
-                  const PositionedValue& value,
-                  std::string_view wanted);
+  void ReportWrongKind(std::string_view name,
+                       const PositionedValue& value,
+                       std::string_view wanted);
 
   const PositionedDocument& m_document;
   const PositionedValue& m_value;
--- a/include/cassiastile/config/fleet.hpp
+++ b/include/cassiastile/config/fleet.hpp
@@ -9,7 +9,7 @@
 
 namespace cassiastile::config {
 
-// The sections of the fleet document, each owned by one operator.
+// The sections of the fleet document. Each is owned by one operator.
 enum class SectionName : std::uint8_t {
   kOperators,
   kOwnership,
@@ -27,13 +27,14 @@
 std::string_view NameOf(SectionName name);
 std::optional<SectionName> FindSection(std::string_view name);
 
-// Someone who may edit the document. Keys stand in the document as SHA-256
-// digests in hexadecimal, never as they are.
+// A person or team that may edit the document. Keys are stored as SHA-256
+// digests in hexadecimal, never in plain text.
 struct Operator {
   std::string name;
   std::string key_sha256;
 };
 
+// The operator who may edit a section.
 struct Ownership {
   SectionName section{};
   std::string owner;  // An operator's name.
@@ -45,7 +46,7 @@
   std::string region;
 };
 
-// A machine with the resources that its tasks share.
+// A machine. Its tasks share its resources.
 struct Host {
   std::string name;
   std::string zone;
@@ -55,14 +56,16 @@
   std::uint32_t accelerators = 0;
 };
 
-// How many hosts a pool may miss at once, whatever the cause.
+// The disruption budget of a pool: how many of its hosts may be unavailable at
+// once, whatever the cause.
 struct Budget {
   std::uint32_t max_out = 1;
 };
 
+// A named group of hosts with a disruption budget.
 struct Pool {
   std::string name;
-  bool spare = false;  // Its hosts stand in for other pools.
+  bool spare = false;  // Its hosts are replacements for other pools.
   Budget budget;
   bool survive_zone_loss = false;
   std::vector<Host> hosts;
@@ -75,16 +78,16 @@
   std::uint32_t runners = 10;
   std::uint32_t slots_per_runner = 8;
   std::uint32_t connections_per_runner = 64;
-  std::chrono::milliseconds deadline{10000};  // Where a caller names none.
+  std::chrono::milliseconds deadline{10000};  // If the caller sets none.
   std::uint32_t queue_limit = 512;            // Requests waiting on one host.
-  bool open = false;                          // Takes requests without a key.
+  bool open = false;                          // Accepts requests without a key.
 };
 
-// Where tasks wait for the workers of a pool.
+// A queue of tasks that wait for the workers of a pool.
 struct Queue {
   std::string name;
   std::string pool;
-  std::string team;  // Empty on a queue open to all.
+  std::string team;  // Empty if any team may submit.
   bool urgent = false;
 };
 
@@ -94,25 +97,28 @@
   std::string customer;
 };
 
+// An API key of a team, stored as its SHA-256 digest.
 struct Key {
-  std::string id;  // Shown in audits in place of the key.
+  std::string id;  // Shown in audit records instead of the key.
   std::string team;
   std::string sha256;
 };
 
-// A team's part of what is there when everything is full, by weight.
+// A team's weight in the fair sharing of capacity, which applies when the fleet
+// is full.
 struct Share {
   std::string team;
   std::uint32_t weight = 1;
 };
 
-// The most a team may have running across the fleet.
+// The most requests and tasks a team may have running across the fleet.
 struct Limit {
   std::string team;
   std::uint32_t requests = 0;
   std::uint32_t tasks = 0;
 };
 
+// The order in which a wave drains its hosts.
 enum class WaveOrder : std::uint8_t {
   kLongestFreeFirst,
   kAsListed,
@@ -121,15 +127,16 @@
 std::string_view NameOf(WaveOrder order);
 std::optional<WaveOrder> FindWaveOrder(std::string_view name);
 
-// The hours of the day in which a wave may take hosts, in minutes of UTC from
-// midnight. An end before the start runs over midnight; equal means always.
+// The time of day at which a wave may drain hosts, in minutes from midnight
+// UTC. An end before the start wraps around midnight; equal values mean the
+// whole day.
 struct Window {
   std::uint32_t start_minute = 0;
   std::uint32_t end_minute = 0;
 };
 
-// A maintenance wave: every host of its pools is drained, rebooted and
-// returned.
+// A maintenance wave: every host of its pools is drained, rebooted and returned
+// to service.
 struct Wave {
   std::string name;
   std::vector<std::string> pools;
@@ -137,13 +144,13 @@
   Window window;
   std::uint32_t parallel = 1;    // Hosts out at once for this wave, per pool.
   std::uint32_t per_rack = 1;    // Hosts out at once in one rack.
-  std::uint32_t canaries = 0;    // Hosts done alone first.
+  std::uint32_t canaries = 0;    // Hosts maintained first, one at a time.
   std::uint32_t halt_after = 2;  // Hosts that fail before the wave halts.
   std::chrono::seconds drain_deadline{3600};
-  bool cut_at_deadline = false;  // Whether work past the deadline is stopped.
+  bool cut_at_deadline = false;  // Whether work is stopped at the deadline.
 };
 
-// What a fleet document says.
+// The contents of a fleet document.
 struct Fleet {
   std::string name;
   std::vector<Operator> operators;
@@ -159,8 +166,8 @@
   std::vector<Wave> waves;
 };
 
-// A document that was accepted, under the version it was accepted as. Versions
-// count from one; zero means that none was.
+// An accepted document with its version. Versions count from one; zero means
+// that no document was accepted yet.
 struct AcceptedFleet {
   std::uint64_t version = 0;
   std::string digest;  // SHA-256 of the text.
@@ -168,7 +175,7 @@
   Fleet fleet;
 };
 
-// Looks a thing up by its name; null where there is none.
+// Find a row by its name (or its team); null when there is none.
 const Pool* FindPool(const Fleet& fleet, std::string_view name);
 const Service* FindService(const Fleet& fleet, std::string_view name);
 const Queue* FindQueue(const Fleet& fleet, std::string_view name);
@@ -176,11 +183,12 @@
 const Share* FindShare(const Fleet& fleet, std::string_view team);
 const Wave* FindWave(const Fleet& fleet, std::string_view name);
 
-// The key row that a caller's secret stands for, compared by digest in
-// constant time; null where none does.
+// Returns the key that a caller's secret belongs to, or null. Digests are
+// compared in constant time.
 const Key* FindKey(const Fleet& fleet, std::string_view secret);
 
-// The operator whose key the secret is; null where there is none.
+// Returns the operator that a secret belongs to, or null. Digests are compared
+// in constant time.
 const Operator* FindOperator(const Fleet& fleet, std::string_view secret);
 
 }  // namespace cassiastile::config
--- a/include/cassiastile/config/fleet_check.hpp
+++ b/include/cassiastile/config/fleet_check.hpp
@@ -6,9 +6,10 @@
 
 namespace cassiastile::config {
 
-// Whether the sections of a document agree with each other. The document gives
-// the findings their places and must be the one the fleet was read from. What
-// was found about single fields is passed in, as nothing follows from them.
+// Checks that the sections of a document agree with each other. `document` must
+// be the one that the fleet was read from; it gives the positions of the
+// findings. `faults` are the findings about single fields: nothing further is
+// reported about those fields.
 base::Findings CheckFleet(const Fleet& fleet,
                           const PositionedDocument& document,
                           const base::Findings& faults = {});
--- a/include/cassiastile/config/fleet_reader.hpp
+++ b/include/cassiastile/config/fleet_reader.hpp
@@ -11,13 +11,14 @@
 
 namespace cassiastile::config {
 
-// Reads the fields of a parsed document. Faults are added to the findings and
-// read as defaults; the items of each list keep their positions.
+// Reads the fields of a parsed document. Invalid fields are added to the
+// findings and read as their defaults; the items of each list keep their
+// positions.
 Fleet ReadFields(const PositionedDocument& document, base::Findings& findings);
 
-// Reads a whole fleet document: its syntax, its fields and whether its sections
-// agree (CheckFleet). Returns all findings at once. `file` is the name shown in
-// them.
+// Reads a fleet document and checks its syntax, its fields and the agreement of
+// its sections (CheckFleet). Returns either the fleet or all findings, which
+// show `file` as the name of the document.
 tl::expected<Fleet, base::Findings> ReadFleet(std::string_view text,
                                               const std::string& file);
 
--- a/include/cassiastile/config/fleet_source.hpp
+++ b/include/cassiastile/config/fleet_source.hpp
@@ -7,18 +7,18 @@
 
 namespace cassiastile::config {
 
-// Where a part reads the configuration that is in force on this host. Safe for
-// use by several threads.
+// Gives access to the configuration in force on this host. Safe for use by
+// several threads.
 class FleetSource {
  public:
   virtual ~FleetSource() = default;
 
-  // The accepted document in force; null before the first one.
+  // Returns the accepted document in force; null before the first one.
   virtual std::shared_ptr<const AcceptedFleet> Current() const = 0;
 
-  // Whether this host may still act on team keys: false when it has heard
-  // neither from the store nor from enough peers for so long that a key could
-  // have been withdrawn without its knowing.
+  // Whether this host may still authorize callers by team keys. False once it
+  // has heard neither from the store nor from enough peers for so long that a
+  // key could have been revoked without its knowledge.
   virtual bool IsFresh(base::TimePoint now) const = 0;
 };
 
--- a/include/cassiastile/config/list_edit.hpp
+++ b/include/cassiastile/config/list_edit.hpp
@@ -8,13 +8,15 @@
 
 namespace cassiastile::config {
 
-// The text of a list with one more item at its end. What stood there stays,
-// comments with it.
+// Returns the text of a JSON list with an item appended. The existing text and
+// its comments stay. Fails with kInvalid when the text is not a list.
 base::Result<std::string> AppendItem(std::string_view list,
                                      std::string_view item);
 
-// The text of a list without the item at an index. Comments stay, and so does
-// all else but the item, its comma and the line that they leave blank.
+// Returns the text of a JSON list without the item at an index. Only the item,
+// its comma and the line that becomes blank are removed; comments stay. Fails
+// with kInvalid when the text is not a list and with kNotFound when it has no
+// such item.
 base::Result<std::string> RemoveItem(std::string_view list, std::size_t index);
 
 }  // namespace cassiastile::config
--- a/include/cassiastile/config/nearest_name.hpp
+++ b/include/cassiastile/config/nearest_name.hpp
@@ -6,12 +6,12 @@
 
 namespace cassiastile::config {
 
-// The name with the least edit distance, or nothing when none is near enough
-// to be a likely misspelling.
+// Returns the known name with the least edit distance, or an empty text when
+// none is near enough to be a likely misspelling.
 std::string_view FindNearestName(std::string_view name,
                                  const std::vector<std::string>& known);
 
-// A clause such as `; did you mean "zones"?`, or nothing.
+// Returns a clause such as `; did you mean "zones"?`, or an empty text.
 std::string SuggestName(std::string_view name,
                         const std::vector<std::string>& known);
 
--- a/include/cassiastile/config/section_edit.hpp
+++ b/include/cassiastile/config/section_edit.hpp
@@ -10,21 +10,21 @@
 
 namespace cassiastile::config {
 
-// The text of one section as its author wrote it, from its opening bracket to
-// its closing one with the comments between. Fails when the document can't be
+// Returns the text of one section as written, from its opening to its closing
+// bracket with the comments between them. Fails when the document can't be
 // parsed or lacks the section.
 base::Result<std::string> SectionText(std::string_view document,
                                       SectionName section);
 
-// The document with the text of one section replaced; every other byte stays.
-// The new text must be one JSON list, with comments.
+// Returns the document with the text of one section replaced; every other byte
+// stays. The new text must be one JSON list, comments allowed.
 base::Result<std::string> ReplaceSection(std::string_view document,
                                          SectionName section,
                                          std::string_view text);
 
-// What differs between two documents by text: sections, and whether anything
-// outside the sections does, such as the fleet's name, a comment between two
-// sections or their order.
+// The textual differences between two documents: the sections that differ, and
+// whether anything outside the sections does, such as the fleet's name, a
+// comment between two sections or the order of the sections.
 struct DocumentDifference {
   std::vector<SectionName> sections;
   bool outside_sections = false;
@@ -34,13 +34,14 @@
 base::Result<DocumentDifference> CompareDocuments(std::string_view before,
                                                   std::string_view after);
 
-// The operator who owns a section, or an empty text.
+// Returns the operator who owns a section, or an empty text.
 std::string FindSectionOwner(const Fleet& fleet, SectionName section);
 
-// Whether an operator may make an edit: each section that differs must be the
-// operator's own in the fleet as it was before. What stands outside the
-// sections belongs to the owner of the section "ownership". Findings name the
-// sections that are not the operator's and who owns them.
+// Checks that an operator may make an edit. Each section that differs must be
+// owned by the editor in the fleet before the edit, so that nobody can take
+// over a section by the edit itself. Text outside the sections belongs to the
+// owner of the section "ownership". Each finding names a section that the
+// editor doesn't own, and its owner.
 base::Findings CheckEditPermission(std::string_view before,
                                    std::string_view after,
                                    const Fleet& fleet_before,
--- a/include/cassiastile/config/text_file.hpp
+++ b/include/cassiastile/config/text_file.hpp
@@ -7,11 +7,12 @@
 
 namespace cassiastile::config {
 
-// Reads a stream to its end, or up to one byte more than kMaxDocumentBytes, so
-// that an endless one ends in a finding about its size.
+// Reads a stream to its end, but at most one byte more than kMaxDocumentBytes.
+// The extra byte makes the parser reject an endless stream by its size.
 std::string ReadText(std::istream& stream);
 
-// The same for a file. Fails when it can't be opened or read.
+// Reads a file in the same way. Fails when it is a directory or can't be
+// opened.
 base::Result<std::string> ReadTextFile(const std::string& path);
 
 }  // namespace cassiastile::config
--- a/src/cassiastile/config/check_context.hpp
+++ b/src/cassiastile/config/check_context.hpp
@@ -17,7 +17,8 @@
 
 namespace cassiastile::config {
 
-// What the checks of a document share: where to report a contradiction.
+// The state that the checks of a document share: the findings so far, and the
+// fields that are already known to be faulty.
 class CheckContext {
  public:
   CheckContext(const PositionedDocument& document, const base::Findings& faults)
@@ -27,7 +28,7 @@
     }
   }
 
-  // Whether the value at a path was found to be missing or wrong by itself.
+  // Whether reading the fields already gave a finding at this path.
   bool IsFaulty(const std::string& path) const {
     return m_faulty.contains(path);
   }
@@ -39,9 +40,9 @@
     }
   }
 
-  // Whether a section is there as a list. Nothing is missed in one that could
-  // not be read.
-  bool IsRead(SectionName section) const {
+  // Whether the document has the section as a list. References into a section
+  // that could not be read are not reported.
+  bool HasSectionList(SectionName section) const {
     const PositionedMember* member =
         FindMember(m_document.root, NameOf(section));
     return member != nullptr &&
@@ -56,20 +57,20 @@
   base::Findings m_findings;
 };
 
-// The path of a field of a section's row.
+// Returns the path of a field in a row of a section.
 inline std::string RowPath(SectionName section,
                            std::size_t row,
                            std::string_view field) {
   return fmt::format("{}[{}].{}", NameOf(section), row, field);
 }
 
-// The names that stand in a section, with the row of the first use of each.
+// The names that a section declares, each with the path of its first use.
 class NameTable {
  public:
   explicit NameTable(SectionName section) : m_section(section) {}
 
-  // Adds a name and reports it when it was there before. Empty names are
-  // findings of the reader's and are left out.
+  // Adds a name and reports it if it is a duplicate. Empty names are skipped,
+  // as the reader has reported them.
   void Add(CheckContext& context,
            const std::string& name,
            const std::string& path) {
@@ -86,13 +87,14 @@
     m_names.push_back(name);
   }
 
-  // Reports a name that is not in the table; `kind` says what it should be.
-  // Nothing is reported while the section that has the names can't be read.
+  // Reports a name that the section doesn't declare; `kind` names what it
+  // should refer to. Reports nothing if the section could not be read.
   void Require(CheckContext& context,
                const std::string& name,
                const std::string& path,
                std::string_view kind) const {
-    if (name.empty() || m_paths.contains(name) || !context.IsRead(m_section)) {
+    if (name.empty() || m_paths.contains(name) ||
+        !context.HasSectionList(m_section)) {
       return;
     }
     context.Report(path, fmt::format("no {} is named \"{}\"{}", kind, name,
@@ -105,7 +107,7 @@
   std::vector<std::string> m_names;
 };
 
-// The checks, one for each subject.
+// The checks, one for each subject. Each reports its findings to the context.
 void CheckNames(const Fleet& fleet, CheckContext& context);
 void CheckOwnership(const Fleet& fleet, CheckContext& context);
 void CheckPools(const Fleet& fleet, CheckContext& context);
--- a/src/cassiastile/config/check_names.cpp
+++ b/src/cassiastile/config/check_names.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-// Collects the names of a section's rows and reports those used twice.
+// Collects the names of a section's rows and reports duplicates.
 template <typename Row>
 NameTable CollectNames(CheckContext& context,
                        SectionName section,
@@ -18,7 +18,7 @@
   return names;
 }
 
-// Reports each row whose reference leads nowhere.
+// Reports each row that refers to a name that doesn't exist.
 template <typename Row>
 void RequireNames(CheckContext& context,
                   SectionName section,
--- a/src/cassiastile/config/check_pools.cpp
+++ b/src/cassiastile/config/check_pools.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// The number of hosts in the zone that holds most of the pool's.
-std::size_t LargestZone(const Pool& pool) {
+// Returns the number of hosts in the zone with the most hosts of the pool.
+std::size_t LargestZoneSize(const Pool& pool) {
   std::map<std::string, std::size_t> hosts;
   std::size_t largest = 0;
   for (const Host& host : pool.hosts) {
@@ -41,7 +41,7 @@
       HasFaultyBudget(row, context)) {
     return;
   }
-  const std::size_t largest = LargestZone(pool);
+  const std::size_t largest = LargestZoneSize(pool);
   const std::size_t needed = largest + pool.budget.max_out + 1;
   if (needed <= pool.hosts.size()) {
     return;
--- a/src/cassiastile/config/check_teams.cpp
+++ b/src/cassiastile/config/check_teams.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kDigestLength = 64;
 
-std::uint64_t AllSlots(const Fleet& fleet) {
+std::uint64_t TotalSlots(const Fleet& fleet) {
   std::uint64_t slots = 0;
   for (const Service& service : fleet.services) {
     slots += std::uint64_t{service.runners} * service.slots_per_runner;
@@ -16,7 +16,7 @@
   return slots;
 }
 
-std::uint64_t AllWeights(const Fleet& fleet) {
+std::uint64_t TotalWeight(const Fleet& fleet) {
   std::uint64_t weights = 0;
   for (const Share& share : fleet.shares) {
     weights += share.weight;
@@ -36,18 +36,18 @@
 void CheckLimit(const Fleet& fleet, std::size_t row, CheckContext& context) {
   const Limit& limit = fleet.limits[row];
   const Share* share = FindShare(fleet, limit.team);
-  const std::uint64_t weights = AllWeights(fleet);
+  const std::uint64_t weights = TotalWeight(fleet);
   if (share == nullptr || HasFaultyWeight(fleet, context)) {
     return;
   }
-  const std::uint64_t slots = AllSlots(fleet);
-  const std::uint64_t due = slots * share->weight / weights;
-  if (limit.requests < due) {
+  const std::uint64_t slots = TotalSlots(fleet);
+  const std::uint64_t fair_share = slots * share->weight / weights;
+  if (limit.requests < fair_share) {
     context.Report(
         RowPath(SectionName::kLimits, row, "requests"),
         fmt::format("is {}, below the {} of {} slots that are the share of "
                     "team \"{}\"; raise it to {} or lower the weight",
-                    limit.requests, due, slots, limit.team, due));
+                    limit.requests, fair_share, slots, limit.team, fair_share));
   }
 }
 
@@ -71,7 +71,7 @@
          text.find_first_not_of(kDigits) == std::string_view::npos;
 }
 
-// Digests seen so far and where.
+// The path at which each digest was first seen.
 using DigestTable = std::unordered_map<std::string, std::string>;
 
 void CheckDigest(const std::string& digest,
@@ -131,13 +131,13 @@
   for (std::size_t i = 0; i < fleet.teams.size(); ++i) {
     const std::string& team = fleet.teams[i].name;
     const std::string path = RowPath(SectionName::kTeams, i, "name");
-    if (!team.empty() && context.IsRead(SectionName::kShares) &&
+    if (!team.empty() && context.HasSectionList(SectionName::kShares) &&
         FindShare(fleet, team) == nullptr) {
       context.Report(path, fmt::format("team \"{}\" has no share; add a row to "
                                        "shares",
                                        team));
     }
-    if (!team.empty() && context.IsRead(SectionName::kLimits) &&
+    if (!team.empty() && context.HasSectionList(SectionName::kLimits) &&
         FindLimit(fleet, team) == nullptr) {
       context.Report(path, fmt::format("team \"{}\" has no limit; add a row to "
                                        "limits",
--- a/src/cassiastile/config/diff.cpp
+++ b/src/cassiastile/config/diff.cpp
@@ -10,13 +10,15 @@
 namespace {
 
 constexpr std::size_t kContextLines = 3;
-// With more lines than this to insert and remove, the differing middle is shown
-// as replaced as a whole; the work grows with the square of it.
+// The comparison costs the square of the number of inserted and removed lines.
+// With more of them than this, the differing middle is shown as replaced as a
+// whole.
 constexpr std::size_t kMaxEdits = 1000;
 
 using Lines = std::vector<std::string_view>;
 
-// One line of the comparison: ' ' in both, '-' only before, '+' only after.
+// One line of the comparison: ' ' is in both texts, '-' only in the old one,
+// '+' only in the new one.
 struct Step {
   char mark = ' ';
   std::size_t before = 0;  // Lines before this one in each text.
@@ -24,7 +26,8 @@
   std::string_view text;
 };
 
-// Lines with their line feeds, so that a missing last one is a difference.
+// Splits a text into lines that keep their line feeds, so that a missing final
+// line feed counts as a difference.
 Lines SplitLines(std::string_view text) {
   Lines lines;
   while (!text.empty()) {
@@ -37,7 +40,7 @@
   return lines;
 }
 
-// Finds a shortest edit script by Myers' greedy algorithm.
+// Finds a shortest edit script with Myers' greedy algorithm.
 class Comparison {
  public:
   Comparison(const Lines& before, const Lines& after)
@@ -79,7 +82,7 @@
     if (!FindPath(trace)) {
       return ReplaceMiddle();
     }
-    return WalkBack(trace);
+    return Backtrack(trace);
   }
 
   std::vector<Step> ReplaceMiddle() const {
@@ -100,7 +103,7 @@
     return static_cast<std::ptrdiff_t>(m_after_end - m_head);
   }
 
-  // Whether the diagonal k is entered by an insertion among d edits.
+  // Whether diagonal k is reached by an insertion as the last of d edits.
   static bool IsInsertion(const std::vector<std::ptrdiff_t>& reach,
                           std::ptrdiff_t d,
                           std::ptrdiff_t k) {
@@ -108,8 +111,8 @@
     return k == -d || (k != d && reach[middle + k - 1] < reach[middle + k + 1]);
   }
 
-  // Fills the trace with the furthest line reached on each diagonal for each
-  // number of edits. False when there are too many edits.
+  // Records the furthest line reached on each diagonal for each number of
+  // edits. Returns false when more than kMaxEdits are needed.
   bool FindPath(Trace& trace) const {
     std::vector<std::ptrdiff_t> reach{0, 0, 0};
     for (std::ptrdiff_t d = 0; d <= static_cast<std::ptrdiff_t>(kMaxEdits);
@@ -141,8 +144,8 @@
     return x;
   }
 
-  // Reads the edit script off the trace, from its end to its start.
-  std::vector<Step> WalkBack(const Trace& trace) const {
+  // Reads the edit script from the trace, from its end to its start.
+  std::vector<Step> Backtrack(const Trace& trace) const {
     std::vector<Step> steps;
     std::ptrdiff_t x = BeforeCount();
     std::ptrdiff_t y = AfterCount();
@@ -182,8 +185,8 @@
   std::size_t m_after_end = 0;
 };
 
-// The range of a hunk as the format writes it: the first line, counted from one
-// unless the range is empty, and the number of lines.
+// Formats the range of a hunk: its first line, counted from one unless the
+// range is empty, and its number of lines.
 std::string FormatRange(std::size_t start, std::size_t count) {
   return fmt::format("{},{}", count == 0 ? start : start + 1, count);
 }
@@ -208,7 +211,8 @@
                      FormatRange(steps[first].after, after), body);
 }
 
-// The step after the last one of a hunk that starts with the given change.
+// Returns the index after the last step of the hunk that starts with the given
+// change. Changes at most 2 * kContextLines apart share a hunk.
 std::size_t EndOfHunk(const std::vector<Step>& steps, std::size_t change) {
   std::size_t end = change;
   std::size_t same = 0;
--- a/src/cassiastile/config/field_reader.cpp
+++ b/src/cassiastile/config/field_reader.cpp
@@ -16,8 +16,9 @@
 constexpr std::size_t kMaxQuotedName = 64;
 constexpr std::size_t kMaxNameLength = 63;
 
-// A name as it is quoted in a message, cut when it is very long.
-std::string_view Quoted(std::string_view name) {
+// Cuts a name to the length shown in messages, without splitting a UTF-8
+// character.
+std::string_view TruncateName(std::string_view name) {
   std::size_t length = std::min(name.size(), kMaxQuotedName);
   while (length < name.size() && length > 0 &&
          (static_cast<unsigned char>(name[length]) & 0xC0U) == 0x80U) {
@@ -43,9 +44,9 @@
 void AddFinding(base::Findings& findings, base::Finding finding) {
   if (findings.size() == kMaxFindings) {
     finding.path.clear();
-    finding.message = fmt::format(
-        "more is wrong from here on; the first {} findings are shown",
-        kMaxFindings);
+    finding.message =
+        fmt::format("further findings are omitted; only the first {} are shown",
+                    kMaxFindings);
   }
   if (findings.size() <= kMaxFindings) {
     findings.push_back(std::move(finding));
@@ -61,10 +62,10 @@
       m_path(std::move(path)),
       m_findings(findings) {
   if (!std::holds_alternative<PositionedObject>(value.content)) {
-    AddFinding(m_findings,
-               {{m_document.file, value.line, value.column},
-                m_path,
-                fmt::format("is {}, but must be an object", KindOf(value))});
+    AddFinding(m_findings, {{m_document.file, value.line, value.column},
+                            m_path,
+                            fmt::format("is {}, but must be an object",
+                                        DescribeKind(value))});
   }
 }
 
@@ -75,7 +76,7 @@
   }
   const auto* text = std::get_if<std::string>(&value->content);
   if (text == nullptr) {
-    ReportKind(name, *value, "text");
+    ReportWrongKind(name, *value, "text");
     return "";
   }
   if (text->empty()) {
@@ -84,15 +85,16 @@
   return *text;
 }
 
-std::string FieldReader::Text(std::string_view name, std::string_view absent) {
+std::string FieldReader::Text(std::string_view name,
+                              std::string_view default_value) {
   const PositionedValue* value = Find(name);
   if (value == nullptr) {
-    return std::string(absent);
+    return std::string(default_value);
   }
   const auto* text = std::get_if<std::string>(&value->content);
   if (text == nullptr) {
-    ReportKind(name, *value, "text");
-    return std::string(absent);
+    ReportWrongKind(name, *value, "text");
+    return std::string(default_value);
   }
   return *text;
 }
@@ -108,24 +110,25 @@
   return text;
 }
 
-bool FieldReader::Flag(std::string_view name, bool absent) {
+bool FieldReader::Flag(std::string_view name, bool default_value) {
   const PositionedValue* value = Find(name);
   if (value == nullptr) {
-    return absent;
+    return default_value;
   }
   const auto* flag = std::get_if<bool>(&value->content);
   if (flag == nullptr) {
-    ReportKind(name, *value, "true or false");
-    return absent;
+    ReportWrongKind(name, *value, "true or false");
+    return default_value;
   }
   return *flag;
 }
 
 std::int64_t FieldReader::Number(std::string_view name,
                                  NumberRange range,
-                                 std::int64_t absent) {
+                                 std::int64_t default_value) {
   const PositionedValue* value = Find(name);
-  return value == nullptr ? absent : ReadNumber(name, *value, range, absent);
+  return value == nullptr ? default_value
+                          : ReadNumber(name, *value, range, default_value);
 }
 
 std::int64_t FieldReader::RequiredNumber(std::string_view name,
@@ -141,9 +144,9 @@
                                      std::int64_t fallback) {
   const auto* number = std::get_if<std::int64_t>(&value.content);
   if (number == nullptr) {
-    ReportKind(name, value,
-               fmt::format("a whole number from {} to {}", range.least,
-                           range.greatest));
+    ReportWrongKind(name, value,
+                    fmt::format("a whole number from {} to {}", range.least,
+                                range.greatest));
     return fallback;
   }
   if (*number < range.least || *number > range.greatest) {
@@ -161,7 +164,7 @@
   }
   const auto* list = std::get_if<PositionedList>(&value->content);
   if (list == nullptr) {
-    ReportKind(name, *value, "a list of text");
+    ReportWrongKind(name, *value, "a list of text");
     return {};
   }
   std::vector<std::string> texts;
@@ -169,7 +172,7 @@
     const PositionedValue& item = (*list)[i];
     const auto* text = std::get_if<std::string>(&item.content);
     if (text == nullptr) {
-      ReportKind(fmt::format("{}[{}]", name, i), item, "text");
+      ReportWrongKind(fmt::format("{}[{}]", name, i), item, "text");
     }
     texts.push_back(text == nullptr ? "" : *text);
   }
@@ -185,7 +188,7 @@
   }
   const auto* list = std::get_if<PositionedList>(&value->content);
   if (list == nullptr) {
-    ReportKind(name, *value, "a list of objects");
+    ReportWrongKind(name, *value, "a list of objects");
     return;
   }
   for (std::size_t i = 0; i < list->size(); ++i) {
@@ -218,7 +221,7 @@
     const std::string suggestion = SuggestName(member.name, m_known);
     AddFinding(m_findings,
                {{m_document.file, member.line, member.column},
-                PathOf(Quoted(member.name)),
+                PathOf(TruncateName(member.name)),
                 suggestion.empty()
                     ? fmt::format("is not a known field; known are {}",
                                   fmt::join(m_known, ", "))
@@ -248,10 +251,11 @@
                         : fmt::format("{}.{}", m_path, name);
 }
 
-void FieldReader::ReportKind(std::string_view name,
-                             const PositionedValue& value,
-                             std::string_view wanted) {
-  Report(name, fmt::format("is {}, but must be {}", KindOf(value), wanted));
+void FieldReader::ReportWrongKind(std::string_view name,
+                                  const PositionedValue& value,
+                                  std::string_view wanted) {
+  Report(name,
+         fmt::format("is {}, but must be {}", DescribeKind(value), wanted));
 }
 
 }  // namespace cassiastile::config
--- a/src/cassiastile/config/fleet.cpp
+++ b/src/cassiastile/config/fleet.cpp
@@ -31,7 +31,7 @@
     EnumName<WaveOrder>{WaveOrder::kAsListed, "as-listed"},
 };
 
-// The first row whose text member equals the text, or null.
+// Returns the first row whose member equals the text, or null.
 template <typename Row>
 const Row* FindRow(const std::vector<Row>& rows,
                    std::string Row::*member,
@@ -42,8 +42,8 @@
   return found == rows.end() ? nullptr : &*found;
 }
 
-// The row that holds the digest. Looks at every row, so that the time taken
-// does not tell which one it was.
+// Returns the row with the digest, or null. Compares every row, so that the
+// time taken doesn't reveal which one matched.
 template <typename Row>
 const Row* FindDigest(const std::vector<Row>& rows,
                       std::string Row::*member,
--- a/src/cassiastile/config/fleet_change.cpp
+++ b/src/cassiastile/config/fleet_change.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// The pool of each host, in the order of the hosts' names.
+// Maps each host to its pool, ordered by host name.
 std::map<std::string, std::string> PoolsOfHosts(const Fleet& fleet) {
   std::map<std::string, std::string> pools;
   for (const Pool& pool : fleet.pools) {
@@ -45,11 +45,12 @@
   return moves;
 }
 
-// The names of the rows in `rows` that have none of the same name in `others`.
+// Returns the names of the `rows` that have no row of the same name in
+// `others`.
 template <typename Row>
-std::vector<std::string> Missing(const std::vector<Row>& rows,
-                                 const std::vector<Row>& others,
-                                 std::string Row::*member) {
+std::vector<std::string> FindMissingNames(const std::vector<Row>& rows,
+                                          const std::vector<Row>& others,
+                                          std::string Row::*member) {
   std::vector<std::string> names;
   for (const Row& row : rows) {
     const bool found = std::any_of(
@@ -62,9 +63,10 @@
   return names;
 }
 
-// The keys of `rows` that are not in `others` with the same team and digest.
-std::vector<std::string> MissingKeys(const std::vector<Key>& rows,
-                                     const std::vector<Key>& others) {
+// Returns the ids of the keys in `rows` that `others` lacks with the same team
+// and digest.
+std::vector<std::string> FindMissingKeys(const std::vector<Key>& rows,
+                                         const std::vector<Key>& others) {
   std::vector<std::string> ids;
   for (const Key& row : rows) {
     const bool found =
@@ -150,13 +152,14 @@
                           const std::vector<TeamUsage>& use) {
   FleetChange change;
   change.hosts = CompareHosts(before, after);
-  change.keys_gone = MissingKeys(before.keys, after.keys);
-  change.keys_new = MissingKeys(after.keys, before.keys);
-  change.teams_gone = Missing(before.teams, after.teams, &Team::name);
-  change.queues_gone = Missing(before.queues, after.queues, &Queue::name);
+  change.keys_gone = FindMissingKeys(before.keys, after.keys);
+  change.keys_new = FindMissingKeys(after.keys, before.keys);
+  change.teams_gone = FindMissingNames(before.teams, after.teams, &Team::name);
+  change.queues_gone =
+      FindMissingNames(before.queues, after.queues, &Queue::name);
   change.limits = CompareLimits(before, after);
-  change.waves_new = Missing(after.waves, before.waves, &Wave::name);
-  change.waves_gone = Missing(before.waves, after.waves, &Wave::name);
+  change.waves_new = FindMissingNames(after.waves, before.waves, &Wave::name);
+  change.waves_gone = FindMissingNames(before.waves, after.waves, &Wave::name);
   change.teams_over_limit = TeamsOverLimit(after, use);
   return change;
 }
--- a/src/cassiastile/config/fleet_reader.cpp
+++ b/src/cassiastile/config/fleet_reader.cpp
@@ -33,8 +33,8 @@
 std::uint32_t Count(FieldReader& reader,
                     std::string_view name,
                     NumberRange range,
-                    std::uint32_t absent) {
-  return static_cast<std::uint32_t>(reader.Number(name, range, absent));
+                    std::uint32_t default_value) {
+  return static_cast<std::uint32_t>(reader.Number(name, range, default_value));
 }
 
 std::uint32_t RequiredCount(FieldReader& reader,
@@ -43,7 +43,7 @@
   return static_cast<std::uint32_t>(reader.RequiredNumber(name, range));
 }
 
-// Two digits below a bound, or nothing.
+// Parses a number below a bound.
 std::optional<std::uint32_t> ReadTwoDigits(std::string_view text,
                                            std::uint32_t bound) {
   std::uint32_t number = 0;
@@ -55,7 +55,7 @@
   return number;
 }
 
-// Minutes from midnight of text such as 22:00, or nothing.
+// Parses a time of day such as 22:00 as minutes from midnight.
 std::optional<std::uint32_t> ReadMinuteOfDay(std::string_view text) {
   const auto hour = ReadTwoDigits(text.substr(0, 2), kHoursOfDay);
   const auto minute = ReadTwoDigits(text.substr(3, 2), kMinutesOfHour);
@@ -217,7 +217,7 @@
           RequiredCount(reader, "tasks", kRunning)};
 }
 
-// Reads one section, a list of rows.
+// Reads one section, which is a required list of rows.
 template <typename Row>
 void ReadSection(FieldReader& reader,
                  SectionName section,
--- a/src/cassiastile/config/fleet_reader_test.cpp
+++ b/src/cassiastile/config/fleet_reader_test.cpp
@@ -18,7 +18,8 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// The example with the first occurrence of one text replaced by another.
+// Returns the example with the first occurrence of one text replaced by
+// another.
 std::string Changed(const std::string& from, const std::string& to) {
   std::string text = Example("plechovy-hlas.jsonc");
   const std::size_t at = text.find(from);
@@ -41,7 +42,7 @@
       });
 }
 
-TEST(FleetReaderTest, BothExamplesAreClean) {
+TEST(FleetReaderTest, BothExamplesHaveNoFindings) {
   for (const char* name : {"plechovy-hlas.jsonc", "siamlink.jsonc"}) {
     const auto fleet = ReadFleet(Example(name), name);
     ASSERT_TRUE(fleet) << base::FormatFindings(fleet.error());
@@ -64,7 +65,7 @@
   }
 }
 
-// One way to spoil the example and what must be found.
+// A single fault to put into the example, and the finding it must give.
 struct Fault {
   std::string name;
   std::string from;
@@ -116,7 +117,7 @@
         Fault{"DuplicatePool", "\"name\": \"draw\"", "\"name\": \"rosters\"",
               "pools[2].name", "used already at pools[1].name"},
         Fault{"DuplicateField", kBudget, kBudget + ", \"max_out\": 1",
-              "pools[0].max_out", "stands twice"},
+              "pools[0].max_out", "occurs twice in this object"},
         Fault{"HostInTwoPools", "rosters-01", "entries-01",
               "pools[1].hosts[0].name", "in pool \"entries\" already"},
         Fault{"HostTwice", "entries-02", "entries-01", "pools[0].hosts[1].name",
@@ -185,7 +186,8 @@
 TEST(FleetReaderTest, OneFaultIsNotReportedAsSeveral) {
   EXPECT_EQ(FindingsOf(Changed("\"max_out\": 2,", "")).size(), 1U);
   EXPECT_EQ(FindingsOf(Changed("\"weight\": 4", "\"weight\": -4")).size(), 1U);
-  // Each misspelled name is one that is unknown and one that is missing.
+  // A misspelled section gives two findings: the name is unknown and the
+  // section is missing.
   for (const char* section :
        {"zones", "teams", "shares", "limits", "pools", "operators"}) {
     const std::string name = "\"" + std::string(section);
@@ -204,7 +206,7 @@
                          "the same key as at keys[0].sha256"));
 }
 
-TEST(FleetReaderTest, TellsTheLineAndColumn) {
+TEST(FleetReaderTest, ReportsTheLineAndColumn) {
   const auto fleet = ReadFleet("{\n  \"fleet\": /* ž */ 7\n}", "f.jsonc");
   ASSERT_FALSE(fleet);
   EXPECT_EQ(base::FormatFinding(fleet.error().front()),
@@ -218,7 +220,7 @@
   }
 }
 
-TEST(FleetReaderTest, ManyFaultsAreCutOff) {
+TEST(FleetReaderTest, BoundsTheNumberOfFindings) {
   std::string text = "{";
   for (int i = 0; i < 100000; ++i) {
     text += "\"f" + std::to_string(i) + "\":1,";
--- a/src/cassiastile/config/list_edit.cpp
+++ b/src/cassiastile/config/list_edit.cpp
@@ -28,15 +28,15 @@
   return std::move(*list);
 }
 
-// The offset of the comma that follows an item.
+// Returns the offset of the comma after an item.
 std::size_t FindComma(std::string_view text, std::size_t item_end) {
   TextCursor cursor(text);
   cursor.AdvanceTo(item_end);
-  cursor.SkipToMark();
+  cursor.SkipWhitespaceAndComments();
   return cursor.Offset();
 }
 
-// Removes a range, and with it the line when nothing else stands on it.
+// Removes a range of the text, and the whole line if nothing else is on it.
 std::string Cut(std::string text, std::size_t begin, std::size_t end) {
   const std::size_t line = text.rfind('\n', begin);
   const std::size_t next = text.find_first_not_of(" \t\r", end);
@@ -74,7 +74,8 @@
     return tl::make_unexpected(items.error());
   }
   if (index >= items->size()) {
-    return base::Fail(base::ErrorCode::kNotFound, "the list has no such item");
+    return base::Fail(base::ErrorCode::kNotFound,
+                      "the list has no item at this index");
   }
   const PositionedValue& item = (*items)[index];
   std::string text(list);
--- a/src/cassiastile/config/list_edit_test.cpp
+++ b/src/cassiastile/config/list_edit_test.cpp
@@ -45,7 +45,7 @@
   EXPECT_EQ(*RemoveItem("[1]", 0), "[]");
 }
 
-TEST(ListEditTest, RefusesWhatIsNotThere) {
+TEST(ListEditTest, RejectsInvalidListsAndIndexes) {
   EXPECT_FALSE(RemoveItem("[1]", 1));
   EXPECT_FALSE(RemoveItem("{}", 0));
   EXPECT_FALSE(AppendItem("[", "1"));
--- a/src/cassiastile/config/nearest_name.cpp
+++ b/src/cassiastile/config/nearest_name.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-// Longer names are not compared, as the work grows with the square of it.
+// Longer names are not compared, as the cost grows with the square of the
+// length.
 constexpr std::size_t kLongestComparedName = 64;
 
 std::size_t EditDistance(std::string_view left, std::string_view right) {
--- a/src/cassiastile/config/positioned_json.cpp
+++ b/src/cassiastile/config/positioned_json.cpp
@@ -15,18 +15,18 @@
 
 namespace {
 
-// Duplicate names beyond so many are not reported.
+// At most this many duplicate names are reported.
 constexpr std::size_t kMaxDuplicates = 1000;
 
-// What is being read: an open list or object.
+// A list or object that is being parsed and not yet closed.
 struct Frame {
   PositionedValue value;
-  PositionedMember member;  // The name last read, in an object.
+  PositionedMember member;  // In an object, the member being read.
   std::unordered_set<std::string> names;
-  bool skip = false;  // Whether the name was a duplicate.
+  bool skip = false;  // Whether the member is a duplicate.
 };
 
-// Takes the parser's events and builds placed values. The parser tells no
+// Builds positioned values from the parser's events. The parser doesn't report
 // positions, so a cursor follows it token by token.
 class Builder {
  public:
@@ -68,7 +68,7 @@
         PositionedMember{name, m_cursor.Line(), m_cursor.Column(), {}};
     if (frame.skip && m_document.duplicates.size() < kMaxDuplicates) {
       m_document.duplicates.push_back(
-          FindingHere("the name stands twice here; keep one"));
+          FindingHere("the name occurs twice in this object; keep one"));
     }
     m_cursor.SkipString();
     return true;
@@ -134,7 +134,7 @@
     return Finish(std::move(value));
   }
 
-  // Ends a value where the cursor stands and puts it where it belongs.
+  // Ends a value at the cursor and adds it to its parent, or makes it the root.
   bool Finish(PositionedValue value) {
     value.end = m_cursor.Offset();
     if (++m_values > kMaxDocumentValues) {
@@ -164,7 +164,7 @@
             std::move(message)};
   }
 
-  // The path of what is being read.
+  // Returns the path of the value being parsed.
   std::string OpenPath() const {
     std::string path;
     for (const Frame& frame : m_open) {
@@ -197,7 +197,8 @@
       {{file, cursor.Line(), cursor.Column()}, "", std::move(message)}});
 }
 
-// The value one step down the path, or null. Takes the step off the path.
+// Returns the child that the first part of the path names, or null. Removes
+// that part from the path.
 const PositionedValue* StepInto(const PositionedValue& value,
                                 std::string_view& path) {
   if (path.front() == '[') {
@@ -262,7 +263,7 @@
   return {document.file, value->line, value->column};
 }
 
-std::string_view KindOf(const PositionedValue& value) {
+std::string_view DescribeKind(const PositionedValue& value) {
   constexpr std::string_view kKinds[] = {
       "null", "true or false", "a whole number", "a number",
       "text", "a list",        "an object"};
--- a/src/cassiastile/config/positioned_json_test.cpp
+++ b/src/cassiastile/config/positioned_json_test.cpp
@@ -9,7 +9,7 @@
 namespace cassiastile::config {
 namespace {
 
-// The only finding that a text gives, as printed.
+// Formats the single finding that a text must give.
 std::string FindingOf(const std::string& text) {
   const auto document = ParsePositionedJson(text, "f");
   if (document || document.error().size() != 1) {
@@ -18,29 +18,29 @@
   return base::FormatFinding(document.error().front());
 }
 
-TEST(PlacedJsonTest, KnowsPlacesAmongComments) {
+TEST(PositionedJsonTest, TracksPositionsAcrossComments) {
   const std::string text =
       "// head\n{ \"a\": [1,/*,:*/ -2.5e3/* x */, \"\\\"]\"],\n"
       "  /* ž */ \"b\": {\"c\": true}, \"d\": null }";
   const auto document = ParsePositionedJson(text, "f");
   ASSERT_TRUE(document);
-  const auto slice = [&](std::string_view path) {
+  const auto position_of = [&](std::string_view path) {
     const base::TextPosition place = FindTextPosition(*document, path);
     return std::to_string(place.line) + ":" + std::to_string(place.column);
   };
-  EXPECT_EQ(slice("a"), "2:8");
-  EXPECT_EQ(slice("a[0]"), "2:9");
-  EXPECT_EQ(slice("a[1]"), "2:18");
-  EXPECT_EQ(slice("a[2]"), "2:33");
-  EXPECT_EQ(slice("b.c"), "3:22");
-  EXPECT_EQ(slice("d"), "3:34");
-  EXPECT_EQ(slice("b.nothing"), "3:16");
+  EXPECT_EQ(position_of("a"), "2:8");
+  EXPECT_EQ(position_of("a[0]"), "2:9");
+  EXPECT_EQ(position_of("a[1]"), "2:18");
+  EXPECT_EQ(position_of("a[2]"), "2:33");
+  EXPECT_EQ(position_of("b.c"), "3:22");
+  EXPECT_EQ(position_of("d"), "3:34");
+  EXPECT_EQ(position_of("b.nothing"), "3:16");
   const PositionedValue& list = FindMember(document->root, "a")->value;
   EXPECT_EQ(text.substr(list.begin, list.end - list.begin),
             "[1,/*,:*/ -2.5e3/* x */, \"\\\"]\"]");
 }
 
-TEST(PlacedJsonTest, RefusesWhatIsNoText) {
+TEST(PositionedJsonTest, RejectsInvalidText) {
   EXPECT_NE(FindingOf("").find("f:1:1: error: "), std::string::npos);
   EXPECT_NE(FindingOf("{\n \"a\": [1, 2").find("f:2:"), std::string::npos);
   EXPECT_NE(FindingOf("{\n \"a\": \xC3\x28 }")
@@ -59,7 +59,7 @@
   EXPECT_NE(FindingOf("{ /* never closed").find("error: "), std::string::npos);
 }
 
-TEST(PlacedJsonTest, RefusesHugeAndDeepText) {
+TEST(PositionedJsonTest, RejectsHugeAndDeepText) {
   EXPECT_NE(FindingOf(std::string(kMaxDocumentBytes + 1, ' ')).find("at most"),
             std::string::npos);
   const std::string deep(1000000, '[');
@@ -76,7 +76,7 @@
   EXPECT_TRUE(ParsePositionedJson(allowed, "f"));
 }
 
-TEST(PlacedJsonTest, ReportsDuplicatesWithTheirPaths) {
+TEST(PositionedJsonTest, ReportsDuplicatesWithTheirPaths) {
   const auto document =
       ParsePositionedJson("{\"a\": [{\"b\": 1,\n\"b\": {\"b\": 2}}]}", "f");
   ASSERT_TRUE(document);
@@ -85,14 +85,14 @@
   EXPECT_EQ(document->duplicates[0].place.line, 2U);
 }
 
-RC_GTEST_PROP(PlacedJsonPropertyTest,
+RC_GTEST_PROP(PositionedJsonPropertyTest,
               AnyBytesGiveAValueOrFindings,
               (const std::string& text)) {
   const auto document = ParsePositionedJson(text, "f");
   RC_ASSERT(document.has_value() || !document.error().empty());
 }
 
-RC_GTEST_PROP(PlacedJsonPropertyTest, AnyTokensGiveAValueOrFindings, ()) {
+RC_GTEST_PROP(PositionedJsonPropertyTest, AnyTokensGiveAValueOrFindings, ()) {
   const auto tokens = *rc::gen::container<std::vector<std::string>>(
       rc::gen::element<std::string>("{", "}", "[", "]", ",", ":", "\"a\"", "1",
                                     "-", "true", "//", "/*", "*/", "\n", "\"",
--- a/src/cassiastile/config/section_edit.cpp
+++ b/src/cassiastile/config/section_edit.cpp
@@ -17,7 +17,7 @@
 constexpr std::string_view kBlanks = " \t\r\n";
 constexpr char kSectionMark = '\0';
 
-// The bytes of one section's value.
+// The byte range of one section's value.
 struct Span {
   SectionName section{};
   std::size_t begin = 0;
@@ -37,7 +37,7 @@
   return std::move(*document);
 }
 
-// The sections of a document in the order of the text.
+// Returns the byte ranges of a document's sections, in the order of the text.
 base::Result<std::vector<Span>> FindSpans(std::string_view text) {
   const auto document = Parse(text);
   if (!document) {
@@ -76,7 +76,8 @@
   return text.substr(span.begin, span.end - span.begin);
 }
 
-// The document's text without what its sections hold.
+// Returns the document's text with the value of each section replaced by a
+// mark.
 std::string TextOutside(std::string_view text, const std::vector<Span>& spans) {
   std::string outside;
   std::size_t from = 0;
@@ -97,7 +98,8 @@
   return text.substr(first, text.find_last_not_of(kBlanks) - first + 1);
 }
 
-// Whether the section's text is the same in both; absent is no text.
+// Whether the section has the same text in both documents. An absent section
+// counts as empty text.
 bool IsSame(std::string_view before,
             const std::vector<Span>& before_spans,
             std::string_view after,
--- a/src/cassiastile/config/section_edit_test.cpp
+++ b/src/cassiastile/config/section_edit_test.cpp
@@ -35,7 +35,7 @@
   EXPECT_NE(text->find("// For an urgent fix"), std::string::npos);
 }
 
-TEST(SectionEditTest, RefusesTextThatIsNotOneList) {
+TEST(SectionEditTest, RejectsTextThatIsNotOneList) {
   for (const char* text :
        {"", "{}", "[", "[] // ]", "/* a */ []", "[], []", "[] /* ]"}) {
     EXPECT_FALSE(ReplaceSection(Example(), SectionName::kWaves, text)) << text;
@@ -76,7 +76,7 @@
             std::string::npos);
 }
 
-TEST(SectionEditTest, TakingASectionOverIsNotTheTakersToDo) {
+TEST(SectionEditTest, EditorCannotMakeItselfOwnerOfASection) {
   const std::string before = Example();
   const Fleet fleet = *ReadFleet(before, "f");
   const std::string after =
@@ -88,7 +88,7 @@
       2U);
 }
 
-TEST(SectionEditTest, TextOutsideBelongsToTheOwnerOfOwnership) {
+TEST(SectionEditTest, TextOutsideSectionsBelongsToTheOwnerOfOwnership) {
   const std::string before = Example();
   const Fleet fleet = *ReadFleet(before, "f");
   const std::string after = Replaced(before, "// Nights only", "// Days only");
@@ -108,8 +108,7 @@
             "file\n");
 }
 
-// Applies a diff whose hunks cover whole lines, for texts that end in a line
-// feed.
+// Applies a unified diff. All texts must end in a line feed.
 std::string Apply(const std::string& before, const std::string& diff) {
   std::istringstream old_lines(before);
   std::istringstream steps(diff);
@@ -156,7 +155,7 @@
   RC_ASSERT(Apply(before, UnifiedDiff(before, after, "x", "y")) == after);
 }
 
-TEST(DiffTest, TellsWhatTheFleetWouldDo) {
+TEST(DiffTest, DescribesTheEffectsOfAnEdit) {
   const std::string before = Example();
   std::string after = Replaced(before, "entries-01", "entries-11");
   after = Replaced(after, "brno-region-key-1", "brno-region-key-2");
--- a/src/cassiastile/config/settings.cpp
+++ b/src/cassiastile/config/settings.cpp
@@ -102,25 +102,27 @@
   return m_state->reader.Text(name);
 }
 
-std::string Settings::Text(std::string_view name, std::string_view absent) {
-  return m_state->reader.Text(name, absent);
+std::string Settings::Text(std::string_view name,
+                           std::string_view default_value) {
+  return m_state->reader.Text(name, default_value);
 }
 
-bool Settings::Flag(std::string_view name, bool absent) {
-  return m_state->reader.Flag(name, absent);
+bool Settings::Flag(std::string_view name, bool default_value) {
+  return m_state->reader.Flag(name, default_value);
 }
 
 std::int64_t Settings::Number(std::string_view name,
-                              std::int64_t absent,
+                              std::int64_t default_value,
                               std::int64_t least,
                               std::int64_t greatest) {
-  return m_state->reader.Number(name, {least, greatest}, absent);
+  return m_state->reader.Number(name, {least, greatest}, default_value);
 }
 
 std::chrono::milliseconds Settings::Milliseconds(
     std::string_view name,
-    std::chrono::milliseconds absent) {
-  return std::chrono::milliseconds(Number(name, absent.count(), 0, kDayMs));
+    std::chrono::milliseconds default_value) {
+  return std::chrono::milliseconds(
+      Number(name, default_value.count(), 0, kDayMs));
 }
 
 std::vector<std::string> Settings::TextList(std::string_view name) {
@@ -137,13 +139,13 @@
 }
 
 SocketAddress Settings::Address(std::string_view name,
-                                const SocketAddress& absent) {
-  const std::string text = Text(name, FormatAddress(absent));
+                                const SocketAddress& default_value) {
+  const std::string text = Text(name, FormatAddress(default_value));
   const auto address = ParseAddress(text);
   if (!address) {
     Report(name, std::string(kAddressForm));
   }
-  return address.value_or(absent);
+  return address.value_or(default_value);
 }
 
 std::vector<SocketAddress> Settings::AddressList(std::string_view name) {
--- a/src/cassiastile/config/settings_test.cpp
+++ b/src/cassiastile/config/settings_test.cpp
@@ -49,7 +49,7 @@
   }
 }
 
-TEST(SettingsTest, AFileThatCannotBeReadIsAFinding) {
+TEST(SettingsTest, UnreadableFileGivesAFinding) {
   EXPECT_FALSE(Settings::Load("/nonexistent/settings.json"));
   EXPECT_FALSE(Settings::Load("/"));
 }
--- a/src/cassiastile/config/text_cursor.cpp
+++ b/src/cassiastile/config/text_cursor.cpp
@@ -30,39 +30,41 @@
          byte != '\n' && byte != '\r';
 }
 
-// The head of a sequence: how many bytes follow it, the bits it carries and the
-// least code point that needs such a sequence.
-struct Head {
+// The lead byte of a UTF-8 sequence: the number of bytes that follow it, the
+// bits of the code point that it carries, and the least code point that needs a
+// sequence of this length.
+struct LeadByte {
   std::size_t following;
   std::uint32_t bits;
   std::uint32_t least;
 };
 
-std::optional<Head> ReadHead(unsigned char byte) {
+std::optional<LeadByte> ParseLeadByte(unsigned char byte) {
   if (byte < 0x80U) {
-    return Head{0, byte, 0};
+    return LeadByte{0, byte, 0};
   }
   if ((byte & 0xE0U) == 0xC0U) {
-    return Head{1, byte & 0x1FU, 0x80};
+    return LeadByte{1, byte & 0x1FU, 0x80};
   }
   if ((byte & 0xF0U) == 0xE0U) {
-    return Head{2, byte & 0x0FU, 0x800};
+    return LeadByte{2, byte & 0x0FU, 0x800};
   }
   if ((byte & 0xF8U) == 0xF0U) {
-    return Head{3, byte & 0x07U, 0x10000};
+    return LeadByte{3, byte & 0x07U, 0x10000};
   }
   return std::nullopt;
 }
 
-// The length of the character at the start of the text, or zero when it is not
-// valid.
+// Returns the length in bytes of the UTF-8 character at the start of the text,
+// or zero when it is invalid.
 std::size_t CharacterLength(std::string_view text) {
-  const auto head = ReadHead(static_cast<unsigned char>(text.front()));
-  if (!head || head->following >= text.size()) {
+  const auto lead_byte =
+      ParseLeadByte(static_cast<unsigned char>(text.front()));
+  if (!lead_byte || lead_byte->following >= text.size()) {
     return 0;
   }
-  std::uint32_t code = head->bits;
-  for (std::size_t i = 1; i <= head->following; ++i) {
+  std::uint32_t code = lead_byte->bits;
+  for (std::size_t i = 1; i <= lead_byte->following; ++i) {
     if (!IsContinuation(text[i])) {
       return 0;
     }
@@ -70,10 +72,10 @@
            (static_cast<unsigned char>(text[i]) & kPayloadMask);
   }
   const bool surrogate = code >= kFirstSurrogate && code <= kLastSurrogate;
-  if (code < head->least || code > kLastCodePoint || surrogate) {
+  if (code < lead_byte->least || code > kLastCodePoint || surrogate) {
     return 0;
   }
-  return head->following + 1;
+  return lead_byte->following + 1;
 }
 
 }  // namespace
@@ -103,7 +105,7 @@
   }
 }
 
-void TextCursor::SkipToMark() {
+void TextCursor::SkipWhitespaceAndComments() {
   SkipOver(kBlanks);
 }
 
--- a/src/cassiastile/config/text_cursor.hpp
+++ b/src/cassiastile/config/text_cursor.hpp
@@ -5,8 +5,8 @@
 
 namespace cassiastile::config {
 
-// Walks forward through JSON text whose syntax another reader checks, and
-// knows the line and column it stands at. Columns count characters.
+// Moves forward through JSON text and tracks the line and column, counted from
+// one. Columns count characters, not bytes. The syntax is checked elsewhere.
 class TextCursor {
  public:
   explicit TextCursor(std::string_view text);
@@ -15,15 +15,16 @@
   std::size_t Line() const { return m_line; }
   std::size_t Column() const { return m_column; }
 
-  // Moves on to the given offset; does nothing when it lies behind.
+  // Moves forward to an offset; does nothing when the cursor is already past
+  // it.
   void AdvanceTo(std::size_t offset);
-  // Skips blanks and comments, and with them commas and colons.
-  void SkipToMark();
+  // Skips whitespace and comments; SkipToToken skips commas and colons as well.
+  void SkipWhitespaceAndComments();
   void SkipToToken();
-  // Skips the string, number or word that starts here.
+  // Skips the string, or the number or literal, at the cursor.
   void SkipString();
   void SkipScalar();
-  // Skips one character.
+  // Skips one byte.
   void Step();
 
  private:
@@ -40,9 +41,9 @@
   std::size_t m_column = 1;
 };
 
-// The offset of the first byte that is not part of valid UTF-8 text, or
+// Returns the offset of the first byte that is not valid UTF-8 text, or
 // std::string_view::npos. Control characters other than tab, line feed and
-// carriage return count as invalid.
+// carriage return are invalid.
 std::size_t FindInvalidText(std::string_view text);
 
 }  // namespace cassiastile::config
--- a/src/cassiastile/config/text_file_test.cpp
+++ b/src/cassiastile/config/text_file_test.cpp
@@ -9,7 +9,7 @@
 namespace cassiastile::config {
 namespace {
 
-TEST(TextFileTest, ReadsAStreamToItsEndOrOneByteTooMany) {
+TEST(TextFileTest, ReadsAStreamToItsEndOrOneByteOverTheLimit) {
   std::istringstream empty("");
   EXPECT_EQ(ReadText(empty), "");
   const std::string text(200000, 'x');
@@ -19,7 +19,7 @@
   EXPECT_EQ(ReadText(huge).size(), kMaxDocumentBytes + 1);
 }
 
-TEST(TextFileTest, AnEndlessFileEndsInAFinding) {
+TEST(TextFileTest, EndlessFileGivesAFinding) {
   const auto text = ReadTextFile("/dev/zero");
   ASSERT_TRUE(text);
   EXPECT_FALSE(ParsePositionedJson(*text, "f"));
