--- a/examples/base/findings.cpp
+++ b/examples/base/findings.cpp
@@ -2,7 +2,7 @@
 
 #include "cassiastile/base/findings.hpp"
 
-// Prints two findings in the order of their places.
+// Prints two findings, ordered by position.
 int main() {
   using cassiastile::base::Finding;
   const cassiastile::base::Findings findings{
--- a/examples/entry/request_credits.cpp
+++ b/examples/entry/request_credits.cpp
@@ -2,8 +2,8 @@
 
 #include "cassiastile/entry/credit_plan.hpp"
 
-// Two entry hosts that both want all 8 slots of a runner; prints what each is
-// granted as the first gives back what it does not use.
+// Lets two entry hosts compete for all 8 slots of a runner and prints the
+// grants of each while the first returns the slots it does not use.
 int main() {
   using namespace cassiastile;
   constexpr std::uint32_t kSlots = 8;
--- a/examples/fleet/wave_step.cpp
+++ b/examples/fleet/wave_step.cpp
@@ -2,7 +2,8 @@
 
 #include "cassiastile/fleet/wave_plan.hpp"
 
-// Prints which hosts a wave takes next, and why not the others.
+// Prints which hosts a maintenance wave drains next, and why it skips the
+// others.
 int main() {
   namespace config = cassiastile::config;
   namespace fleet = cassiastile::fleet;
--- a/examples/member/membership.cpp
+++ b/examples/member/membership.cpp
@@ -2,8 +2,10 @@
 
 #include "cassiastile/member/virtual_fleet.hpp"
 
-// Runs seven hosts in virtual time through the acceptance of a version, an
-// outage of the table and a cut, and prints who may act on team keys.
+// Runs seven hosts with two processes each in virtual time through the commit
+// of a new version, an outage of the table and a network partition. Prints how
+// many processes may act on team keys and how many have the newest version in
+// force.
 namespace {
 
 using namespace cassiastile::member;
@@ -14,7 +16,7 @@
   for (const std::string& name : network.Names()) {
     const Membership& member = network.At(name);
     fresh += member.IsFresh(network.Now()) ? 1 : 0;
-    in_force += member.InForce() == network.Store().head.version ? 1 : 0;
+    in_force += member.InForce() == network.Store().lead_byte.version ? 1 : 0;
   }
   std::printf("%-34s fresh %2d of 14, newest in force %2d of 14\n", what, fresh,
               in_force);
--- a/examples/work/request_fairness.cpp
+++ b/examples/work/request_fairness.cpp
@@ -3,8 +3,8 @@
 
 #include "cassiastile/work/admission.hpp"
 
-// Two teams with weights 3 and 1 fill a queue; prints how many of each are
-// among the first 40 that start.
+// Fills a queue with requests of two teams with weights 3 and 1, and prints how
+// many of each are among the first 40 that start.
 int main() {
   using namespace cassiastile;
   constexpr work::RequestId kEach = 40;
--- a/examples/work/task_shard.cpp
+++ b/examples/work/task_shard.cpp
@@ -2,7 +2,8 @@
 
 #include "cassiastile/work/task_shard.hpp"
 
-// Submits a task to a shard of one host and prints where it is placed.
+// Submits a task to the shard of a pool with one host, and prints where it is
+// placed.
 int main() {
   using namespace cassiastile;
   const base::ManualClock clock;
@@ -26,7 +27,8 @@
   for (const base::Decision& decision : batch.decisions) {
     std::printf("%s: %s\n", decision.subject.c_str(), decision.outcome.c_str());
   }
-  // Here the rows would be written.
+  // The owner of the shard writes the rows here; Confirm must follow the
+  // commit.
   shard.Confirm();
   std::printf("%zu row, %zu start\n", batch.rows.size(),
               shard.Answer(poll).start.size());
--- a/include/cassiastile/standin/backend.hpp
+++ b/include/cassiastile/standin/backend.hpp
@@ -15,32 +15,32 @@
 struct BackendOptions {
   std::string name = "runner";
   std::string address = "127.0.0.1";
-  std::uint16_t port = 0;  // 0 takes a free one.
+  std::uint16_t port = 0;  // 0 picks a free port.
   std::uint32_t slots = 8;
   std::uint32_t connections = 64;
   std::chrono::milliseconds service_time{0};
 };
 
-// One run of a request's work, as the runner logs it.
+// One execution of a request, as the runner logs it.
 struct LoggedExecution {
   std::string method;
   std::string path;
-  std::string request_id;  // As the runner got it.
-  std::string caller_id;   // The header Caller-Id, if any.
+  std::string request_id;  // The X-Request-Id that the runner received.
+  std::string caller_id;   // The Caller-Id header, if any.
   std::string body;
 };
 
 struct BackendCounts {
   std::uint32_t peak_running = 0;      // At once.
   std::uint32_t peak_connections = 0;  // At once.
-  std::uint64_t over_slots = 0;        // Starts above the slots.
+  std::uint64_t over_slots = 0;        // Starts while all slots were in use.
 };
 
-// A stand-in runner. It answers every request with the request's own body after
-// its service time, stops at the time the request names, logs what it runs, and
-// fails as it is told to: by calls here or by POST /admin/fault with
-// {"fault", "count", "service_ms", "silence"}. GET /admin/log shows the log;
-// GET /healthz says that it runs.
+// A simulated runner for tests. It answers each request with the request's own
+// body after the service time, stops at the timeout the request names, and logs
+// what it executes. Faults are set by calls here or by POST /admin/fault with
+// {"fault", "count", "service_ms", "silence"}. GET /admin/log returns the log;
+// GET /healthz answers while it runs.
 class Backend {
  public:
   // Fails when the address can't be bound.
@@ -53,11 +53,11 @@
   // IP:PORT
   std::string Address() const;
 
-  // The next `count` requests meet the fault.
+  // Makes the next `count` requests fail with the fault.
   void SetFault(BackendFault fault, std::uint32_t count);
   void SetServiceTime(std::chrono::milliseconds service_time);
-  // The connections that are open now swallow all that is sent on them from now
-  // on; new ones work.
+  // Ignores all further requests on the connections that are open now, without
+  // closing them; new connections work.
   void BlackholeConnections();
 
   std::vector<LoggedExecution> Log() const;
--- a/include/cassiastile/standin/backend_fault.hpp
+++ b/include/cassiastile/standin/backend_fault.hpp
@@ -6,20 +6,20 @@
 
 namespace cassiastile::standin {
 
-// How a stand-in runner may fail a request.
+// How a simulated runner may fail a request.
 enum class BackendFault : std::uint8_t {
   kNone,
-  kRefuse,      // Takes no connection.
-  kStall,       // Takes the request and never answers.
-  kDie,         // Ends half-way through the work.
-  kLate,        // Does the work and answers after the deadline.
-  kShort,       // Sends less than it announced.
-  kOverLong,    // Sends more than it announced.
-  kCrossed,     // Sends the answer to another request.
-  kChunkCut,    // Ends in the middle of a chunked body.
-  kReset,       // Resets the connection and goes on with the work.
-  kHeaderOnly,  // Sends the header and ends.
-  kUnframed,    // Sends a body without marking its end.
+  kRefuse,      // Refuses the connection.
+  kStall,       // Accepts the request and never answers.
+  kDie,         // Crashes while it processes the request.
+  kLate,        // Processes the request but answers after the deadline.
+  kShort,       // Sends fewer bytes than Content-Length says.
+  kOverLong,    // Sends more bytes than Content-Length says.
+  kCrossed,     // Sends the response to another request.
+  kChunkCut,    // Closes in the middle of a chunked body.
+  kReset,       // Resets the connection but keeps processing.
+  kHeaderOnly,  // Closes after the header.
+  kUnframed,    // Sends a body without a length or chunking.
 };
 
 std::string_view NameOf(BackendFault fault);
--- a/include/cassiastile/standin/backend_fault_mix.hpp
+++ b/include/cassiastile/standin/backend_fault_mix.hpp
@@ -7,22 +7,22 @@
 
 namespace cassiastile::standin {
 
-// The broken promises of one run, found from what the runners logged and what
-// the callers were told.
+// The invariant violations of one simulation, found by comparing the log of the
+// runners with what the callers were told.
 struct FaultMixViolations {
-  std::uint64_t ran_twice = 0;        // Requests that are not idempotent.
+  std::uint64_t ran_twice = 0;        // Non-idempotent requests only.
   std::uint64_t not_run_but_ran = 0;  // The caller was told "not run".
-  std::uint64_t wrong_answers = 0;    // Not the whole answer to the request.
+  std::uint64_t wrong_answers = 0;    // Incomplete, or to another request.
   std::uint64_t without_answer = 0;
   std::uint64_t answered_twice = 0;
-  std::uint64_t over_slots = 0;  // Starts above a runner's slots.
+  std::uint64_t over_slots = 0;  // Starts while all slots were in use.
 
   bool operator==(const FaultMixViolations&) const = default;
 };
 
 void PrintTo(const FaultMixViolations& found, std::ostream* out);
 
-// How the callers of a run were answered.
+// How many requests were answered in each way.
 struct FaultMixTally {
   std::uint64_t whole = 0;
   std::uint64_t not_run = 0;
@@ -34,9 +34,10 @@
   FaultMixTally tally;
 };
 
-// Runs callers against three entry hosts and four runners while runners fail in
-// a mix of ways drawn from the seed, kept connections go silent, the table
-// fails and loses answers, a host crashes and comes back, and a runner leaves.
+// Runs callers against three entry hosts and four runners. The seed decides the
+// mix of faults: runners fail in several ways, kept connections drop all
+// traffic, the table fails and loses answers, a host crashes and restarts, and
+// a runner leaves.
 FaultMixResult RunFaultMix(std::uint64_t seed, SimulatedPolicy policy);
 
 }  // namespace cassiastile::standin
--- a/include/cassiastile/standin/backend_model.hpp
+++ b/include/cassiastile/standin/backend_model.hpp
@@ -15,32 +15,33 @@
 
 namespace cassiastile::standin {
 
-// One run of a request's work, as a runner logs it.
+// One execution of a request, as a runner logs it.
 struct Execution {
-  std::string request;  // The caller's own name for the request.
+  std::string request;  // The caller's identifier of the request.
   std::string runner;
   base::TimePoint started{};
 };
 
-// What a modelled runner does with the requests it gets.
+// The capacity and the faults of a simulated runner.
 struct ModelRunnerOptions {
   std::uint32_t slots = 8;
   std::chrono::milliseconds mean_service{50};
-  bool stalled = false;  // Takes requests and answers none.
-  // Kept connections swallow what is sent until then; new ones work.
+  bool stalled = false;  // Accepts requests and answers none.
+  // Until this time, kept connections deliver nothing and are not closed; new
+  // connections work.
   base::TimePoint blackhole_until{};
   bool refuses = false;
-  // How often a request meets the fault, from 0 to 1.
+  // The probability of each fault, from 0 to 1.
   std::map<BackendFault, double> faults;
 };
 
 struct ModelCall {
-  std::uint64_t id = 0;  // Names the call in its completion.
+  std::uint64_t id = 0;  // Identifies the call in its completion.
   std::string runner;
-  std::string request;  // The caller's own name for the request.
+  std::string request;  // The caller's identifier of the request.
   std::string request_id;
   base::TimePoint timeout{};  // When the client gives up.
-  bool sends_timeout = true;  // Whether the runner knows and then stops.
+  bool sends_timeout = true;  // The runner learns the timeout and stops then.
   bool fresh_connection = false;
 };
 
@@ -50,8 +51,9 @@
   wire::HttpOutcome outcome;
 };
 
-// Runners and the network to them in virtual time: what is called completes
-// when the model is advanced. What the runners did is logged by themselves.
+// Simulates runners and the network to them in virtual time. Calls complete
+// when the model is advanced. The log of executions is the runners' own,
+// independent of what callers were told.
 class BackendModel {
  public:
   explicit BackendModel(std::uint64_t seed);
@@ -59,14 +61,14 @@
   ModelRunnerOptions& RunnerOptions(const std::string& runner);
   void Call(const ModelCall& call, base::TimePoint now);
 
-  // When the next thing happens; the far future when nothing will.
+  // The time of the next event, or TimePoint::max() if there is none.
   base::TimePoint NextEvent() const;
-  // Takes the completions up to a time.
+  // Advances to a time and returns the calls that completed by then.
   std::vector<ModelCompletion> Advance(base::TimePoint until);
 
   const std::vector<Execution>& Log() const { return m_log; }
-  // Starts of work that found all slots of the runner taken.
-  std::uint64_t StartsOverSlots() const { return m_over_limit; }
+  // Requests that arrived while all slots of the runner were in use.
+  std::uint64_t StartsOverSlots() const { return m_starts_over_slots; }
 
  private:
   enum class EventKind : std::uint8_t { kArrive, kCut, kEnd, kTimeout };
@@ -88,7 +90,7 @@
   struct ActiveCall {
     ModelCall call;
     BackendFault fault = BackendFault::kNone;
-    bool answered = false;  // The client has its outcome.
+    bool answered = false;  // The client has received the outcome.
     bool working = false;
     bool queued = false;
   };
@@ -124,7 +126,7 @@
   std::priority_queue<Event, std::vector<Event>, Later> m_events;
   std::vector<Execution> m_log;
   std::uint64_t m_order = 0;
-  std::uint64_t m_over_limit = 0;
+  std::uint64_t m_starts_over_slots = 0;
 };
 
 }  // namespace cassiastile::standin
--- a/include/cassiastile/standin/backend_simulation.hpp
+++ b/include/cassiastile/standin/backend_simulation.hpp
@@ -17,10 +17,11 @@
 
 namespace cassiastile::standin {
 
-// How requests are handled in a simulation.
+// How requests are dispatched in a simulation.
 enum class SimulatedPolicy : std::uint8_t {
   kCassiastile,
-  // Runners in turn, first-come queues at the runners, blind retry.
+  // The baseline: round robin over the runners, a FIFO queue at each runner,
+  // and retries even where the request may have run.
   kRoundRobin,
 };
 
@@ -44,17 +45,18 @@
   base::Duration timeout{};
 };
 
-// What a caller saw.
+// What the caller of a request saw.
 struct SimulatedAnswer {
   wire::Execution execution = wire::Execution::kUnknown;
-  bool whole = false;  // The answer is the one to this request.
+  bool whole = false;  // The complete response to this request.
   base::TimePoint at{};
   std::uint32_t answers = 0;
   base::Duration retry_after{};
 };
 
-// Entry hosts with their callers, runners and table in virtual time. The
-// decisions are those of the daemons; only the network and time are modelled.
+// Simulates entry hosts with their callers, runners and table in virtual time.
+// Decisions are made by the code of the daemons; only the network and the time
+// are simulated.
 class RequestSimulation {
  public:
   explicit RequestSimulation(SimulationOptions options);
@@ -69,21 +71,22 @@
   static std::string RunnerName(std::uint32_t index);
 
   void Submit(const SimulatedRequest& request);
-  // Runs to a time; requests submitted before it arrive in their order.
+  // Advances to a time. Requests submitted for an earlier time arrive in their
+  // order.
   void RunUntil(base::TimePoint until);
 
-  // Ends a host's process at once. Its callers hear nothing more.
+  // Kills a host's process at once. Its callers get no answer.
   void Crash(std::uint32_t host);
-  // Starts it again under a new incarnation.
+  // Starts a crashed host under a new incarnation.
   void Restart(std::uint32_t host);
   // Lists a runner as leaving, or as live again.
   void SetLeaving(std::uint32_t runner, bool leaving);
 
-  // By request.
+  // The answers by request id.
   const std::map<std::uint64_t, SimulatedAnswer>& Answers() const {
     return m_answers;
   }
-  // The sum of all grants of a runner's slots, as the table has it.
+  // The sum of all grants of a runner's slots in the table.
   std::uint32_t GrantedInTable(std::uint32_t runner);
 
  private:
@@ -92,21 +95,21 @@
     std::unique_ptr<entry::ServiceShard> shard;
     std::unique_ptr<entry::CreditAccount> account;
     std::unique_ptr<entry::HolderWatch> watch;
-    base::TimePoint next_step{};
-    std::uint64_t generation = 0;  // Completions of an earlier one are lost.
+    base::TimePoint next_credit_sync{};
+    std::uint64_t generation = 0;  // Completions of earlier ones are dropped.
   };
 
-  struct BaselineFlight {
+  struct BaselineRequest {
     SimulatedRequest request;
     std::uint32_t tries = 0;
   };
 
-  struct Sent {
+  struct SentCall {
     std::uint32_t host = 0;
     std::uint64_t generation = 0;
     work::TryId try_id = 0;
     std::string request_id;
-    std::string probed;  // The runner, where the call is a health check.
+    std::string probed;  // The runner, if the call is a health check.
     std::uint64_t request = 0;
   };
 
@@ -135,8 +138,8 @@
   std::vector<Host> m_hosts;
   std::vector<bool> m_leaving;
   std::multimap<base::TimePoint, SimulatedRequest> m_arrivals;
-  std::map<std::uint64_t, Sent> m_sent;
-  std::map<std::uint64_t, BaselineFlight> m_baseline;
+  std::map<std::uint64_t, SentCall> m_sent;
+  std::map<std::uint64_t, BaselineRequest> m_baseline;
   std::map<std::uint64_t, SimulatedAnswer> m_answers;
   std::multimap<base::TimePoint, ModelCompletion> m_completions;
   base::TimePoint m_next_tick;
--- a/include/cassiastile/standin/platform_server.hpp
+++ b/include/cassiastile/standin/platform_server.hpp
@@ -20,16 +20,16 @@
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
   std::size_t threads = 4;
-  // How far the host list lags behind what was set.
+  // The delay until a change to the host list becomes visible.
   std::chrono::milliseconds list_lag{500};
   // How long a machine takes to reboot.
   std::chrono::milliseconds reboot_time{1000};
   std::uint64_t seed = 1;
 };
 
-// Stands in for the platform: its table, object store, host list and machine
-// service over HTTP, kept in memory. Faults are injected over HTTP as well.
-// docs/PLATFORM.md describes the calls.
+// Simulates the platform for tests: its table, object store, host list and
+// machine service over HTTP, kept in memory. Faults are injected over HTTP as
+// well. docs/PLATFORM.md describes the calls.
 class PlatformServer {
  public:
   static base::Result<std::unique_ptr<PlatformServer>> Start(
@@ -55,7 +55,7 @@
            std::function<wire::HttpResponse(const wire::HttpRequest&)> answer);
 
   wire::HttpResponse SetFaults(const wire::HttpRequest& request);
-  std::vector<platform::ListedHost> ListedNow();
+  std::vector<platform::ListedHost> CurrentHosts();
   void FinishReboots();
 
   const base::Clock& m_clock;
@@ -65,10 +65,10 @@
   platform::MemoryMachines m_machines;
 
   std::mutex m_mutex;
-  std::chrono::milliseconds m_slowness{0};
+  std::chrono::milliseconds m_response_delay{0};
   bool m_down = false;
-  // Changes to the list that are not yet seen, with the time they will be. A
-  // host without a name's state removes it.
+  // Changes to the host list that are not visible yet. For a removal only the
+  // name of the host is set.
   struct ListChange {
     base::TimePoint seen_at;
     platform::ListedHost host;
--- a/include/cassiastile/standin/worker.hpp
+++ b/include/cassiastile/standin/worker.hpp
@@ -12,7 +12,7 @@
 
 namespace cassiastile::standin {
 
-// What a worker did, for those who judge from outside.
+// What a worker did with a task. Tests check invariants by these events.
 enum class WorkerEvent : std::uint8_t {
   kStarted,
   kSucceeded,
@@ -32,8 +32,8 @@
   std::uint64_t epoch = 0;
   std::string team;
   bool idempotent = false;
-  work::Resources usage;  // At full speed.
-  double seconds = 0;     // At full speed that the run went on for.
+  work::Resources usage;  // When not throttled.
+  double seconds = 0;     // Work done by the run, in unthrottled seconds.
 };
 
 struct WorkerOptions {
@@ -43,34 +43,36 @@
   base::Duration checkpoint_time = std::chrono::milliseconds(500);
 };
 
-// A worker whose tasks only pass the time. Real sizes and run times come from
-// the payload, as JSON with cores, memory_gb, seconds and fail; what it lacks
-// is as declared. Reads no clock and does no I/O: its owner sends its polls and
-// hands it the answers.
+// A simulated worker whose tasks only let time pass. Actual sizes and run times
+// come from the payload, JSON with cores, memory_gb, seconds and fail; fields
+// it lacks are as declared. Reads no clock and does no I/O: the owner sends its
+// polls and passes on the answers.
 class Worker {
  public:
   using Log = std::function<void(const WorkerLogEntry&)>;
 
   Worker(WorkerOptions options, Log log);
 
-  // Brings the runs up to the time. Does nothing while paused.
+  // Advances the runs to a time. Does nothing while paused.
   void Advance(base::TimePoint now);
 
-  // The poll for the shard of a pool; an empty name stands for the pool that
-  // the host is in. The runs of that pool are part of it.
+  // Makes the poll for the shard of a pool, with the worker's runs of that
+  // pool. An empty name stands for the home pool.
   work::WorkerPoll MakePoll(const std::string& pool);
-  // The pools to poll: the home pool, and those of its runs.
+  // Returns the pools to poll: the home pool, and those with runs or
+  // unacknowledged ends.
   std::vector<std::string> PoolsToPoll() const;
   void Take(const work::PollAnswer& answer,
             base::TimePoint sent,
             base::TimePoint now);
 
-  // Asks for no new tasks and gives back what it can.
+  // Takes no new tasks; checkpoints the runs that can be checkpointed and stops
+  // the idempotent ones.
   void Leave(base::TimePoint now);
   bool IsIdle() const;
 
-  // Faults. A paused worker is frozen with its runs. One that restarts forgets
-  // all and comes back under a new incarnation.
+  // Faults. A paused worker is frozen with its runs. A restarted worker loses
+  // all state and returns under a new incarnation.
   void SetPaused(bool paused);
   bool IsPaused() const;
   void SetFailing(bool failing);
@@ -87,9 +89,9 @@
     work::StartOrder order;
     std::string pool;
     work::Resources usage;
-    double seconds = 0;      // Real run time.
-    double done = 0;         // Of these.
-    double done_before = 0;  // Of these, up to the checkpoint it began from.
+    double seconds = 0;      // Actual run time.
+    double done = 0;         // Seconds done so far.
+    double done_before = 0;  // Seconds done at the start, by checkpoint.
     double throttle = 1;
     bool fails = false;
     bool checkpointing = false;
@@ -105,14 +107,14 @@
              const std::string& pool,
              base::TimePoint now);
   void End(const std::string& key, work::RunEnd end, std::string message);
-  void ReportOnly(const work::StartOrder& order,
-                  const std::string& pool,
-                  work::RunEnd end,
-                  std::string message);
-  void StopLapsed();
-  void Obey(const work::PollAnswer& answer);
+  void ReportWithoutRun(const work::StartOrder& order,
+                        const std::string& pool,
+                        work::RunEnd end,
+                        std::string message);
+  void StopExpiredRuns();
+  void ApplyOrders(const work::PollAnswer& answer);
   void BeginCheckpoint(Run& run);
-  void Note(WorkerEvent act, const Run& run);
+  void RecordEvent(WorkerEvent act, const Run& run);
 
   WorkerOptions m_options;
   Log m_log;
@@ -120,12 +122,12 @@
   bool m_paused = false;
   bool m_failing = false;
   bool m_leaving = false;
-  bool m_has_news = false;
+  bool m_has_unreported_runs = false;
   std::uint64_t m_sequence = 0;
   std::string m_home;
-  std::map<std::string, Run> m_runs;  // By the key of the task.
+  std::map<std::string, Run> m_runs;  // By task key.
   std::vector<Ended> m_ended;
-  std::map<std::string, std::uint64_t> m_started;  // Highest epoch by key.
+  std::map<std::string, std::uint64_t> m_started;  // Highest epoch by task key.
   std::map<std::string, std::uint64_t> m_shard_epochs;
   std::map<std::string, base::TimePoint> m_lease_ends;
 };
--- a/include/cassiastile/standin/worker_agent.hpp
+++ b/include/cassiastile/standin/worker_agent.hpp
@@ -20,15 +20,15 @@
   WorkerOptions worker;
   std::vector<std::string> control;  // IP:PORT of control processes.
   std::chrono::milliseconds poll_timeout{2000};
-  // How long a stop waits for runs that can't be given back.
+  // How long Stop waits for runs that can be neither checkpointed nor stopped.
   std::chrono::milliseconds stop_deadline{20000};
 };
 
-// Runs a stand-in worker against control processes over HTTP. Each start and
-// end is logged as one line. Safe for use by several threads.
+// Runs a simulated worker that polls control processes over HTTP. Logs one line
+// for each start and end of a run. Safe for use by several threads.
 class WorkerAgent {
  public:
-  // The clock outlives the agent.
+  // Starts the threads of the agent. The clock must outlive the agent.
   static std::unique_ptr<WorkerAgent> Start(const base::Clock& clock,
                                             WorkerAgentOptions options);
   ~WorkerAgent();
@@ -38,8 +38,8 @@
   // Adds POST /v1/faults, which takes {"paused", "failing", "restart"}.
   void Register(wire::Router& router);
 
-  // Asks for no new tasks, gives back what can be checkpointed, waits for the
-  // rest up to the deadline, and ends.
+  // Takes no new tasks, checkpoints or stops the runs that allow it, waits for
+  // the others up to the stop deadline, and stops polling.
   void Stop();
 
  private:
@@ -56,9 +56,9 @@
   const WorkerAgentOptions m_options;
   base::Log m_log{"worker"};
   std::unique_ptr<wire::HttpClient> m_client;
-  std::size_t m_control = 0;  // Which of them is asked next.
+  std::size_t m_control = 0;  // Index of the process to ask next.
 
-  std::mutex m_mutex;  // Guards what follows.
+  std::mutex m_mutex;  // Guards the members below.
   std::condition_variable m_changed;
   Worker m_worker;
   base::Duration m_poll_after{};
--- a/include/cassiastile/standin/worker_fleet.hpp
+++ b/include/cassiastile/standin/worker_fleet.hpp
@@ -23,17 +23,19 @@
   work::WorkerPoll poll;
 };
 
-// The workers of a pool, polling in virtual time. For tests and measurements.
+// Simulates the workers of a pool, which poll in virtual time. For tests and
+// benchmarks.
 class WorkerFleet {
  public:
   WorkerFleet(const std::vector<config::Host>& hosts,
               base::Random random,
               const Worker::Log& log);
 
-  // Brings all workers up to the time and returns the polls that arrive now.
+  // Advances all workers to a time and returns the polls that arrive at it.
   std::vector<SentPoll> CollectPolls(base::TimePoint now);
 
-  // Hands a worker the answer to its poll, unless there is none or it is lost.
+  // Gives a worker the answer to its poll, unless there is none or the answer
+  // is lost.
   void Deliver(const SentPoll& poll,
                const std::optional<work::PollAnswer>& answer,
                base::TimePoint now);
--- a/src/cassiastile/standin/backend.cpp
+++ b/src/cassiastile/standin/backend.cpp
@@ -46,7 +46,8 @@
     } catch (const std::system_error& error) {
       return base::Fail(
           base::ErrorCode::kUnavailable,
-          std::string("The runner can't listen: ") + error.what());
+          std::string("The runner can't listen on its address: ") +
+              error.what());
     }
     m_thread = std::thread([this] { Accept(); });
     return {};
@@ -85,7 +86,7 @@
 
   void BlackholeConnections() {
     const std::lock_guard lock(m_mutex);
-    m_silent_before = m_next_connection;
+    m_blackholed_before = m_next_connection;
   }
 
   std::vector<LoggedExecution> Log() const {
@@ -99,7 +100,7 @@
   }
 
  private:
-  // A connection with the thread that serves it.
+  // A connection and the thread that serves it.
   struct Connection {
     explicit Connection(tcp::socket accepted) : socket(std::move(accepted)) {}
 
@@ -134,7 +135,7 @@
     });
   }
 
-  // Counts a connection and numbers it.
+  // Counts a new connection and returns its number.
   std::uint64_t OpenConnection() {
     const std::lock_guard lock(m_mutex);
     ++m_connections;
@@ -148,9 +149,9 @@
     --m_connections;
   }
 
-  bool IsSilent(std::uint64_t connection) const {
+  bool IsBlackholed(std::uint64_t connection) const {
     const std::lock_guard lock(m_mutex);
-    return connection < m_silent_before;
+    return connection < m_blackholed_before;
   }
 
   void Serve(Connection& connection) {
@@ -159,22 +160,23 @@
       std::string buffer;
       bool kept = true;
       while (kept) {
-        const Received received = Receive(socket, buffer);
-        if (IsSilent(connection.number)) {
-          Swallow(socket);
+        const ReceivedRequest received = Receive(socket, buffer);
+        if (IsBlackholed(connection.number)) {
+          DiscardInput(socket);
         }
         kept = Answer(socket, received);
       }
     } catch (const std::system_error&) {
-      // The other end has closed the connection.
+      // The peer has closed the connection.
     }
     CloseConnection();
     ::shutdown(socket.native_handle(), SHUT_RDWR);
     connection.done.store(true);
   }
 
-  // Reads until the other end closes the connection, which throws.
-  static void Swallow(tcp::socket& socket) {
+  // Reads and discards input until the peer closes the connection, which
+  // throws.
+  static void DiscardInput(tcp::socket& socket) {
     constexpr std::size_t kChunk = 4096;
     std::string ignored(kChunk, '\0');
     while (true) {
@@ -182,10 +184,10 @@
     }
   }
 
-  static Received Receive(tcp::socket& socket, std::string& buffer) {
+  static ReceivedRequest Receive(tcp::socket& socket, std::string& buffer) {
     const std::size_t header_end = asio::read_until(
         socket, asio::dynamic_buffer(buffer, kMaxHeaderBytes), kHeaderEnd);
-    Received received;
+    ReceivedRequest received;
     ParseHeader(std::string_view(buffer).substr(0, header_end - 2), received);
     buffer.erase(0, header_end);
     const auto length = static_cast<std::size_t>(
@@ -199,29 +201,31 @@
     return received;
   }
 
-  // Ends a request's work however it is left.
-  struct WorkEnd {
+  // Frees the slot of a request when it goes out of scope.
+  struct WorkGuard {
     Impl& backend;
-    explicit WorkEnd(Impl& owner) : backend(owner) {}
-    WorkEnd(const WorkEnd&) = delete;
-    WorkEnd& operator=(const WorkEnd&) = delete;
-    ~WorkEnd() { backend.EndWork(); }
+    explicit WorkGuard(Impl& owner) : backend(owner) {}
+    WorkGuard(const WorkGuard&) = delete;
+    WorkGuard& operator=(const WorkGuard&) = delete;
+    ~WorkGuard() { backend.EndWork(); }
   };
 
-  // Answers a request; false when the connection is to be closed.
-  bool Answer(tcp::socket& socket, const Received& received) {
+  // Answers a request. Returns false when the connection must be closed.
+  bool Answer(tcp::socket& socket, const ReceivedRequest& received) {
     if (received.path == "/healthz") {
       return Write(socket, MakeAnswer("", "ok"));
     }
     if (received.path.starts_with("/admin/")) {
-      return Write(socket, MakeAnswer("", Administer(received)));
+      return Write(socket, MakeAnswer("", HandleAdminRequest(received)));
     }
     const BackendFault fault = StartWork(received);
-    const WorkEnd end(*this);
+    const WorkGuard end(*this);
     return Work(socket, received, fault);
   }
 
-  bool Work(tcp::socket& socket, const Received& received, BackendFault fault) {
+  bool Work(tcp::socket& socket,
+            const ReceivedRequest& received,
+            BackendFault fault) {
     const std::chrono::milliseconds stop(
         NumberOf(wire::FindHeader(received.headers, "Request-Timeout-Ms"),
                  std::chrono::milliseconds(kLongestWork).count()));
@@ -246,7 +250,8 @@
     return fault == BackendFault::kOverLong;
   }
 
-  // Makes the kernel send a reset. The descriptor stays open for Close.
+  // Makes the kernel send a TCP reset. The descriptor stays open, as Close
+  // still uses it.
   static void Reset(tcp::socket& socket) {
     socket.set_option(asio::socket_base::linger(true, 0));
     sockaddr unspecified{};
@@ -260,7 +265,7 @@
     return true;
   }
 
-  // Waits, but not beyond the runner's own end.
+  // Waits for a time, or until the runner is closed.
   void Wait(std::chrono::milliseconds length) {
     std::unique_lock lock(m_mutex);
     m_wake.wait_for(lock, length, [this] { return m_stopping; });
@@ -271,7 +276,7 @@
     return m_options.service_time;
   }
 
-  BackendFault StartWork(const Received& received) {
+  BackendFault StartWork(const ReceivedRequest& received) {
     const std::lock_guard lock(m_mutex);
     ++m_running;
     m_counts.peak_running = std::max(m_counts.peak_running, m_running);
@@ -297,8 +302,8 @@
     --m_running;
   }
 
-  // Carries out a call of the admin path and returns the answer's body.
-  std::string Administer(const Received& received) {
+  // Handles a request to the admin path and returns the body of the answer.
+  std::string HandleAdminRequest(const ReceivedRequest& received) {
     if (received.path == "/admin/log") {
       return LogAsJson();
     }
@@ -332,7 +337,7 @@
   asio::io_context m_context;
   tcp::acceptor m_acceptor;
   std::thread m_thread;
-  std::list<Connection> m_open;  // For the accepting thread, then Close.
+  std::list<Connection> m_open;  // Used by the accepting thread, then by Close.
   std::uint16_t m_port = 0;
 
   mutable std::mutex m_mutex;
@@ -345,7 +350,7 @@
   std::uint32_t m_running = 0;
   std::uint32_t m_connections = 0;
   std::uint64_t m_next_connection = 0;
-  std::uint64_t m_silent_before = 0;
+  std::uint64_t m_blackholed_before = 0;
 };
 
 Backend::Backend(std::shared_ptr<Impl> impl) : m_impl(std::move(impl)) {}
--- a/src/cassiastile/standin/backend_fault_mix.cpp
+++ b/src/cassiastile/standin/backend_fault_mix.cpp
@@ -15,9 +15,9 @@
 constexpr std::chrono::seconds kArrivalTime{6};
 constexpr std::chrono::seconds kCrashAfter{2};
 constexpr std::chrono::seconds kRestartAfter{3};
-constexpr std::chrono::seconds kSilence{4};
+constexpr std::chrono::seconds kBlackholeTime{4};
 constexpr std::chrono::seconds kRunLength{20};
-constexpr double kMostOfOneFault = 0.06;
+constexpr double kMaxFaultProbability = 0.06;
 
 std::map<BackendFault, double> DrawFaults(base::Random& random) {
   constexpr std::array kAll{BackendFault::kRefuse,  BackendFault::kStall,
@@ -26,7 +26,7 @@
                             BackendFault::kCrossed, BackendFault::kChunkCut,
                             BackendFault::kReset,   BackendFault::kHeaderOnly,
                             BackendFault::kUnframed};
-  std::uniform_real_distribution<double> part(0, kMostOfOneFault);
+  std::uniform_real_distribution<double> part(0, kMaxFaultProbability);
   std::map<BackendFault, double> faults;
   for (const BackendFault fault : kAll) {
     faults[fault] = random() % 2 == 0 ? part(random) : 0;
@@ -59,11 +59,11 @@
   return requests;
 }
 
-void BreakThings(RequestSimulation& simulation,
-                 const SimulationOptions& options,
-                 base::Random& random) {
+void InjectFaults(RequestSimulation& simulation,
+                  const SimulationOptions& options,
+                  base::Random& random) {
   constexpr int kStalledInverse = 10;
-  constexpr int kSilentInverse = 4;
+  constexpr int kBlackholeInverse = 4;
   constexpr double kLostAnswers = 0.1;
   constexpr double kDelayedWrites = 0.05;
   constexpr double kFailedCalls = 0.1;
@@ -72,8 +72,8 @@
         simulation.Backends().RunnerOptions(RequestSimulation::RunnerName(i));
     runner.faults = DrawFaults(random);
     runner.stalled = random() % kStalledInverse == 0;
-    if (random() % kSilentInverse == 0) {
-      runner.blackhole_until = simulation.Now() + kSilence;
+    if (random() % kBlackholeInverse == 0) {
+      runner.blackhole_until = simulation.Now() + kBlackholeTime;
     }
   }
   platform::MemoryFaults faults;
@@ -83,10 +83,10 @@
   simulation.Table().SetFaults(faults);
 }
 
-void JudgeOne(const SimulatedRequest& request,
-              const SimulatedAnswer& seen,
-              int ran,
-              FaultMixResult& result) {
+void ClassifyRequest(const SimulatedRequest& request,
+                     const SimulatedAnswer& seen,
+                     int ran,
+                     FaultMixResult& result) {
   using wire::Execution;
   FaultMixViolations& found = result.violations;
   const bool not_run = seen.execution == Execution::kNotRun;
@@ -100,9 +100,9 @@
   result.tally.unknown += unknown ? 1 : 0;
 }
 
-FaultMixResult Judge(const std::vector<SimulatedRequest>& requests,
-                     const RequestSimulation& simulation,
-                     std::uint32_t crashed_host) {
+FaultMixResult CollectResult(const std::vector<SimulatedRequest>& requests,
+                             const RequestSimulation& simulation,
+                             std::uint32_t crashed_host) {
   std::map<std::string, int> runs;
   for (const Execution& execution : simulation.Backends().Log()) {
     ++runs[execution.request];
@@ -113,7 +113,7 @@
     const int ran = runs[std::to_string(request.id)];
     const auto answer = simulation.Answers().find(request.id);
     if (answer != simulation.Answers().end()) {
-      JudgeOne(request, answer->second, ran, result);
+      ClassifyRequest(request, answer->second, ran, result);
       continue;
     }
     const bool host_died = request.host == crashed_host;
@@ -127,7 +127,7 @@
 
 void PrintTo(const FaultMixViolations& found, std::ostream* out) {
   *out << "ran twice " << found.ran_twice << ", not run but ran "
-       << found.not_run_but_ran << ", foreign " << found.wrong_answers
+       << found.not_run_but_ran << ", wrong answers " << found.wrong_answers
        << ", without answer " << found.without_answer << ", answered twice "
        << found.answered_twice << ", over slots " << found.over_slots;
 }
@@ -144,7 +144,7 @@
   options.mean_service = std::chrono::milliseconds(
       kShortestServiceMillis + random() % kServiceSpreadMillis);
   RequestSimulation simulation(options);
-  BreakThings(simulation, options, random);
+  InjectFaults(simulation, options, random);
   const auto requests = DrawRequests(simulation.Now(), options.hosts, random);
   for (const SimulatedRequest& request : requests) {
     simulation.Submit(request);
@@ -157,7 +157,7 @@
   simulation.RunUntil(start + kRestartAfter);
   simulation.Restart(crashed);
   simulation.RunUntil(start + kRunLength);
-  return Judge(requests, simulation, crashed);
+  return CollectResult(requests, simulation, crashed);
 }
 
 }  // namespace cassiastile::standin
--- a/src/cassiastile/standin/backend_http.cpp
+++ b/src/cassiastile/standin/backend_http.cpp
@@ -7,7 +7,7 @@
 
 namespace cassiastile::standin {
 
-void ParseHeader(std::string_view text, Received& received) {
+void ParseHeader(std::string_view text, ReceivedRequest& received) {
   const std::size_t line_end = text.find("\r\n");
   const std::string_view line = text.substr(0, line_end);
   const std::size_t first = line.find(' ');
@@ -30,8 +30,8 @@
 }
 
 std::int64_t NumberOf(const std::optional<std::string>& text,
-                      std::int64_t absent) {
-  std::int64_t number = absent;
+                      std::int64_t default_value) {
+  std::int64_t number = default_value;
   if (text) {
     std::from_chars(text->data(), text->data() + text->size(), number);
   }
--- a/src/cassiastile/standin/backend_http.hpp
+++ b/src/cassiastile/standin/backend_http.hpp
@@ -10,26 +10,27 @@
 
 namespace cassiastile::standin {
 
-// A request as the stand-in runner reads it.
-struct Received {
+// A request as the simulated runner reads it.
+struct ReceivedRequest {
   std::string method;
   std::string path;
   wire::HttpHeaders headers;
   std::string body;
 };
 
-// Takes the request line and the fields from the text before the body, whose
-// lines each end in CRLF.
-void ParseHeader(std::string_view text, Received& received);
+// Parses the request line and the header fields. Each line of the text ends in
+// CRLF.
+void ParseHeader(std::string_view text, ReceivedRequest& received);
 
-// The number that the text begins with, and `absent` where there is none.
+// Returns the number at the start of the text, or the default where there is
+// none.
 std::int64_t NumberOf(const std::optional<std::string>& text,
-                      std::int64_t absent);
+                      std::int64_t default_value);
 
-// The bytes of a whole answer.
+// Returns the bytes of a complete response.
 std::string MakeAnswer(const std::string& id, const std::string& body);
 
-// The bytes that are sent under a fault, and nothing where none are.
+// Returns the bytes to send under a fault; empty if none are sent.
 std::string MakeFaultyAnswer(BackendFault fault,
                              const std::string& id,
                              const std::string& body);
--- a/src/cassiastile/standin/backend_model.cpp
+++ b/src/cassiastile/standin/backend_model.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::chrono::microseconds kWay{1500};
+constexpr std::chrono::microseconds kNetworkDelay{1500};
 constexpr std::chrono::milliseconds kLateness{200};
 
 wire::HttpOutcome MakeFailure(wire::SendState state, bool timed_out) {
@@ -24,7 +24,7 @@
   return response;
 }
 
-// What the client sees when the work has ended under a fault.
+// Returns what the client sees when work ends under a fault.
 wire::HttpOutcome MakeOutcome(const ModelCall& call, BackendFault fault) {
   wire::HttpResponse response = MakeAnswer(call);
   switch (fault) {
@@ -64,7 +64,7 @@
 
 void BackendModel::Call(const ModelCall& call, base::TimePoint now) {
   m_calls[call.id].call = call;
-  Schedule(now + kWay, EventKind::kArrive, call.id);
+  Schedule(now + kNetworkDelay, EventKind::kArrive, call.id);
   Schedule(call.timeout, EventKind::kTimeout, call.id);
 }
 
@@ -117,21 +117,21 @@
   const ModelRunnerOptions& options = runner.options;
   active.fault = options.stalled ? BackendFault::kStall : DrawFault(options);
   if (options.refuses || active.fault == BackendFault::kRefuse) {
-    completions.push_back(
-        {id, now + kWay, MakeFailure(wire::SendState::kNotSent, false)});
+    completions.push_back({id, now + kNetworkDelay,
+                           MakeFailure(wire::SendState::kNotSent, false)});
     Forget(id);
     return;
   }
-  const bool swallowed =
+  const bool blackholed =
       !active.call.fresh_connection && now < options.blackhole_until;
-  if (swallowed) {
+  if (blackholed) {
     return;
   }
   if (runner.working < options.slots) {
     StartWork(id, now);
     return;
   }
-  ++m_over_limit;
+  ++m_starts_over_slots;
   active.queued = true;
   runner.queue.push_back(id);
 }
@@ -159,7 +159,7 @@
   Schedule(now + length, EventKind::kEnd, id);
 }
 
-// The connection breaks while the work goes on.
+// Breaks the connection while the work continues.
 void BackendModel::Cut(std::uint64_t id,
                        base::TimePoint now,
                        std::vector<ModelCompletion>& completions) {
@@ -167,7 +167,7 @@
   if (!active.answered) {
     active.answered = true;
     completions.push_back(
-        {id, now + kWay, MakeOutcome(active.call, active.fault)});
+        {id, now + kNetworkDelay, MakeOutcome(active.call, active.fault)});
   }
 }
 
@@ -178,14 +178,14 @@
   RunnerState& runner = m_runners[active.call.runner];
   if (!active.answered) {
     completions.push_back(
-        {id, now + kWay, MakeOutcome(active.call, active.fault)});
+        {id, now + kNetworkDelay, MakeOutcome(active.call, active.fault)});
   }
   Forget(id);
   FreeSlot(runner, now);
 }
 
-// The client gives up. The runner stops too when it was told to; else it goes
-// on with what it has.
+// Handles the client's timeout. The runner stops as well if it knows the
+// timeout; otherwise it keeps its queued and running work.
 void BackendModel::TimeOut(std::uint64_t id,
                            base::TimePoint now,
                            std::vector<ModelCompletion>& completions) {
--- a/src/cassiastile/standin/backend_simulation.cpp
+++ b/src/cassiastile/standin/backend_simulation.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTick{20};
-constexpr std::chrono::milliseconds kListing{500};
-constexpr std::chrono::milliseconds kCreditStep{250};
+constexpr std::chrono::milliseconds kListInterval{500};
+constexpr std::chrono::milliseconds kCreditSyncInterval{250};
 constexpr std::chrono::milliseconds kCreditJitter{50};
 constexpr std::chrono::milliseconds kProbeTimeout{1000};
 constexpr std::uint32_t kBaselineTries = 3;
@@ -127,7 +127,7 @@
       m_table, work::SlotsLedgerKey(kService), options.holder, m_random());
   host.watch = std::make_unique<entry::HolderWatch>(
       HostName(index), entry::HolderWatchOptions{});
-  host.next_step = m_now + kCreditJitter * (index + 1);
+  host.next_credit_sync = m_now + kCreditJitter * (index + 1);
   ListRunners(host);
 }
 
@@ -142,7 +142,7 @@
 }
 
 void RequestSimulation::Send(std::uint32_t host, const work::SendTry& send) {
-  Sent sent;
+  SentCall sent;
   sent.host = host;
   sent.generation = m_hosts[host].generation;
   sent.try_id = send.try_id;
@@ -159,11 +159,11 @@
   m_backends.Call(call, m_now);
 }
 
-// A health check needs no slot; a stalled runner still answers it.
+// Sends a health check. It needs no slot, so a stalled runner still answers it.
 void RequestSimulation::Probe(std::uint32_t host,
                               const work::SendProbe& probe) {
   const bool healthy = !m_backends.RunnerOptions(probe.runner).refuses;
-  Sent sent;
+  SentCall sent;
   sent.host = host;
   sent.generation = m_hosts[host].generation;
   sent.probed = probe.runner;
@@ -248,7 +248,7 @@
 
 void RequestSimulation::Complete(const ModelCompletion& completion) {
   const auto found = m_sent.find(completion.id);
-  const Sent sent = found->second;
+  const SentCall sent = found->second;
   m_sent.erase(found);
   if (m_options.policy == SimulatedPolicy::kRoundRobin) {
     CompleteBaseline(sent.request, completion.outcome);
@@ -272,7 +272,7 @@
     return;
   }
   if (m_now >= m_next_listing) {
-    m_next_listing = m_now + kListing;
+    m_next_listing = m_now + kListInterval;
     ListHosts();
   }
   if (m_now >= m_next_tick) {
@@ -284,7 +284,7 @@
     }
   }
   for (std::uint32_t i = 0; i < m_hosts.size(); ++i) {
-    if (m_hosts[i].shard && m_now >= m_hosts[i].next_step) {
+    if (m_hosts[i].shard && m_now >= m_hosts[i].next_credit_sync) {
       SyncCredits(i);
     }
   }
@@ -295,8 +295,8 @@
   Host& host = m_hosts[index];
   std::uniform_int_distribution<int> draw(
       0, static_cast<int>(kCreditJitter.count()));
-  host.next_step =
-      m_now + kCreditStep + std::chrono::milliseconds(draw(m_random));
+  host.next_credit_sync =
+      m_now + kCreditSyncInterval + std::chrono::milliseconds(draw(m_random));
   const auto find_gone = [&](const std::set<work::HolderName>& holders) {
     return host.watch->FindGoneHolders(holders, m_now);
   };
@@ -321,15 +321,15 @@
   }
   next = std::min(next, m_next_tick);
   for (const Host& host : m_hosts) {
-    next = host.shard ? std::min(next, host.next_step) : next;
+    next = host.shard ? std::min(next, host.next_credit_sync) : next;
   }
   return next;
 }
 
 void RequestSimulation::SendBaseline(std::uint64_t request) {
-  BaselineFlight& flight = m_baseline[request];
-  ++flight.tries;
-  Sent sent;
+  BaselineRequest& pending = m_baseline[request];
+  ++pending.tries;
+  SentCall sent;
   sent.request = request;
   sent.request_id = "c" + std::to_string(m_next_call);
   ModelCall call;
@@ -337,7 +337,7 @@
   call.runner = RunnerName(m_next_runner++ % m_options.runners);
   call.request = RequestName(request);
   call.request_id = sent.request_id;
-  call.timeout = m_now + flight.request.timeout / kBaselineTries;
+  call.timeout = m_now + pending.request.timeout / kBaselineTries;
   call.sends_timeout = false;
   m_sent.emplace(call.id, std::move(sent));
   m_backends.Call(call, m_now);
@@ -345,8 +345,8 @@
 
 void RequestSimulation::CompleteBaseline(std::uint64_t request,
                                          const wire::HttpOutcome& outcome) {
-  const BaselineFlight& flight = m_baseline[request];
-  if (!outcome && flight.tries < kBaselineTries) {
+  const BaselineRequest& pending = m_baseline[request];
+  if (!outcome && pending.tries < kBaselineTries) {
     SendBaseline(request);
     return;
   }
--- a/src/cassiastile/standin/platform_server.cpp
+++ b/src/cassiastile/standin/platform_server.cpp
@@ -114,12 +114,12 @@
       method, pattern,
       [this, answer = std::move(answer)](const HttpRequest& request,
                                          const wire::HttpResponder& respond) {
-        std::chrono::milliseconds slowness{0};
+        std::chrono::milliseconds response_delay{0};
         {
           const std::lock_guard lock(m_mutex);
-          slowness = m_slowness;
+          response_delay = m_response_delay;
         }
-        std::this_thread::sleep_for(slowness);
+        std::this_thread::sleep_for(response_delay);
         try {
           respond(answer(request));
         } catch (const json::exception& error) {
@@ -179,7 +179,7 @@
       return wire::MakeErrorResponse(
           {base::ErrorCode::kUnavailable, "The list is down."});
     }
-    return wire::MakeJsonResponse(kOk, json{{"hosts", ListedNow()}});
+    return wire::MakeJsonResponse(kOk, json{{"hosts", CurrentHosts()}});
   });
   Add(router, "PUT", "/v1/hosts/:name", [this](const HttpRequest& request) {
     auto host = json::parse(request.body).get<platform::ListedHost>();
@@ -265,12 +265,13 @@
   m_machines.SetDown(faults.down);
   const std::lock_guard lock(m_mutex);
   m_down = faults.down;
-  m_slowness = std::chrono::milliseconds(body->value("slow_ms", 0));
+  m_response_delay = std::chrono::milliseconds(body->value("slow_ms", 0));
   return MakeEmptyResponse();
 }
 
-// The runners of a machine that drains are listed as leaving.
-std::vector<platform::ListedHost> PlatformServer::ListedNow() {
+// Returns the visible host list. Runners on a draining machine are listed as
+// leaving.
+std::vector<platform::ListedHost> PlatformServer::CurrentHosts() {
   const base::TimePoint now = m_clock.Now();
   while (!m_list_changes.empty() && m_list_changes.front().seen_at <= now) {
     const ListChange& change = m_list_changes.front();
--- a/src/cassiastile/standin/platform_server_test.cpp
+++ b/src/cassiastile/standin/platform_server_test.cpp
@@ -33,7 +33,7 @@
   platform::HttpPlatformLink m_link;
 };
 
-TEST_F(PlatformServerTest, TableAnswersAsInMemory) {
+TEST_F(PlatformServerTest, TableBehavesLikeTheMemoryTable) {
   platform::HttpTable table(m_link);
   const platform::Transaction insert{"a", {{"k/ä b", 0}}, {{"k/ä b", "v&="}}};
   ASSERT_TRUE(table.Apply(insert).has_value());
--- a/src/cassiastile/standin/worker.cpp
+++ b/src/cassiastile/standin/worker.cpp
@@ -14,7 +14,7 @@
 
 using work::RunEnd;
 
-constexpr std::array<base::EnumName<WorkerEvent>, 6> kActNames{{
+constexpr std::array<base::EnumName<WorkerEvent>, 6> kEventNames{{
     {WorkerEvent::kStarted, "started"},
     {WorkerEvent::kSucceeded, "succeeded"},
     {WorkerEvent::kFailed, "failed"},
@@ -23,7 +23,7 @@
     {WorkerEvent::kNotStarted, "not-started"},
 }};
 
-WorkerEvent ActOf(RunEnd end) {
+WorkerEvent EventOf(RunEnd end) {
   switch (end) {
     case RunEnd::kSucceeded:
       return WorkerEvent::kSucceeded;
@@ -55,7 +55,7 @@
 }  // namespace
 
 std::string_view NameOf(WorkerEvent act) {
-  return base::FindName(kActNames, act);
+  return base::FindName(kEventNames, act);
 }
 
 Worker::Worker(WorkerOptions options, Log log)
@@ -67,7 +67,7 @@
   }
   const double passed = m_now == base::TimePoint{} ? 0 : Seconds(now - m_now);
   m_now = now;
-  StopLapsed();
+  StopExpiredRuns();
   std::vector<std::pair<std::string, RunEnd>> over;
   for (auto& [key, run] : m_runs) {
     run.done += passed * run.throttle;
@@ -86,7 +86,7 @@
 
 work::WorkerPoll Worker::MakePoll(const std::string& pool) {
   work::WorkerPoll poll;
-  m_has_news = false;
+  m_has_unreported_runs = false;
   poll.worker = m_options.name;
   poll.incarnation = m_options.incarnation;
   poll.sequence = ++m_sequence;
@@ -137,7 +137,7 @@
   }
   seen = answer.shard_epoch;
   m_home = answer.home_pool.empty() ? m_home : answer.home_pool;
-  Obey(answer);
+  ApplyOrders(answer);
   for (const work::StartOrder& order : answer.start) {
     Start(order, answer.pool, now);
   }
@@ -178,7 +178,7 @@
 void Worker::Restart(base::TimePoint now) {
   m_now = now;
   for (const auto& [key, run] : m_runs) {
-    Note(WorkerEvent::kStopped, run);
+    RecordEvent(WorkerEvent::kStopped, run);
   }
   m_runs.clear();
   m_ended.clear();
@@ -193,7 +193,7 @@
 }
 
 bool Worker::HasUnreportedRuns() const {
-  return m_has_news;
+  return m_has_unreported_runs;
 }
 
 const std::string& Worker::Name() const {
@@ -214,7 +214,7 @@
   }
   if (m_leaving || now >= m_lease_ends[pool] || m_runs.contains(key)) {
     started = order.epoch;
-    ReportOnly(order, pool, RunEnd::kNotStarted, "takes no new tasks");
+    ReportWithoutRun(order, pool, RunEnd::kNotStarted, "takes no new tasks");
     return;
   }
   started = order.epoch;
@@ -230,7 +230,7 @@
   run.done = ParseProgress(order.checkpoint);
   run.done_before = run.done;
   run.started = now;
-  Note(WorkerEvent::kStarted, run);
+  RecordEvent(WorkerEvent::kStarted, run);
   m_runs.emplace(key, std::move(run));
 }
 
@@ -248,39 +248,39 @@
       end == RunEnd::kCheckpointed ? std::to_string(run.done) : "";
   ended.message = std::move(message);
   m_ended.push_back({run.pool, std::move(ended)});
-  m_has_news = true;
-  Note(ActOf(end), run);
+  m_has_unreported_runs = true;
+  RecordEvent(EventOf(end), run);
 }
 
-void Worker::ReportOnly(const work::StartOrder& order,
-                        const std::string& pool,
-                        RunEnd end,
-                        std::string message) {
+void Worker::ReportWithoutRun(const work::StartOrder& order,
+                              const std::string& pool,
+                              RunEnd end,
+                              std::string message) {
   work::EndedRun ended;
   ended.key = work::KeyOf(order.spec);
   ended.epoch = order.epoch;
   ended.end = end;
   ended.message = std::move(message);
   m_ended.push_back({pool, std::move(ended)});
-  m_has_news = true;
+  m_has_unreported_runs = true;
   Run run;
   run.order = order;
-  Note(ActOf(end), run);
+  RecordEvent(EventOf(end), run);
 }
 
-void Worker::StopLapsed() {
-  std::vector<std::string> lapsed;
+void Worker::StopExpiredRuns() {
+  std::vector<std::string> expired;
   for (const auto& [key, run] : m_runs) {
     if (m_now >= m_lease_ends[run.pool]) {
-      lapsed.push_back(key);
+      expired.push_back(key);
     }
   }
-  for (const std::string& key : lapsed) {
+  for (const std::string& key : expired) {
     End(key, RunEnd::kStopped, "the lease lapsed");
   }
 }
 
-void Worker::Obey(const work::PollAnswer& answer) {
+void Worker::ApplyOrders(const work::PollAnswer& answer) {
   for (auto& [key, run] : m_runs) {
     if (run.pool == answer.pool) {
       run.throttle = 1;
@@ -319,7 +319,7 @@
   }
 }
 
-void Worker::Note(WorkerEvent act, const Run& run) {
+void Worker::RecordEvent(WorkerEvent act, const Run& run) {
   WorkerLogEntry line;
   line.at = m_now;
   line.act = act;
--- a/src/cassiastile/standin/worker_agent.cpp
+++ b/src/cassiastile/standin/worker_agent.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTick{50};
-constexpr std::chrono::milliseconds kLeastGap{100};
+constexpr std::chrono::milliseconds kMinPollGap{100};
 constexpr std::chrono::milliseconds kRetryAfter{500};
 constexpr int kOk = 200;
 
@@ -78,9 +78,9 @@
     lock.lock();
     m_changed.notify_all();
     const base::TimePoint start = m_clock.Now();
-    while (
-        !m_stopping && m_clock.Now() - start < m_poll_after &&
-        (!m_worker.HasUnreportedRuns() || m_clock.Now() - start < kLeastGap)) {
+    while (!m_stopping && m_clock.Now() - start < m_poll_after &&
+           (!m_worker.HasUnreportedRuns() ||
+            m_clock.Now() - start < kMinPollGap)) {
       m_changed.wait_for(lock, kTick);
     }
   }
@@ -103,7 +103,7 @@
   }
 }
 
-// False when another control process should be asked next.
+// Returns false when the next poll should go to another control process.
 bool WorkerAgent::PollPool(const std::string& pool) {
   wire::HttpCall call;
   base::TimePoint sent;
@@ -125,7 +125,8 @@
   }
   const auto answer = work::DecodePollAnswer(outcome->body);
   if (!answer) {
-    m_log.Warn("An answer can't be read: " + answer.error().message);
+    m_log.Warn("The answer to a poll can't be decoded: " +
+               answer.error().message);
     return false;
   }
   const std::lock_guard lock(m_mutex);
--- a/src/cassiastile/standin/worker_world_test.hpp
+++ b/src/cassiastile/standin/worker_cluster_test.hpp
@@ -12,7 +12,7 @@
 
 namespace cassiastile::standin {
 
-class KeptDecisions final : public base::DecisionSink {
+class RecordedDecisions final : public base::DecisionSink {
  public:
   void Record(base::Decision decision) override {
     kept.push_back(std::move(decision));
@@ -21,11 +21,11 @@
   std::vector<base::Decision> kept;
 };
 
-// One pool, its table, two processes that may own its shard, and its workers.
-// Judges by the workers' log.
-class TaskWorld {
+// One pool with its table, its workers and two processes that may own its
+// shard. What ran is judged by the log of the workers, not by the table.
+class TaskCluster {
  public:
-  explicit TaskWorld(std::size_t hosts = 4, std::uint64_t seed = 1)
+  explicit TaskCluster(std::size_t hosts = 4, std::uint64_t seed = 1)
       : table(seed), m_random(seed) {
     accepted.version = 1;
     config::Pool pool;
@@ -42,7 +42,7 @@
     accepted.fleet.teams = {{"a", "c"}, {"b", "c"}};
     workers = std::make_unique<WorkerFleet>(
         pool.hosts, base::Random(seed),
-        [this](const WorkerLogEntry& line) { Note(line); });
+        [this](const WorkerLogEntry& line) { RecordEvent(line); });
     for (auto& owner : m_owners) {
       owner = std::make_unique<work::TaskOwner>("p", work::TaskOwnerOptions{},
                                                 table, decisions,
@@ -52,7 +52,7 @@
     Apply();
   }
 
-  // Puts the document and the hosts' states in force.
+  // Applies the fleet document and the states of the hosts to both owners.
   void Apply() {
     ++accepted.version;
     std::vector<fleet::HostView> views;
@@ -79,7 +79,8 @@
     Apply();
   }
 
-  // Gives a process the shard. The other goes on believing that it has it.
+  // Gives a process the lease on the shard. The other process still believes
+  // that it holds the lease.
   void TakeOver(std::size_t owner) {
     const auto row = table.Get("lease/p");
     if (!row) {
@@ -91,7 +92,7 @@
         {{"lease/p", version}},
         {{"lease/p", std::to_string(owner)}}};
     if (table.Apply(transaction)) {
-      m_grips[owner] = {version + 1, {"lease/p", version + 1}};
+      m_leases[owner] = {version + 1, {"lease/p", version + 1}};
       current = owner;
     }
   }
@@ -100,11 +101,11 @@
 
   work::TaskResult Send(work::TaskEvent event) {
     return m_owners[current]
-        ->Handle({std::move(event)}, Now(), m_grips[current])
+        ->Handle({std::move(event)}, Now(), m_leases[current])
         .front();
   }
 
-  // Submits and notes whether it was acknowledged.
+  // Submits a task and records its key if the submission was acknowledged.
   work::TaskResult Submit(const work::TaskSpec& spec) {
     work::TaskResult result = Send(work::SubmitEvent{spec});
     if (result.effect == work::Effect::kCommitted &&
@@ -120,10 +121,10 @@
     for (const SentPoll& poll : polls) {
       const std::size_t to = both_answer ? poll.worker % 2 : current;
       const auto result =
-          m_owners[to]->Handle({poll.poll}, Now(), m_grips[to]).front();
+          m_owners[to]->Handle({poll.poll}, Now(), m_leases[to]).front();
       workers->Deliver(poll, result.answer, clock.Now());
     }
-    m_owners[current]->Handle({}, Now(), m_grips[current]);
+    m_owners[current]->Handle({}, Now(), m_leases[current]);
   }
 
   void Run(base::Duration length) {
@@ -135,7 +136,7 @@
 
   work::Moment Now() const { return {clock.Now(), clock.WallNow()}; }
 
-  // What the table says of a task.
+  // Returns the task as stored in the table.
   std::optional<work::Task> Stored(const std::string& key) {
     const auto row = table.Get("task/p/" + key);
     if (!row || !*row) {
@@ -154,19 +155,20 @@
 
   base::ManualClock clock;
   platform::MemoryTable table;
-  KeptDecisions decisions;
+  RecordedDecisions decisions;
   config::AcceptedFleet accepted;
   std::set<std::string> draining;
   std::unique_ptr<WorkerFleet> workers;
   std::vector<WorkerLogEntry> log;
   std::set<std::string> acknowledged;
-  std::map<std::string, std::int64_t> running;  // By team, as it really is.
+  std::map<std::string, std::int64_t>
+      running;  // By team, from the workers' log.
   std::map<std::string, std::int64_t> peak_running;
   std::size_t current = 0;
-  bool both_answer = false;  // Workers ask either process.
+  bool both_answer = false;  // Workers poll either process.
 
  private:
-  void Note(const WorkerLogEntry& line) {
+  void RecordEvent(const WorkerLogEntry& line) {
     log.push_back(line);
     if (line.act == WorkerEvent::kStarted) {
       ++running[line.team];
@@ -179,7 +181,7 @@
 
   base::Random m_random;
   std::array<std::unique_ptr<work::TaskOwner>, 2> m_owners;
-  std::array<work::OwnerLease, 2> m_grips;
+  std::array<work::OwnerLease, 2> m_leases;
 };
 
 inline work::TaskSpec MakeSpec(const std::string& id, double seconds = 5) {
--- a/src/cassiastile/standin/worker_fleet.cpp
+++ b/src/cassiastile/standin/worker_fleet.cpp
@@ -7,8 +7,9 @@
 namespace {
 
 constexpr base::Duration kRetryAfter = std::chrono::milliseconds(500);
-// A worker whose run ended polls at once, but not more often than this.
-constexpr base::Duration kLeastGap = std::chrono::milliseconds(100);
+// The least time between two polls of a worker, which otherwise polls at once
+// when a run ends.
+constexpr base::Duration kMinPollGap = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -29,9 +30,10 @@
   for (std::size_t index = 0; index < m_members.size(); ++index) {
     Member& member = m_members[index];
     member.worker.Advance(now);
-    const bool news = member.worker.HasUnreportedRuns() &&
-                      now - member.last_poll >= kLeastGap;
-    if (member.worker.IsPaused() || (now < member.next_poll && !news)) {
+    const bool has_unreported_runs = member.worker.HasUnreportedRuns() &&
+                                     now - member.last_poll >= kMinPollGap;
+    if (member.worker.IsPaused() ||
+        (now < member.next_poll && !has_unreported_runs)) {
       continue;
     }
     member.last_poll = now;
--- a/src/cassiastile/standin/worker_property_test.cpp
+++ b/src/cassiastile/standin/worker_property_test.cpp
@@ -3,7 +3,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
-#include "worker_world_test.hpp"
+#include "worker_cluster_test.hpp"
 
 namespace cassiastile::standin {
 namespace {
@@ -14,8 +14,8 @@
 constexpr std::uint32_t kLimitA = 5;
 constexpr std::uint32_t kLimitB = 3;
 
-// One thing that happens to the world.
-enum class Act : std::uint8_t {
+// An action of a generated history.
+enum class Action : std::uint8_t {
   kSubmit,
   kSubmitNonIdempotent,
   kCancel,
@@ -41,7 +41,7 @@
 };
 
 struct Event {
-  Act act = Act::kRun;
+  Action act = Action::kRun;
   int choice = 0;
 };
 
@@ -51,10 +51,10 @@
 
 rc::Gen<std::vector<Event>> GenEvents() {
   const auto event = rc::gen::map(
-      rc::gen::pair(rc::gen::inRange(0, static_cast<int>(Act::kCount)),
+      rc::gen::pair(rc::gen::inRange(0, static_cast<int>(Action::kCount)),
                     rc::gen::inRange(0, 12)),
       [](const std::pair<int, int>& drawn) {
-        return Event{static_cast<Act>(drawn.first), drawn.second};
+        return Event{static_cast<Action>(drawn.first), drawn.second};
       });
   return rc::gen::resize(120, rc::gen::container<std::vector<Event>>(event));
 }
@@ -69,79 +69,79 @@
   return spec;
 }
 
-class Chaos {
+class FaultInjector {
  public:
-  explicit Chaos(TaskWorld& world) : m_world(world) {}
+  explicit FaultInjector(TaskCluster& cluster) : m_cluster(cluster) {}
 
-  void Do(const Event& event) {
+  void Perform(const Event& event) {
     const auto index = static_cast<std::size_t>(event.choice) % 4;
-    Worker& worker = m_world.workers->At(index);
+    Worker& worker = m_cluster.workers->At(index);
     switch (event.act) {
-      case Act::kSubmit:
-      case Act::kSubmitNonIdempotent:
+      case Action::kSubmit:
+      case Action::kSubmitNonIdempotent:
         return Submit(event);
-      case Act::kCancel:
+      case Action::kCancel:
         return Cancel(event.choice);
-      case Act::kRun:
-        return m_world.Run(std::chrono::milliseconds(300 * event.choice));
-      case Act::kRunPastTheLease:
-        return m_world.Run(seconds(9));
-      case Act::kPause:
+      case Action::kRun:
+        return m_cluster.Run(std::chrono::milliseconds(300 * event.choice));
+      case Action::kRunPastTheLease:
+        return m_cluster.Run(seconds(9));
+      case Action::kPause:
         return worker.SetPaused(true);
-      case Act::kResume:
+      case Action::kResume:
         return worker.SetPaused(false);
-      case Act::kRestart:
-        return worker.Restart(m_world.clock.Now());
-      case Act::kFailWorker:
+      case Action::kRestart:
+        return worker.Restart(m_cluster.clock.Now());
+      case Action::kFailWorker:
         return worker.SetFailing(true);
-      case Act::kHealWorker:
+      case Action::kHealWorker:
         return worker.SetFailing(false);
-      case Act::kLoseAnswers:
-        return m_world.table.SetFaults({.lose_answer = 0.3});
-      case Act::kDelayWrites:
-        return m_world.table.SetFaults(
+      case Action::kLoseAnswers:
+        return m_cluster.table.SetFaults({.lose_answer = 0.3});
+      case Action::kDelayWrites:
+        return m_cluster.table.SetFaults(
             {.fail_before = 0.1, .delay_apply = 0.3});
-      case Act::kStoreDown:
-        return m_world.table.SetFaults({.down = true});
-      case Act::kStoreUp:
-        return m_world.table.SetFaults({});
-      case Act::kLoseMessages:
-        return m_world.workers->SetFaults(
+      case Action::kStoreDown:
+        return m_cluster.table.SetFaults({.down = true});
+      case Action::kStoreUp:
+        return m_cluster.table.SetFaults({});
+      case Action::kLoseMessages:
+        return m_cluster.workers->SetFaults(
             {.lose_poll = 0.2, .lose_answer = 0.2});
-      case Act::kTakeOver:
-        return m_world.TakeOver(index % 2);
-      case Act::kAskBoth:
-        m_world.both_answer = true;
+      case Action::kTakeOver:
+        return m_cluster.TakeOver(index % 2);
+      case Action::kAskBoth:
+        m_cluster.both_answer = true;
         return;
-      case Act::kAskOne:
-        m_world.both_answer = false;
+      case Action::kAskOne:
+        m_cluster.both_answer = false;
         return;
-      case Act::kDrain:
-        m_world.draining.insert(worker.Name());
-        return m_world.Apply();
-      case Act::kReturn:
-        m_world.draining.clear();
-        return m_world.Apply();
-      case Act::kEdit:
-        return m_world.SetLimit("a", kLimitA - index);
-      case Act::kCount:
+      case Action::kDrain:
+        m_cluster.draining.insert(worker.Name());
+        return m_cluster.Apply();
+      case Action::kReturn:
+        m_cluster.draining.clear();
+        return m_cluster.Apply();
+      case Action::kEdit:
+        return m_cluster.SetLimit("a", kLimitA - index);
+      case Action::kCount:
         return;
     }
   }
 
-  // Ends all faults and lets what can end come to its end.
-  void Heal() {
-    m_world.table.SetFaults({});
-    m_world.workers->SetFaults({});
-    m_world.TakeOver(m_world.current);
-    m_world.both_answer = false;
-    m_world.draining.clear();
-    m_world.SetLimit("a", kLimitA);
-    for (std::size_t index = 0; index < m_world.workers->Count(); ++index) {
-      m_world.workers->At(index).SetPaused(false);
-      m_world.workers->At(index).SetFailing(false);
+  // Ends all faults and runs until every task that can end has ended.
+  void StopFaults() {
+    m_cluster.table.SetFaults({});
+    m_cluster.workers->SetFaults({});
+    m_cluster.TakeOver(m_cluster.current);
+    m_cluster.both_answer = false;
+    m_cluster.draining.clear();
+    m_cluster.SetLimit("a", kLimitA);
+    for (std::size_t index = 0; index < m_cluster.workers->Count(); ++index) {
+      m_cluster.workers->At(index).SetPaused(false);
+      m_cluster.workers->At(index).SetFailing(false);
     }
-    m_world.Run(seconds(900));
+    m_cluster.Run(seconds(900));
   }
 
   bool WasCancelled(const std::string& key) const {
@@ -150,31 +150,32 @@
 
  private:
   void Submit(const Event& event) {
-    const bool idempotent = event.act == Act::kSubmit;
-    m_world.Submit(DrawSpec(m_submitted++, event.choice, idempotent));
+    const bool idempotent = event.act == Action::kSubmit;
+    m_cluster.Submit(DrawSpec(m_submitted++, event.choice, idempotent));
   }
 
   void Cancel(int choice) {
     const std::string key = "q/" + std::to_string(choice);
-    m_world.Send(work::CancelEvent{key});
+    m_cluster.Send(work::CancelEvent{key});
     m_cancelled.insert(key);
   }
 
-  TaskWorld& m_world;
+  TaskCluster& m_cluster;
   int m_submitted = 0;
   std::set<std::string> m_cancelled;
 };
 
-// How often the workers began a task without a checkpoint to go on from.
-std::size_t Beginnings(const TaskWorld& world, const std::string& key) {
-  return world.CountLog(key, WorkerEvent::kStarted) -
-         std::min(world.CountLog(key, WorkerEvent::kStarted),
-                  world.CountLog(key, WorkerEvent::kCheckpointed));
+// Counts the starts of a task without a checkpoint to resume from.
+std::size_t CountFreshStarts(const TaskCluster& cluster,
+                             const std::string& key) {
+  return cluster.CountLog(key, WorkerEvent::kStarted) -
+         std::min(cluster.CountLog(key, WorkerEvent::kStarted),
+                  cluster.CountLog(key, WorkerEvent::kCheckpointed));
 }
 
-void CheckEnds(TaskWorld& world, const Chaos& chaos) {
-  for (const std::string& key : world.acknowledged) {
-    const auto task = world.Stored(key);
+void CheckEnds(TaskCluster& cluster, const FaultInjector& injector) {
+  for (const std::string& key : cluster.acknowledged) {
+    const auto task = cluster.Stored(key);
     RC_ASSERT(task.has_value());
     RC_ASSERT(!task->reason.empty());
     const bool over = task->state == TaskState::kEnded;
@@ -184,31 +185,31 @@
              << task->reason << "\n";
     RC_ASSERT(over || in_doubt);
     if (!task->spec.idempotent) {
-      RC_ASSERT(Beginnings(world, key) <= 1U);
+      RC_ASSERT(CountFreshStarts(cluster, key) <= 1U);
     }
     if (task->outcome == work::TaskOutcome::kCancelled) {
-      RC_ASSERT(chaos.WasCancelled(key));
+      RC_ASSERT(injector.WasCancelled(key));
     }
   }
 }
 
 void CheckHistory(const std::vector<Event>& events) {
-  TaskWorld world(4, 7);
-  world.SetLimit("a", kLimitA);
-  world.SetLimit("b", kLimitB);
-  Chaos chaos(world);
+  TaskCluster cluster(4, 7);
+  cluster.SetLimit("a", kLimitA);
+  cluster.SetLimit("b", kLimitB);
+  FaultInjector injector(cluster);
   for (const Event& event : events) {
-    chaos.Do(event);
-    RC_ASSERT(world.peak_running["a"] <= kLimitA);
-    RC_ASSERT(world.peak_running["b"] <= kLimitB);
+    injector.Perform(event);
+    RC_ASSERT(cluster.peak_running["a"] <= kLimitA);
+    RC_ASSERT(cluster.peak_running["b"] <= kLimitB);
   }
-  chaos.Heal();
-  RC_ASSERT(world.peak_running["a"] <= kLimitA);
-  RC_ASSERT(world.peak_running["b"] <= kLimitB);
-  CheckEnds(world, chaos);
+  injector.StopFaults();
+  RC_ASSERT(cluster.peak_running["a"] <= kLimitA);
+  RC_ASSERT(cluster.peak_running["b"] <= kLimitB);
+  CheckEnds(cluster, injector);
 }
 
-TEST(TaskPropertyTest, NothingVanishesNothingRunsTwiceNoLimitIsExceeded) {
+TEST(TaskPropertyTest, NoTaskIsLostOrRunTwiceAndNoLimitIsExceeded) {
   rc::detail::TestParams params;
   params.seed = 20261203;
   params.maxSuccess = 300;
