--- a/include/cassiastile/platform/circuit_breaker.hpp
+++ b/include/cassiastile/platform/circuit_breaker.hpp
@@ -8,25 +8,26 @@
 
 namespace cassiastile::platform {
 
+// The usual states of a circuit breaker.
 enum class BreakerState : std::uint8_t {
   kClosed,    // Calls go through.
   kOpen,      // Calls fail at once.
-  kHalfOpen,  // One call goes through to try the service.
+  kHalfOpen,  // One call goes through as a probe.
 };
 
 std::string_view NameOf(BreakerState state);
 
+// Thresholds of a circuit breaker.
 struct CircuitBreakerOptions {
-  std::uint32_t failures_to_open = 5;  // In a row.
-  // How long the breaker stays open: doubled after each failed probe, up to the
-  // longest, and spread by half of it at random so that hosts don't return
-  // together.
+  std::uint32_t failures_to_open = 5;  // Consecutive failures.
+  // How long the breaker stays open. The time doubles after each failed probe,
+  // up to `longest_open`; random jitter adds up to half of it, so that hosts
+  // don't return together.
   base::Duration shortest_open = std::chrono::milliseconds(500);
   base::Duration longest_open = std::chrono::seconds(2);
 };
 
-// Keeps calls away from a service that fails. Not safe for use by several
-// threads.
+// Stops calls to a service that keeps failing. Not thread-safe.
 class CircuitBreaker {
  public:
   CircuitBreaker(CircuitBreakerOptions options, std::uint64_t seed);
@@ -34,7 +35,9 @@
   // Whether a call may be made now. A call let through in the half-open state
   // must be followed by Succeed or Fail.
   bool Allow(base::TimePoint now);
+  // Reports that an allowed call succeeded; closes the breaker.
   void Succeed();
+  // Reports that an allowed call failed; may open the breaker.
   void Fail(base::TimePoint now);
 
   BreakerState State() const;
--- a/include/cassiastile/platform/decision_log.hpp
+++ b/include/cassiastile/platform/decision_log.hpp
@@ -17,40 +17,44 @@
 
 namespace cassiastile::platform {
 
+// Options of a DecisionLog.
 struct DecisionLogOptions {
-  std::string process;  // Names this process and run, such as "e1-3".
+  std::string process;  // Unique per start of a process, such as "e1-3".
   std::chrono::milliseconds flush_interval{1000};
   std::size_t batch_decisions = 500;
-  // Decisions kept until they are stored. Beyond it the oldest are dropped and
-  // counted.
+  // Limit of decisions that wait to be stored. Beyond it the oldest are dropped
+  // and counted.
   std::size_t max_unstored = 20000;
-  // Stored decisions kept in memory to answer from without the store.
+  // Latest decisions kept in memory, so that FindRecent needs no store.
   std::size_t max_recent = 2000;
 };
 
+// Numbers of decisions since the log was created.
 struct DecisionLogCounts {
   std::uint64_t recorded = 0;
   std::uint64_t stored = 0;
   std::uint64_t dropped = 0;
 };
 
-// Keeps decisions: takes them at once, stores them in batches in the object
-// store as decisions/<process>/<first number, 12 digits>, and numbers them, so
-// that a gap in the numbers shows what was lost with its host. While the store
-// is down they wait in bounded memory. Safe for use by several threads.
+// Records decisions without blocking on the store: a thread writes them in
+// batches to the object store, as decisions/<process>/<first number, 12
+// digits>. Decisions are numbered, so that a gap in the numbers shows which
+// ones were lost with their host. While the store is down they wait in bounded
+// memory. Thread-safe.
 class DecisionLog final : public base::DecisionSink {
  public:
   // The store outlives the log.
   static std::unique_ptr<DecisionLog> Create(ObjectStore& objects,
                                              DecisionLogOptions options);
-  // Stores what waits, as far as the store takes it.
+  // Stores the waiting decisions, until the store fails.
   ~DecisionLog() override;
   DecisionLog(const DecisionLog&) = delete;
   DecisionLog& operator=(const DecisionLog&) = delete;
 
   void Record(base::Decision decision) override;
 
-  // Stores one batch now. False when nothing waited or the store failed.
+  // Stores one batch now. Returns false if none was waiting or the store
+  // failed.
   bool Flush();
 
   // The decision with this id among those in memory.
@@ -66,7 +70,7 @@
   DecisionLog(ObjectStore& objects, DecisionLogOptions options);
   void Run();
   std::vector<Numbered> NextBatch() const;
-  void Stored(std::uint64_t last_number);
+  void MarkStored(std::uint64_t last_number);
 
   ObjectStore& m_objects;
   DecisionLogOptions m_options;
@@ -74,26 +78,27 @@
   std::condition_variable m_wake;
   bool m_stopping = false;
   std::uint64_t m_next_number = 1;
-  std::deque<Numbered> m_waiting;
+  std::deque<Numbered> m_unstored;
   std::deque<base::Decision> m_recent;
   DecisionLogCounts m_counts;
-  std::mutex m_flushing;
+  std::mutex m_flush_mutex;
   std::thread m_thread;
 };
 
-// Numbers that no stored batch of a process holds, up to the last stored one.
+// A range of decision numbers, both ends included, that no stored batch of a
+// process holds. Numbers after the last stored one don't count.
 struct DecisionGap {
   std::string process;
   std::uint64_t first = 0;
   std::uint64_t last = 0;
 };
 
-// Looks a decision up among the stored batches of all processes, newest batches
-// of each first. kNotFound when none holds it.
+// Searches the stored batches of all processes, the newest batch of each
+// process first. Fails with kNotFound if none holds the decision.
 base::Result<base::Decision> FindStoredDecision(ObjectStore& objects,
                                                 const std::string& id);
 
-// What the stored batches show to be missing.
+// Finds the gaps in the numbers of the stored batches of all processes.
 base::Result<std::vector<DecisionGap>> FindDecisionGaps(ObjectStore& objects);
 
 }  // namespace cassiastile::platform
--- a/include/cassiastile/platform/host_list.hpp
+++ b/include/cassiastile/platform/host_list.hpp
@@ -9,13 +9,14 @@
 
 namespace cassiastile::platform {
 
-// What a listed process is for.
+// The role of a listed process.
 enum class ListedRole : std::uint8_t {
   kRunner,  // Serves requests of one service.
   kWorker,  // Runs tasks of one pool.
   kEntry,   // One of the system's own hosts.
 };
 
+// Whether a listed process stays or is leaving, as on a draining machine.
 enum class ListedState : std::uint8_t {
   kLive,
   kLeaving,
@@ -24,7 +25,7 @@
 std::string_view NameOf(ListedRole role);
 std::string_view NameOf(ListedState state);
 
-// One entry of the platform's list. The list lags, and may be wrong.
+// An entry of the platform's host list. The list lags behind and may be wrong.
 struct ListedHost {
   std::string name;
   ListedRole role = ListedRole::kRunner;
@@ -34,12 +35,13 @@
   std::string machine;  // The host that it runs on.
   std::string service;  // For runners.
   std::string address;  // IP:PORT of its HTTP endpoint.
-  // Grows each time the process starts anew.
+  // Increases with each start of the process.
   std::uint64_t incarnation = 0;
 
   bool operator==(const ListedHost&) const = default;
 };
 
+// The platform's list of processes. Calls block; errors are those of Table.
 class HostList {
  public:
   virtual ~HostList() = default;
--- a/include/cassiastile/platform/http_platform.hpp
+++ b/include/cassiastile/platform/http_platform.hpp
@@ -12,14 +12,16 @@
 
 namespace cassiastile::platform {
 
-// Where and how the platform's services are called over HTTP; docs/PLATFORM.md
+// Connection settings of the platform's HTTP services. docs/PLATFORM.md
 // describes the calls.
 struct HttpPlatformLink {
-  wire::HttpClient* client = nullptr;  // Outlives all that use the link.
-  std::string address;                 // IP:PORT
+  wire::HttpClient* client =
+      nullptr;          // Not owned; outlives all users of the link.
+  std::string address;  // IP:PORT
   std::chrono::milliseconds timeout{800};
 };
 
+// The platform's table over HTTP.
 class HttpTable final : public Table {
  public:
   explicit HttpTable(HttpPlatformLink link);
@@ -36,6 +38,7 @@
   HttpPlatformLink m_link;
 };
 
+// The platform's object store over HTTP.
 class HttpObjects final : public ObjectStore {
  public:
   explicit HttpObjects(HttpPlatformLink link);
@@ -50,6 +53,7 @@
   HttpPlatformLink m_link;
 };
 
+// The platform's host list over HTTP.
 class HttpHostList final : public HostList {
  public:
   explicit HttpHostList(HttpPlatformLink link);
@@ -60,6 +64,7 @@
   HttpPlatformLink m_link;
 };
 
+// The platform's machine service over HTTP.
 class HttpMachines final : public Machines {
  public:
   explicit HttpMachines(HttpPlatformLink link);
--- a/include/cassiastile/platform/machines.hpp
+++ b/include/cassiastile/platform/machines.hpp
@@ -8,6 +8,7 @@
 
 namespace cassiastile::platform {
 
+// The state of a machine.
 enum class MachineState : std::uint8_t {
   kUp,
   kRebooting,
@@ -16,26 +17,28 @@
 
 std::string_view NameOf(MachineState state);
 
-// What the platform says of one machine, with its usual lag.
+// The platform's view of one machine, which lags behind like the host list.
 struct MachineStatus {
   MachineState state = MachineState::kUp;
   bool draining = false;
-  std::uint64_t boots = 0;             // Grows with every boot.
-  std::uint32_t running_requests = 0;  // On the runners that it hosts.
+  std::uint64_t boots = 0;             // Increases with every boot.
+  std::uint32_t running_requests = 0;  // On its runners.
 };
 
-// The platform's machine service: it drains and reboots hosts on request. While
-// a machine drains, the host list shows its runners as leaving and its workers
-// go on until they are told otherwise. Calls block; errors are those of Table.
+// The platform's machine service, which drains and reboots hosts on request.
+// While a machine drains, the host list shows its runners as leaving; its
+// workers keep running until they get other orders. Calls block; errors are
+// those of Table.
 class Machines {
  public:
   virtual ~Machines() = default;
 
+  // Starts or ends draining.
   virtual base::Result<void> SetDraining(const std::string& host,
                                          bool draining) = 0;
 
-  // Reboots the machine if it has still booted `boots` times, so that a
-  // repeated call reboots it once. kConflict when it has booted since.
+  // Reboots the machine if its boot count is still `boots`, so that a repeated
+  // call reboots it only once. Fails with kConflict if it has booted since.
   virtual base::Result<void> Reboot(const std::string& host,
                                     std::uint64_t boots) = 0;
 
--- a/include/cassiastile/platform/memory_platform.hpp
+++ b/include/cassiastile/platform/memory_platform.hpp
@@ -15,8 +15,8 @@
 
 namespace cassiastile::platform {
 
-// What goes wrong in a service kept in memory. Probabilities are from 0 to 1
-// and drawn from a seeded engine.
+// Faults injected into an in-memory service. Probabilities are from 0 to 1,
+// with draws from a seeded engine.
 struct MemoryFaults {
   bool down = false;       // Every call fails and nothing is written.
   double fail_before = 0;  // The call fails and nothing is written.
@@ -25,15 +25,15 @@
   double delay_apply = 0;
 };
 
-// Counts of the calls that reached the service.
+// Numbers of calls that reached the service.
 struct MemoryCounts {
   std::uint64_t reads = 0;
   std::uint64_t writes = 0;  // Transactions, applied or not.
   std::uint64_t conflicts = 0;
 };
 
-// A table kept in memory, for tests and for the stand-in process. Safe for use
-// by several threads.
+// An in-memory table for tests and for the stand-in platform process.
+// Thread-safe.
 class MemoryTable final : public Table {
  public:
   explicit MemoryTable(std::uint64_t seed = 1);
@@ -67,7 +67,7 @@
   std::uint64_t m_sequence = 0;
 };
 
-// An object store kept in memory.
+// An in-memory object store. Thread-safe.
 class MemoryObjects final : public ObjectStore {
  public:
   base::Result<void> Put(const std::string& name,
@@ -84,8 +84,8 @@
   std::map<std::string, std::string> m_objects;
 };
 
-// A host list kept in memory. It does not lag by itself; a test sets what is
-// listed when it should be seen.
+// An in-memory host list. It doesn't lag by itself; a test sets an entry when
+// it should become visible. Thread-safe.
 class MemoryHostList final : public HostList {
  public:
   base::Result<std::vector<ListedHost>> List() override;
@@ -100,7 +100,8 @@
   std::map<std::string, ListedHost> m_hosts;
 };
 
-// Machines kept in memory. A reboot ends when a test or the stand-in says so.
+// In-memory machines. A reboot lasts until FinishReboots or FinishReboot is
+// called. Thread-safe.
 class MemoryMachines final : public Machines {
  public:
   base::Result<void> SetDraining(const std::string& host,
@@ -109,9 +110,9 @@
                             std::uint64_t boots) override;
   base::Result<MachineStatus> Status(const std::string& host) override;
 
-  // Sets a machine to what is given, making it where there is none.
+  // Sets the status of a machine, and adds the machine if it doesn't exist.
   void Set(const std::string& host, MachineStatus status);
-  // Ends the reboots under way, of all machines or of one.
+  // Complete the reboots in progress, of all machines or of one.
   void FinishReboots();
   void FinishReboot(const std::string& host);
   void SetDown(bool down);
--- a/include/cassiastile/platform/platform_json.hpp
+++ b/include/cassiastile/platform/platform_json.hpp
@@ -8,8 +8,8 @@
 
 namespace cassiastile::platform {
 
-// The JSON forms of the platform's calls, used at both ends. Reading throws
-// nlohmann::json::exception for a value of another shape.
+// JSON encoding of the platform's calls, used by clients and stand-in servers.
+// from_json throws nlohmann::json::exception for missing or mistyped members.
 void to_json(nlohmann::json& json, const Row& row);
 void from_json(const nlohmann::json& json, Row& row);
 void to_json(nlohmann::json& json, const Transaction& transaction);
--- a/include/cassiastile/platform/store_guard.hpp
+++ b/include/cassiastile/platform/store_guard.hpp
@@ -12,40 +12,46 @@
 
 namespace cassiastile::platform {
 
+// Limits of a StoreGuard.
 struct StoreGuardOptions {
-  // How long a call may take in all, waits and retries included.
+  // For a whole call, including waits and retries.
   base::Duration deadline = std::chrono::seconds(2);
   base::Duration first_backoff = std::chrono::milliseconds(20);
   base::Duration longest_backoff = std::chrono::milliseconds(400);
-  // This process's part of what the store takes from all hosts together.
+  // This process's share of the rates that the store allows all hosts together.
   double writes_per_second = 25;
   double reads_per_second = 100;
-  // Each call earns this many retries; a retry spends one.
+  // Each call adds this much to the retry budget, up to `retry_burst`; a retry
+  // takes 1 from it.
   double retries_per_call = 0.2;
   double retry_burst = 10;
   CircuitBreakerOptions breaker;
 };
 
+// Numbers since the guard was created.
 struct StoreGuardCounts {
   std::uint64_t calls = 0;
   std::uint64_t attempts = 0;
-  std::uint64_t resolved = 0;     // Lost answers whose outcome was found out.
-  std::uint64_t unknown = 0;      // Lost answers that stayed unknown.
-  std::uint64_t failed_fast = 0;  // Calls failed by the breaker or the budget.
+  std::uint64_t resolved =
+      0;  // Calls that lost an answer and got one by a retry.
+  std::uint64_t unknown = 0;  // Calls that ended with an unknown outcome.
+  // Attempts denied by the breaker, or by the rate limit up to the deadline.
+  std::uint64_t failed_fast = 0;
 };
 
-// The one way to the table. Gives each call a deadline, retries within a budget
-// with jitter, stops calling a store that fails, keeps to this process's part
-// of the store's capacity, and finds out what became of a transaction whose
-// answer was lost: the same transaction is applied again under its nonce, which
-// takes effect once at most. Errors are those of Table; kUnknown is returned
-// only when the deadline passes first. Safe for use by several threads.
+// Wraps the table; all of this process's calls to the table go through it.
+// Gives each call a deadline, retries with jitter within a budget, stops
+// calling a failing store, keeps to this process's share of the store's
+// capacity, and resolves transactions whose answer was lost: it applies the
+// same transaction again under its nonce, which takes effect at most once.
+// Errors are those of Table; kUnknown is returned only if an answer was lost
+// and the call ended before a retry was answered. Thread-safe.
 class StoreGuard final : public Table {
  public:
   using Sleep = std::function<void(base::Duration)>;
 
-  // All that is passed in outlives the guard. `sleep` waits; tests pass one
-  // that moves their clock.
+  // `table` and `clock` outlive the guard. `sleep` blocks for a duration; tests
+  // pass one that advances their clock.
   StoreGuard(Table& table,
              const base::Clock& clock,
              Sleep sleep,
@@ -61,7 +67,7 @@
       const std::string& nonce) override;
 
   StoreGuardCounts Counts() const;
-  // Whether the last call that was made got an answer.
+  // Whether the last attempt got an answer; false before the first.
   bool IsReachable() const;
 
  private:
@@ -76,10 +82,10 @@
   base::Result<Value> Run(CallKind kind, const Call& call);
 
   Admission Admit(CallKind kind);
-  bool WaitForTurn(CallKind kind, base::TimePoint deadline);
+  bool WaitForAdmission(CallKind kind, base::TimePoint deadline);
   bool Backoff(std::uint32_t attempt, base::TimePoint deadline);
-  void Note(bool answered);
-  void NoteEnd(bool was_unknown, bool is_unknown);
+  void RecordAttempt(bool answered);
+  void RecordCall(bool was_unknown, bool is_unknown);
 
   Table& m_table;
   const base::Clock& m_clock;
--- a/include/cassiastile/platform/token_bucket.hpp
+++ b/include/cassiastile/platform/token_bucket.hpp
@@ -4,13 +4,14 @@
 
 namespace cassiastile::platform {
 
-// A rate limit with room for short bursts. Not safe for use by several threads.
+// A rate limiter that allows short bursts. Not thread-safe.
 class TokenBucket {
  public:
   // `rate` is in tokens a second; the bucket starts full with `burst` tokens.
   TokenBucket(double rate, double burst);
 
-  // Takes a token and returns zero, or returns how long to wait for one.
+  // Takes a token and returns zero, or takes none and returns how long until
+  // one is available.
   base::Duration Take(base::TimePoint now);
 
  private:
--- a/src/cassiastile/platform/circuit_breaker.cpp
+++ b/src/cassiastile/platform/circuit_breaker.cpp
@@ -56,9 +56,9 @@
 void CircuitBreaker::Open(base::TimePoint now) {
   m_open_for = std::clamp(2 * m_open_for, m_options.shortest_open,
                           m_options.longest_open);
-  std::uniform_int_distribution<base::Duration::rep> spread(
+  std::uniform_int_distribution<base::Duration::rep> jitter(
       0, m_open_for.count() / 2);
-  m_open_until = now + m_open_for + base::Duration(spread(m_random));
+  m_open_until = now + m_open_for + base::Duration(jitter(m_random));
   m_state = BreakerState::kOpen;
 }
 
--- a/src/cassiastile/platform/decision_log.cpp
+++ b/src/cassiastile/platform/decision_log.cpp
@@ -21,7 +21,7 @@
   return fmt::format("{}{}/{:012}", kPrefix, process, first);
 }
 
-// The process that an object's name stands for.
+// The process part of an object's name.
 std::string ProcessOf(const std::string& name) {
   const std::size_t end = name.rfind('/');
   return name.substr(kPrefix.size(), end - kPrefix.size());
@@ -81,15 +81,15 @@
   if (m_recent.size() > m_options.max_recent) {
     m_recent.pop_front();
   }
-  m_waiting.push_back({m_next_number++, std::move(decision)});
-  if (m_waiting.size() > m_options.max_unstored) {
-    m_waiting.pop_front();
+  m_unstored.push_back({m_next_number++, std::move(decision)});
+  if (m_unstored.size() > m_options.max_unstored) {
+    m_unstored.pop_front();
     ++m_counts.dropped;
   }
 }
 
 bool DecisionLog::Flush() {
-  const std::lock_guard flushing(m_flushing);
+  const std::lock_guard flush_lock(m_flush_mutex);
   const std::vector<Numbered> batch = NextBatch();
   if (batch.empty()) {
     return false;
@@ -107,7 +107,7 @@
   if (!m_objects.Put(ObjectName(m_options.process, first), content)) {
     return false;
   }
-  Stored(last);
+  MarkStored(last);
   return true;
 }
 
@@ -143,20 +143,20 @@
   }
 }
 
-// A run of consecutive numbers, so that an object's first and last number tell
+// A batch has consecutive numbers, so that its first and last number tell
 // exactly what it holds even when older decisions were dropped.
 std::vector<DecisionLog::Numbered> DecisionLog::NextBatch() const {
   const std::lock_guard lock(m_mutex);
   const std::size_t count =
-      std::min(m_waiting.size(), m_options.batch_decisions);
-  return {m_waiting.begin(),
-          m_waiting.begin() + static_cast<std::ptrdiff_t>(count)};
+      std::min(m_unstored.size(), m_options.batch_decisions);
+  return {m_unstored.begin(),
+          m_unstored.begin() + static_cast<std::ptrdiff_t>(count)};
 }
 
-void DecisionLog::Stored(std::uint64_t last_number) {
+void DecisionLog::MarkStored(std::uint64_t last_number) {
   const std::lock_guard lock(m_mutex);
-  while (!m_waiting.empty() && m_waiting.front().number <= last_number) {
-    m_waiting.pop_front();
+  while (!m_unstored.empty() && m_unstored.front().number <= last_number) {
+    m_unstored.pop_front();
     ++m_counts.stored;
   }
 }
--- a/src/cassiastile/platform/decision_log_test.cpp
+++ b/src/cassiastile/platform/decision_log_test.cpp
@@ -16,7 +16,7 @@
   return decision;
 }
 
-// A log that stores only when the test says so.
+// A log that stores only when the test calls Flush or destroys it.
 std::unique_ptr<DecisionLog> MakeLog(ObjectStore& objects,
                                      std::size_t max_unstored = 100) {
   DecisionLogOptions options;
@@ -43,7 +43,7 @@
   EXPECT_TRUE(FindDecisionGaps(objects)->empty());
 }
 
-TEST(DecisionLogTest, OutageKeepsDecisionsAndSaysWhatWasDropped) {
+TEST(DecisionLogTest, OutageKeepsDecisionsAndReportsDroppedOnes) {
   MemoryObjects objects;
   const auto log = MakeLog(objects, 5);
   objects.SetDown(true);
--- a/src/cassiastile/platform/http_platform.cpp
+++ b/src/cassiastile/platform/http_platform.cpp
@@ -18,8 +18,8 @@
 constexpr int kConflict = 409;
 constexpr int kServiceUnavailable = 503;
 
-// What a failed call means: for a read nothing was to be written, so that a
-// lost answer is no worse than no connection.
+// Whether a call may write. The lost answer of a read is no worse than a failed
+// connection, since nothing was to be written.
 enum class CallEffect : std::uint8_t { kReads, kWrites };
 
 base::ErrorCode CodeOfFailure(const wire::HttpFailure& failure,
@@ -53,9 +53,9 @@
   }
 }
 
-// The library may re-send a call by itself when a kept connection turns out to
-// be closed. All of these calls are idempotent: a transaction by its nonce, a
-// reboot by the count of boots.
+// The HTTP library may resend a call by itself when a kept-alive connection
+// turns out to be closed. All of these calls are idempotent: a transaction by
+// its nonce, a reboot by the boot count.
 base::Result<wire::HttpResponse> CallPlatform(const HttpPlatformLink& link,
                                               CallEffect effect,
                                               const std::string& method,
@@ -79,8 +79,7 @@
   return CheckStatus(std::move(*outcome), effect);
 }
 
-// Turns an answer's JSON into a value; an answer of another shape is as good
-// as none.
+// Decodes a JSON answer. An answer that can't be decoded counts as a lost one.
 template <typename Value, typename Read>
 base::Result<Value> ReadAnswer(const base::Result<wire::HttpResponse>& answer,
                                CallEffect effect,
@@ -98,7 +97,8 @@
   }
 }
 
-base::Result<void> ReadNothing(const base::Result<wire::HttpResponse>& answer) {
+base::Result<void> CheckAnswered(
+    const base::Result<wire::HttpResponse>& answer) {
   if (!answer) {
     return tl::unexpected(answer.error());
   }
@@ -165,8 +165,8 @@
 
 base::Result<void> HttpObjects::Put(const std::string& name,
                                     const std::string& content) {
-  return ReadNothing(CallPlatform(m_link, CallEffect::kWrites, "PUT",
-                                  "/v1/objects/" + name, content));
+  return CheckAnswered(CallPlatform(m_link, CallEffect::kWrites, "PUT",
+                                    "/v1/objects/" + name, content));
 }
 
 base::Result<std::string> HttpObjects::Get(const std::string& name) {
@@ -205,7 +205,7 @@
 base::Result<void> HttpMachines::SetDraining(const std::string& host,
                                              bool draining) {
   const json body{{"draining", draining}};
-  return ReadNothing(CallPlatform(
+  return CheckAnswered(CallPlatform(
       m_link, CallEffect::kWrites, "POST",
       "/v1/machines/" + wire::EncodePercent(host) + "/draining", body.dump()));
 }
@@ -213,7 +213,7 @@
 base::Result<void> HttpMachines::Reboot(const std::string& host,
                                         std::uint64_t boots) {
   const json body{{"boots", boots}};
-  return ReadNothing(CallPlatform(
+  return CheckAnswered(CallPlatform(
       m_link, CallEffect::kWrites, "POST",
       "/v1/machines/" + wire::EncodePercent(host) + "/reboot", body.dump()));
 }
--- a/src/cassiastile/platform/memory_platform_test.cpp
+++ b/src/cassiastile/platform/memory_platform_test.cpp
@@ -37,14 +37,14 @@
   EXPECT_EQ(table.Get("row").value()->value, "1");
 }
 
-TEST(MemoryTableTest, SpoiltNonceKeepsADelayedWriteOut) {
+TEST(MemoryTableTest, UsedNonceBlocksADelayedWrite) {
   MemoryTable table;
   ASSERT_TRUE(table.Apply({"a", {}, {}}).has_value());
   ASSERT_TRUE(table.Apply(SetOnce("a", "late")).has_value());
   EXPECT_FALSE(table.Get("row").value().has_value());
 }
 
-TEST(MemoryTableTest, VersionsGoOnAfterDeletion) {
+TEST(MemoryTableTest, VersionsKeepIncreasingAfterDeletion) {
   MemoryTable table;
   ASSERT_TRUE(table.Apply({"a", {}, {{"row", "1"}}}).has_value());
   ASSERT_TRUE(table.Apply({"b", {{"row", 1}}, {{"row", {}}}}).has_value());
--- a/src/cassiastile/platform/store_guard.cpp
+++ b/src/cassiastile/platform/store_guard.cpp
@@ -62,21 +62,21 @@
   return m_reachable;
 }
 
-// Once an attempt's answer was lost, the outcome stays unknown until an attempt
-// is answered: one that fails before it reaches the store proves nothing about
-// the one before.
+// After a lost answer the outcome stays unknown until a later attempt is
+// answered. An attempt that fails before it reaches the store proves nothing
+// about the earlier one.
 template <typename Value, typename Call>
 base::Result<Value> StoreGuard::Run(CallKind kind, const Call& call) {
   const base::TimePoint deadline = m_clock.Now() + m_options.deadline;
   base::Result<Value> result = base::Fail(
       base::ErrorCode::kUnavailable, "The store is not called while it fails.");
   bool unknown = false;
-  for (std::uint32_t attempt = 0; WaitForTurn(kind, deadline); ++attempt) {
+  for (std::uint32_t attempt = 0; WaitForAdmission(kind, deadline); ++attempt) {
     result = call();
     const bool answered = result || !IsTransient(result.error().code);
-    Note(answered);
+    RecordAttempt(answered);
     if (answered) {
-      NoteEnd(unknown, false);
+      RecordCall(unknown, false);
       return result;
     }
     unknown = unknown || result.error().code == base::ErrorCode::kUnknown;
@@ -84,7 +84,7 @@
       break;
     }
   }
-  NoteEnd(unknown, unknown);
+  RecordCall(unknown, unknown);
   if (unknown) {
     return base::Fail(base::ErrorCode::kUnknown,
                       "The store's answer was lost; the write may have "
@@ -104,7 +104,7 @@
   return {m_breaker.Allow(now), base::Duration::zero()};
 }
 
-bool StoreGuard::WaitForTurn(CallKind kind, base::TimePoint deadline) {
+bool StoreGuard::WaitForAdmission(CallKind kind, base::TimePoint deadline) {
   while (true) {
     const Admission admission = Admit(kind);
     if (admission.allowed) {
@@ -112,8 +112,8 @@
       ++m_counts.attempts;
       return true;
     }
-    const bool failed_fast = admission.wait == base::Duration::zero();
-    if (failed_fast || m_clock.Now() + admission.wait > deadline) {
+    const bool breaker_open = admission.wait == base::Duration::zero();
+    if (breaker_open || m_clock.Now() + admission.wait > deadline) {
       const std::lock_guard lock(m_mutex);
       ++m_counts.failed_fast;
       return false;
@@ -123,7 +123,7 @@
 }
 
 bool StoreGuard::Backoff(std::uint32_t attempt, base::TimePoint deadline) {
-  constexpr std::uint32_t kMostDoublings = 10;
+  constexpr std::uint32_t kMaxDoublings = 10;
   base::Duration wait{};
   {
     const std::lock_guard lock(m_mutex);
@@ -133,10 +133,10 @@
     m_retry_tokens -= 1;
     const base::Duration longest = std::min(
         m_options.longest_backoff,
-        m_options.first_backoff * (1U << std::min(attempt, kMostDoublings)));
-    std::uniform_int_distribution<base::Duration::rep> spread(
+        m_options.first_backoff * (1U << std::min(attempt, kMaxDoublings)));
+    std::uniform_int_distribution<base::Duration::rep> jitter(
         longest.count() / 2, longest.count());
-    wait = base::Duration(spread(m_random));
+    wait = base::Duration(jitter(m_random));
   }
   if (m_clock.Now() + wait > deadline) {
     return false;
@@ -145,7 +145,7 @@
   return true;
 }
 
-void StoreGuard::Note(bool answered) {
+void StoreGuard::RecordAttempt(bool answered) {
   const std::lock_guard lock(m_mutex);
   m_reachable = answered;
   if (answered) {
@@ -155,7 +155,7 @@
   }
 }
 
-void StoreGuard::NoteEnd(bool was_unknown, bool is_unknown) {
+void StoreGuard::RecordCall(bool was_unknown, bool is_unknown) {
   const std::lock_guard lock(m_mutex);
   ++m_counts.calls;
   m_retry_tokens = std::min(m_options.retry_burst,
--- a/src/cassiastile/platform/store_guard_test.cpp
+++ b/src/cassiastile/platform/store_guard_test.cpp
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A guard over a table in memory, in virtual time.
+// A StoreGuard over an in-memory table, in virtual time.
 class StoreGuardTest : public testing::Test {
  protected:
   StoreGuard MakeGuard(StoreGuardOptions options = {}) {
@@ -27,8 +27,8 @@
   base::ManualClock m_clock;
 };
 
-// Inserts a hundred rows while the faults last, then checks each answer against
-// what the table holds once nothing is under way any more.
+// Inserts a hundred rows under faults, then checks each answer against the
+// table once no transaction is in flight any more.
 class StoreGuardAnswersTest : public StoreGuardTest,
                               public testing::WithParamInterface<MemoryFaults> {
 };
@@ -82,7 +82,7 @@
   EXPECT_EQ(m_table.Counts().writes, 2U);
 }
 
-TEST_F(StoreGuardTest, OutageReachesTheStoreFarLessThanBlindRetry) {
+TEST_F(StoreGuardTest, FewCallsReachTheStoreDuringAnOutage) {
   StoreGuard guard = MakeGuard();
   m_table.SetFaults({.down = true});
   constexpr int kCalls = 600;
@@ -90,11 +90,11 @@
     EXPECT_FALSE(guard.Get("row").has_value());
     m_clock.Advance(milliseconds(100));
   }
-  // A minute of outage with a probe each 2 s or more, after the first calls.
+  // One minute of outage: after the first calls, a probe every 2 s or more.
   EXPECT_LT(m_table.Counts().reads, 60U);
 }
 
-TEST_F(StoreGuardTest, ReturnsSoonAfterAnOutage) {
+TEST_F(StoreGuardTest, RecoversSoonAfterAnOutage) {
   StoreGuard guard = MakeGuard();
   m_table.SetFaults({.down = true});
   for (int i = 0; i < 100; ++i) {
@@ -108,11 +108,11 @@
     m_clock.Advance(milliseconds(100));
   }
   EXPECT_TRUE(guard.IsReachable());
-  // The longest open time, its spread and one step.
+  // The longest open time, its jitter and one step.
   EXPECT_LE(m_clock.Now() - back, milliseconds(3100));
 }
 
-TEST_F(StoreGuardTest, KeepsToItsPartOfTheStore) {
+TEST_F(StoreGuardTest, KeepsToItsWriteRate) {
   StoreGuardOptions options;
   options.writes_per_second = 10;
   options.deadline = seconds(60);
@@ -122,7 +122,7 @@
   for (int i = 0; i < kWrites; ++i) {
     ASSERT_TRUE(guard.Apply({std::to_string(i), {}, {}}).has_value());
   }
-  // A burst of ten is free; the hundred after it take ten seconds.
+  // A burst of ten doesn't wait; the hundred after it take ten seconds.
   EXPECT_GE(m_clock.Now() - start, milliseconds(9900));
 }
 
