--- a/include/cassiastile/soak/fault_plan.hpp
+++ b/include/cassiastile/soak/fault_plan.hpp
@@ -11,23 +11,24 @@
 
 namespace cassiastile::soak {
 
+// What goes wrong, or what the operators do, during a run.
 enum class FaultKind : std::uint8_t {
-  kKill,           // SIGKILL; the process starts again soon after.
-  kStop,           // SIGTERM, the same.
+  kKill,           // SIGKILL; the process restarts soon after.
+  kStop,           // SIGTERM; the process restarts soon after.
   kPause,          // SIGSTOP for a time, then SIGCONT.
   kReload,         // SIGHUP with changed settings.
-  kDelay,          // Each piece of data is held up for a moment.
+  kDelay,          // All data is delayed by a moment.
   kReset,          // All connections are reset.
-  kCutToServer,    // Nothing gets to the server, for a time.
-  kCutFromServer,  // Nothing comes back from the server, for a time.
-  kSilence,        // Open connections go silent for good; new ones work.
-  kRefuse,         // The table answers that nothing was done, for a time.
-  kLoseAnswers,    // The table applies some commits without an answer.
-  kForget,         // The table forgets its history.
-  kCrash,          // A worker ends; another life begins later.
-  kLate,           // A worker carries out starts late and without an answer.
+  kCutToServer,    // No data reaches the server for a time.
+  kCutFromServer,  // No data comes from the server for a time.
+  kSilence,        // Open connections carry no data any more; new ones work.
+  kRefuse,         // The table refuses all calls for a time.
+  kLoseAnswers,    // The table leaves some applied commits unanswered.
+  kForget,         // The table discards its change history.
+  kCrash,          // A worker ends; its next incarnation begins later.
+  kLate,           // A worker carries out starts late and unanswered.
   kConfigure,      // The operators change the configuration.
-  kWave,           // The operators ask for upkeep of all machines.
+  kWave,           // The operators request maintenance of all machines.
 };
 
 inline constexpr std::array<base::EnumName<FaultKind>, 16> kFaultNames{{
@@ -49,9 +50,9 @@
     {FaultKind::kWave, "wave"},
 }};
 
-// What a fault happens to; `target` counts within it.
+// What a fault applies to. `Fault::target` is an index among these.
 enum class Place : std::uint8_t {
-  kHost,         // A process.
+  kHost,         // A host process.
   kHostCallers,  // The connections from callers to a host.
   kHostTable,    // The connections from a host to the table.
   kWorker,       // A worker, or the connections to it.
@@ -68,32 +69,36 @@
     {Place::kOperators, "operators"},
 }};
 
+// A fault, or an action of the operators, at a given time.
 struct Fault {
-  std::chrono::milliseconds at{0};  // From the begin of the run.
+  std::chrono::milliseconds at{0};  // From the end of the run's warm-up.
   FaultKind kind = FaultKind::kKill;
   Place place = Place::kHost;
   std::size_t target = 0;
-  std::chrono::milliseconds lasts{0};
+  // Zero for a fault without a duration.
+  std::chrono::milliseconds active_for{0};
 
   friend bool operator==(const Fault&, const Fault&) = default;
 };
 
+// Size of the fleet and of the plan.
 struct PlanOptions {
   std::size_t hosts = 5;
   std::size_t workers = 10;
   std::chrono::milliseconds length{10000};
-  // Faults come in series of up to four, about so far apart.
+  // Mean gap between series of faults; a series has up to four.
   std::chrono::milliseconds gap{700};
 };
 
 using FaultPlan = std::vector<Fault>;
 
-// The same seed and options make the same plan.
+// Makes a random plan. The same seed and options give the same plan.
 FaultPlan MakePlan(std::uint64_t seed, const PlanOptions& options);
 
-// One fault a line, as JSON.
+// Encodes a plan as JSON, one fault per line.
 std::string EncodePlan(const FaultPlan& plan);
-// Fails with kInvalid; the message names the line.
+// Decodes a plan; empty lines and lines that start with '#' are skipped. Fails
+// with kInvalid; the message names the line.
 base::Result<FaultPlan> DecodePlan(const std::string& text);
 
 }  // namespace cassiastile::soak
--- a/include/cassiastile/soak/host_process.hpp
+++ b/include/cassiastile/soak/host_process.hpp
@@ -9,8 +9,8 @@
 
 namespace cassiastile::soak {
 
-// A process that this program started, and that it may therefore signal. Ends
-// with its owner.
+// A host process that this program starts, and may therefore signal. The
+// destructor kills it.
 class HostProcess {
  public:
   HostProcess() = default;
@@ -18,14 +18,16 @@
   HostProcess(const HostProcess&) = delete;
   HostProcess& operator=(const HostProcess&) = delete;
 
-  // Output is appended to a file.
+  // Starts `program` with the settings file `settings`, and appends its output
+  // to the file `output`. Fails with kUnavailable.
   base::Result<void> Start(const std::string& program,
                            const std::string& settings,
                            const std::string& output);
-  // Nothing happens to a process that is not running.
+  // Does nothing if the process is not running.
   void Signal(int signal) const;
   bool IsRunning() const { return m_pid > 0; }
-  // How the process ended, once, as wait(2) says it.
+  // Returns the status of wait(2) once after the process has exited, else
+  // nothing. Doesn't block.
   std::optional<int> TakeExitStatus();
 
  private:
--- a/include/cassiastile/soak/loopback_proxy.hpp
+++ b/include/cassiastile/soak/loopback_proxy.hpp
@@ -12,16 +12,18 @@
 
 namespace cassiastile::soak {
 
-// Passes connections on to a port of this machine, and spoils them on demand.
-// Belongs to the thread that runs the loop.
+// A TCP proxy to a port of this machine that injects link faults on demand.
+// Must be used on the thread that runs `context`.
 class LoopbackProxy {
  public:
+  // Faults that apply to the data of all connections.
   struct LinkFaults {
-    std::chrono::milliseconds delay{0};
-    bool cut_to_server = false;    // Data to the server waits.
-    bool cut_from_server = false;  // Data from the server waits.
+    std::chrono::milliseconds delay{0};  // Added to each piece of data.
+    bool cut_to_server = false;          // Holds back data to the server.
+    bool cut_from_server = false;        // Holds back data from the server.
   };
 
+  // Listens on a free port. Fails with kUnavailable.
   static base::Result<std::unique_ptr<LoopbackProxy>> Start(
       asio::io_context& context,
       std::uint16_t target);
@@ -30,9 +32,9 @@
   LoopbackProxy& operator=(const LoopbackProxy&) = delete;
 
   std::uint16_t Port() const;
-  void Set(const LinkFaults& spoil);
+  void Set(const LinkFaults& link_faults);
   void ResetConnections();
-  // Open connections carry nothing any more; new ones do.
+  // Open connections stay open but carry no data any more; new ones work.
   void BlackholeConnections();
 
  private:
--- a/include/cassiastile/soak/soak.hpp
+++ b/include/cassiastile/soak/soak.hpp
@@ -11,18 +11,20 @@
 
 namespace cassiastile::soak {
 
+// Options of a soak run.
 struct SoakOptions {
   std::uint64_t seed = 1;
   PlanOptions plan;
-  FaultPlan faults;  // Empty for the seed's own plan.
+  FaultPlan faults;  // If empty, the plan is made from the seed.
   std::string host_program;
   std::string folder;  // For settings, logs and the plan; must exist.
-  // Hand-ins a second over all services.
+  // Submissions per second over all services.
   double jobs_per_second = 8;
-  // How long all accepted jobs may take to be done after the last fault.
-  std::chrono::milliseconds settle{20000};
+  // How long accepted jobs may take to be done after all faults have ended.
+  std::chrono::milliseconds settle_timeout{20000};
 };
 
+// Counts and invariant violations of a soak run.
 struct SoakResult {
   std::uint64_t seed = 0;
   std::size_t faults = 0;
@@ -30,17 +32,19 @@
   std::size_t accepted = 0;
   std::size_t refused = 0;
   std::size_t done = 0;
-  std::size_t starts = 0;  // Of processes.
+  std::size_t starts = 0;  // Of host processes, restarts included.
   std::vector<std::string> violations;
 };
 
-// Runs hosts as separate processes against stand-ins for the platform, spoils
-// them by a plan, and checks the promises from what callers and workers see.
-// Blocks until the run is over; no process is left behind.
+// Runs hosts as separate processes against stand-in platform services, injects
+// the faults of a plan, and checks the invariants from what callers and workers
+// see. Blocks until the run is over; no process is left behind.
 base::Result<SoakResult> RunSoak(const SoakOptions& options);
 
-// The smallest plan found that still fails, by leaving faults out; each
-// candidate is tried up to `tries` times, since processes run in real time.
+// Returns the smallest plan found that still fails, by leaving out faults. Each
+// candidate is tried up to `tries` times, since processes run in real time and
+// a failure may not recur at once. Fails with kInvalid if the whole plan
+// passes.
 base::Result<FaultPlan> ShrinkPlan(SoakOptions options, int tries);
 
 }  // namespace cassiastile::soak
--- a/src/cassiastile/soak/callers.cpp
+++ b/src/cassiastile/soak/callers.cpp
@@ -21,13 +21,14 @@
 constexpr int kUnavailable = 503;
 
 constexpr milliseconds kTimeout{2000};
-constexpr milliseconds kAskAgain{250};
-constexpr milliseconds kLookAgain{400};
+constexpr milliseconds kRetryDelay{250};
+constexpr milliseconds kStatePollInterval{400};
 constexpr int kMaxAttempts = 200;
-// A host that has just lost the office may still say so for a moment.
-constexpr int kMissingForGood = 3;
-// An accepted job is known everywhere after so long.
-constexpr milliseconds kVisible{3000};
+// A host that has just stopped being the leader may still answer for a moment
+// that it doesn't know a job.
+constexpr int kMaxMissingAnswers = 3;
+// Every host knows an accepted job after this time.
+constexpr milliseconds kVisibilityDelay{3000};
 
 }  // namespace
 
@@ -49,19 +50,19 @@
   return m_random() % m_fleet.Hosts();
 }
 
-jobs::JobSpec Callers::MakeSpec(bool lasts) {
+jobs::JobSpec Callers::MakeSpec(bool is_long_running) {
   const auto between = [this](std::int64_t low, std::int64_t high) {
     return std::uniform_int_distribution<std::int64_t>(low, high)(m_random);
   };
   jobs::JobSpec spec;
   spec.payload = base::MakeId(m_random);
-  const auto steps = lasts ? 1 : between(1, 2);
+  const auto steps = is_long_running ? 1 : between(1, 2);
   for (std::int64_t i = 0; i < steps; ++i) {
     jobs::StepSpec& step = spec.steps.emplace_back();
     step.count = static_cast<std::uint32_t>(between(1, 4));
     step.need = {between(1, 6) * 250, between(1, 8) * 64, 0};
     step.estimate = milliseconds(between(100, 900));
-    step.long_running = lasts;
+    step.long_running = is_long_running;
     if (i > 0) {
       step.after = {static_cast<std::uint32_t>(i - 1)};
     }
@@ -88,10 +89,10 @@
 }
 
 void Callers::Begin() {
-  if (!m_handing_in) {
+  if (!m_submitting) {
     return;
   }
-  HandIn();
+  SubmitJob();
   std::exponential_distribution<double> pause(m_options.jobs_per_second);
   constexpr double kMillisPerSecond = 1000.0;
   After(milliseconds(
@@ -99,15 +100,15 @@
         [this] { Begin(); });
 }
 
-void Callers::HandIn() {
+void Callers::SubmitJob() {
   Job job;
   job.id = base::MakeId(m_random).substr(0, 16);
   job.queue = m_random() % kServices;
-  constexpr std::uint64_t kLastsOneIn = 25;
+  constexpr std::uint64_t kLongRunningOneIn = 25;
   constexpr std::uint64_t kCancelledOneIn = 8;
-  job.lasts = m_random() % kLastsOneIn == 0;
+  job.is_long_running = m_random() % kLongRunningOneIn == 0;
   job.will_cancel = m_random() % kCancelledOneIn == 0;
-  jobs::JobSpec spec = MakeSpec(job.lasts);
+  jobs::JobSpec spec = MakeSpec(job.is_long_running);
   job.text = adapter::EncodeJob(spec);
   m_fleet.Checker().JobSubmitted(job.id, std::move(spec));
   const std::string id = job.id;
@@ -123,44 +124,44 @@
       MakeCall("POST", job, host),
       m_lifetime.Guard([this, id, host, sent_at = m_loop.GetClock().Now()](
                            const wire::HttpOutcome& outcome) {
-        CheckCut(host, sent_at, outcome);
-        Answered(id, host, outcome);
+        CheckCutRequest(host, sent_at, outcome);
+        HandleSubmitAnswer(id, host, outcome);
       }));
 }
 
-// A stop that was asked for finishes what was taken. A request that comes just
-// as the process ends may find nobody any more.
-void Callers::CheckCut(std::size_t host,
-                       base::TimePoint sent_at,
-                       const wire::HttpOutcome& outcome) {
-  constexpr milliseconds kLastMoment{200};
-  if (m_loop.GetClock().Now() - sent_at < kLastMoment) {
+// A host that is asked to stop finishes the requests that it has accepted. A
+// request that arrives just as the process exits may still be cut off.
+void Callers::CheckCutRequest(std::size_t host,
+                              base::TimePoint sent_at,
+                              const wire::HttpOutcome& outcome) {
+  constexpr milliseconds kExitRace{200};
+  if (m_loop.GetClock().Now() - sent_at < kExitRace) {
     return;
   }
   const bool cut = !outcome && !outcome.error().timed_out &&
                    outcome.error().state == wire::SendState::kMaybeSent;
   if (cut && m_fleet.HasOnlyPlannedStops(host)) {
     m_fleet.Checker().Violate(
-        fmt::format("host-{} cut a request off in a planned stop: {}", host,
+        fmt::format("host-{} cut off a request during a planned stop: {}", host,
                     outcome.error().message));
   }
 }
 
-void Callers::Answered(const std::string& id,
-                       std::size_t host,
-                       const wire::HttpOutcome& outcome) {
+void Callers::HandleSubmitAnswer(const std::string& id,
+                                 std::size_t host,
+                                 const wire::HttpOutcome& outcome) {
   Job& job = m_jobs.at(id);
   if (outcome && outcome->status == kOk) {
-    if (job.fate == Fate::kUnknown) {
-      job.fate = Fate::kAccepted;
+    if (job.known_state == KnownState::kUnknown) {
+      job.known_state = KnownState::kAccepted;
       job.accepted_at = m_loop.GetClock().Now();
       m_fleet.Checker().Accepted(id);
-      Follow(id);
+      ScheduleFollowUps(id);
     }
     return;
   }
-  if (job.fate != Fate::kUnknown) {
-    return;  // It was handed in again to see that it stays one job.
+  if (job.known_state != KnownState::kUnknown) {
+    return;  // A resubmission, to check that it stays one job.
   }
   const bool refused = outcome && (outcome->status == kTooMany ||
                                    outcome->status == kUnavailable ||
@@ -171,33 +172,34 @@
     m_fleet.Checker().Violate(fmt::format("host-{} answered {} to a valid job",
                                           host, outcome->status));
   }
-  job.maybe_arrived = job.maybe_arrived || !(refused || never_sent);
-  if (refused && !job.maybe_arrived) {
-    job.fate = Fate::kRefused;
+  job.may_have_arrived = job.may_have_arrived || !(refused || never_sent);
+  if (refused && !job.may_have_arrived) {
+    job.known_state = KnownState::kRefused;
     m_fleet.Checker().Refused(id);
     return;
   }
   if (job.attempts < kMaxAttempts) {
-    After(kAskAgain, [this, id] { Send(id); });
+    After(kRetryDelay, [this, id] { Send(id); });
   }
 }
 
-void Callers::Follow(const std::string& id) {
-  constexpr std::uint64_t kTwiceOneIn = 4;
-  constexpr int kLatestAgain = 2000;
-  if (m_random() % kTwiceOneIn == 0) {
-    After(milliseconds(m_random() % kLatestAgain), [this, id] { Send(id); });
+void Callers::ScheduleFollowUps(const std::string& id) {
+  constexpr std::uint64_t kResubmitOneIn = 4;
+  constexpr int kMaxFollowUpDelay = 2000;
+  if (m_random() % kResubmitOneIn == 0) {
+    After(milliseconds(m_random() % kMaxFollowUpDelay),
+          [this, id] { Send(id); });
   }
   if (m_jobs.at(id).will_cancel) {
-    After(milliseconds(m_random() % kLatestAgain), [this, id] {
+    After(milliseconds(m_random() % kMaxFollowUpDelay), [this, id] {
       Job& job = m_jobs.at(id);
-      if (job.fate == Fate::kAccepted) {
-        job.fate = Fate::kCancelling;
+      if (job.known_state == KnownState::kAccepted) {
+        job.known_state = KnownState::kCancelling;
         Cancel(id);
       }
     });
   }
-  After(kLookAgain, [this, id] { Look(id); });
+  After(kStatePollInterval, [this, id] { PollState(id); });
 }
 
 void Callers::Cancel(const std::string& id) {
@@ -206,18 +208,18 @@
       MakeCall("DELETE", m_jobs.at(id), host),
       m_lifetime.Guard([this, id, host, sent_at = m_loop.GetClock().Now()](
                            const wire::HttpOutcome& outcome) {
-        CheckCut(host, sent_at, outcome);
+        CheckCutRequest(host, sent_at, outcome);
         if (outcome && outcome->status == kOk) {
-          m_jobs.at(id).fate = Fate::kCancelled;
+          m_jobs.at(id).known_state = KnownState::kCancelled;
           m_fleet.Checker().CancelAcknowledged(id);
           return;
         }
-        After(kAskAgain, [this, id] { Cancel(id); });
+        After(kRetryDelay, [this, id] { Cancel(id); });
       }));
 }
 
-void Callers::Look(const std::string& id) {
-  if (m_jobs.at(id).fate != Fate::kAccepted) {
+void Callers::PollState(const std::string& id) {
+  if (m_jobs.at(id).known_state != KnownState::kAccepted) {
     return;
   }
   const std::size_t host = PickHost();
@@ -225,40 +227,41 @@
       MakeCall("GET", m_jobs.at(id), host),
       m_lifetime.Guard([this, id, host, sent_at = m_loop.GetClock().Now()](
                            const wire::HttpOutcome& outcome) {
-        CheckCut(host, sent_at, outcome);
+        CheckCutRequest(host, sent_at, outcome);
         Job& job = m_jobs.at(id);
         const bool gone = outcome && outcome->status == kGone;
-        job.missing = gone ? job.missing + 1 : 0;
-        if (job.missing == kMissingForGood &&
-            m_loop.GetClock().Now() - job.accepted_at > kVisible) {
+        job.missing_answers = gone ? job.missing_answers + 1 : 0;
+        if (job.missing_answers == kMaxMissingAnswers &&
+            m_loop.GetClock().Now() - job.accepted_at > kVisibilityDelay) {
           m_fleet.Checker().Violate("accepted job " + id + " is not known");
         }
-        if (outcome && outcome->status == kOk && job.fate == Fate::kAccepted) {
+        if (outcome && outcome->status == kOk &&
+            job.known_state == KnownState::kAccepted) {
           const auto phase = adapter::DecodeJobState(outcome->body);
           if (!phase) {
             m_fleet.Checker().Violate(phase.error().message);
           } else {
             m_fleet.Checker().PhaseReported(id, *phase);
             if (*phase == jobs::JobPhase::kDone) {
-              job.fate = Fate::kDone;
+              job.known_state = KnownState::kDone;
             }
           }
         }
-        After(kLookAgain, [this, id] { Look(id); });
+        After(kStatePollInterval, [this, id] { PollState(id); });
       }));
 }
 
 bool Callers::IsSettled() const {
   return std::ranges::all_of(m_jobs, [this](const auto& row) {
     const Job& job = row.second;
-    switch (job.fate) {
-      case Fate::kRefused:
-      case Fate::kDone:
+    switch (job.known_state) {
+      case KnownState::kRefused:
+      case KnownState::kDone:
         return true;
-      case Fate::kCancelled:
+      case KnownState::kCancelled:
         return m_fleet.Checker().RunningTasks(job.id) == 0;
-      case Fate::kAccepted:
-        return job.lasts &&
+      case KnownState::kAccepted:
+        return job.is_long_running &&
                m_fleet.Checker().RunningTasks(job.id) ==
                    m_fleet.Checker().SpecOf(job.id)->steps[0].count;
       default:
@@ -267,34 +270,38 @@
   });
 }
 
-void Callers::Judge() {
+void Callers::CheckOutcomes() {
   for (const auto& [id, job] : m_jobs) {
-    sim::InvariantChecker& watch = m_fleet.Checker();
-    const std::size_t running = watch.RunningTasks(id);
-    if (job.fate == Fate::kCancelled && running > 0) {
-      watch.Violate(
-          fmt::format("{} tasks of cancelled job {} run on", running, id));
-    } else if (job.fate == Fate::kAccepted && !job.lasts) {
-      watch.Violate(fmt::format("accepted job {} is not done: {} tasks are", id,
-                                watch.DoneTasks(id)));
-    } else if (job.fate == Fate::kAccepted &&
-               running != watch.SpecOf(id)->steps[0].count) {
-      watch.Violate(
-          fmt::format("of lasting job {} only {} tasks run", id, running));
-    } else if (job.fate == Fate::kUnknown || job.fate == Fate::kCancelling) {
-      watch.Violate(fmt::format("job {} got no final answer in {} attempts", id,
-                                job.attempts));
+    sim::InvariantChecker& checker = m_fleet.Checker();
+    const std::size_t running = checker.RunningTasks(id);
+    if (job.known_state == KnownState::kCancelled && running > 0) {
+      checker.Violate(
+          fmt::format("{} tasks of cancelled job {} still run", running, id));
+    } else if (job.known_state == KnownState::kAccepted &&
+               !job.is_long_running) {
+      checker.Violate(fmt::format("accepted job {} is not done: {} tasks are",
+                                  id, checker.DoneTasks(id)));
+    } else if (job.known_state == KnownState::kAccepted &&
+               running != checker.SpecOf(id)->steps[0].count) {
+      checker.Violate(
+          fmt::format("of long-running job {} only {} tasks run", id, running));
+    } else if (job.known_state == KnownState::kUnknown ||
+               job.known_state == KnownState::kCancelling) {
+      checker.Violate(fmt::format("job {} got no final answer in {} attempts",
+                                  id, job.attempts));
     }
   }
 }
 
-void Callers::Count(SoakResult& result) const {
+void Callers::AddCounts(SoakResult& result) const {
   result.jobs = m_jobs.size();
   for (const auto& [id, job] : m_jobs) {
-    result.refused += job.fate == Fate::kRefused ? 1 : 0;
-    result.accepted +=
-        job.fate != Fate::kRefused && job.fate != Fate::kUnknown ? 1 : 0;
-    result.done += job.fate == Fate::kDone ? 1 : 0;
+    result.refused += job.known_state == KnownState::kRefused ? 1 : 0;
+    result.accepted += job.known_state != KnownState::kRefused &&
+                               job.known_state != KnownState::kUnknown
+                           ? 1
+                           : 0;
+    result.done += job.known_state == KnownState::kDone ? 1 : 0;
   }
 }
 
--- a/src/cassiastile/soak/callers.hpp
+++ b/src/cassiastile/soak/callers.hpp
@@ -10,8 +10,9 @@
 
 namespace cassiastile::soak {
 
-// Callers that hand in jobs, ask again until they know, look at states and
-// cancel, as the platform's do. Connections are kept open.
+// Simulated callers that submit jobs, retry until the outcome is known, poll
+// states and cancel jobs, as the platform's callers do. Connections are kept
+// open.
 class Callers {
  public:
   Callers(asio::io_context& context,
@@ -19,18 +20,21 @@
           Fleet& fleet,
           const SoakOptions& options);
 
-  // Hands in jobs until told to stop.
+  // Submits jobs at random intervals until StopSubmitting.
   void Begin();
-  void BeginStop() { m_handing_in = false; }
-  // Whether every job's outcome is known and every accepted one is done.
+  void StopSubmitting() { m_submitting = false; }
+  // Whether every job's outcome is known and every accepted one is done, is
+  // cancelled with no task running, or is long-running with all tasks running.
   bool IsSettled() const;
-  // Adds a violation for each job that is not.
-  void Judge();
-  void Count(SoakResult& result) const;
+  // Reports a violation for each job that is not settled.
+  void CheckOutcomes();
+  // Adds the numbers of jobs to the result.
+  void AddCounts(SoakResult& result) const;
 
  private:
-  enum class Fate : std::uint8_t {
-    kUnknown,  // No answer that counts yet; asked for again.
+  // What the callers know of a job.
+  enum class KnownState : std::uint8_t {
+    kUnknown,  // No conclusive answer yet; submitted again.
     kAccepted,
     kRefused,
     kDone,
@@ -41,27 +45,27 @@
     std::string id;
     std::size_t queue = 0;
     std::string text;
-    Fate fate = Fate::kUnknown;
-    bool maybe_arrived = false;  // Some attempt may have been taken.
-    bool lasts = false;
+    KnownState known_state = KnownState::kUnknown;
+    bool may_have_arrived = false;  // Some attempt may have been accepted.
+    bool is_long_running = false;
     bool will_cancel = false;
     int attempts = 0;
-    int missing = 0;  // Answers in a row that there is no such job.
+    int missing_answers = 0;  // Consecutive answers that there is no such job.
     base::TimePoint accepted_at{};
   };
 
-  void HandIn();
+  void SubmitJob();
   void Send(const std::string& id);
-  void Answered(const std::string& id,
-                std::size_t host,
-                const wire::HttpOutcome& outcome);
-  void Follow(const std::string& id);
-  void Look(const std::string& id);
+  void HandleSubmitAnswer(const std::string& id,
+                          std::size_t host,
+                          const wire::HttpOutcome& outcome);
+  void ScheduleFollowUps(const std::string& id);
+  void PollState(const std::string& id);
   void Cancel(const std::string& id);
-  void CheckCut(std::size_t host,
-                base::TimePoint sent_at,
-                const wire::HttpOutcome& outcome);
-  jobs::JobSpec MakeSpec(bool lasts);
+  void CheckCutRequest(std::size_t host,
+                       base::TimePoint sent_at,
+                       const wire::HttpOutcome& outcome);
+  jobs::JobSpec MakeSpec(bool is_long_running);
   wire::HttpCall MakeCall(const std::string& method,
                           const Job& job,
                           std::size_t host) const;
@@ -74,7 +78,7 @@
   base::Random m_random;
   std::unique_ptr<wire::LoopClient> m_client;
   std::map<std::string, Job> m_jobs;
-  bool m_handing_in = true;
+  bool m_submitting = true;
   host::Lifetime m_lifetime;
 };
 
--- a/src/cassiastile/soak/fault_plan.cpp
+++ b/src/cassiastile/soak/fault_plan.cpp
@@ -15,17 +15,18 @@
 
 using std::chrono::milliseconds;
 
-struct Choice {
+// A kind of fault that a plan may draw, with its relative frequency.
+struct FaultChoice {
   FaultKind kind;
   Place place;
   int weight;
-  milliseconds longest;  // Zero for what has no duration.
+  milliseconds max_duration;  // Zero for a fault without a duration.
 };
 
 constexpr milliseconds kLongestCut{4000};
 constexpr milliseconds kLongestPause{6000};
 
-constexpr std::array<Choice, 25> kChoices{{
+constexpr std::array<FaultChoice, 25> kFaultChoices{{
     {FaultKind::kKill, Place::kHost, 5, {}},
     {FaultKind::kStop, Place::kHost, 4, {}},
     {FaultKind::kPause, Place::kHost, 4, kLongestPause},
@@ -53,7 +54,7 @@
     {FaultKind::kConfigure, Place::kOperators, 2, {}},
 }};
 
-std::size_t TargetsOf(Place place, const PlanOptions& options) {
+std::size_t TargetCount(Place place, const PlanOptions& options) {
   switch (place) {
     case Place::kHost:
     case Place::kHostCallers:
@@ -76,8 +77,8 @@
     return std::uniform_int_distribution<std::int64_t>(0, bound - 1)(random);
   };
   std::vector<double> weights;
-  weights.reserve(kChoices.size());
-  for (const Choice& choice : kChoices) {
+  weights.reserve(kFaultChoices.size());
+  for (const FaultChoice& choice : kFaultChoices) {
     weights.push_back(choice.weight);
   }
   std::discrete_distribution<std::size_t> choose(weights.begin(),
@@ -93,7 +94,7 @@
   }
   milliseconds at(below(options.gap.count()));
   while (at < options.length) {
-    const Choice& choice = kChoices.at(choose(random));
+    const FaultChoice& choice = kFaultChoices.at(choose(random));
     constexpr std::int64_t kMaxSeries = 4;
     const std::int64_t series = 1 + below(kMaxSeries) * below(2);
     for (std::int64_t i = 0; i < series; ++i) {
@@ -102,10 +103,11 @@
       fault.kind = choice.kind;
       fault.place = choice.place;
       fault.target = static_cast<std::size_t>(
-          below(static_cast<std::int64_t>(TargetsOf(choice.place, options))));
-      if (choice.longest.count() > 0) {
-        constexpr std::int64_t kShortest = 100;
-        fault.lasts = milliseconds(kShortest + below(choice.longest.count()));
+          below(static_cast<std::int64_t>(TargetCount(choice.place, options))));
+      if (choice.max_duration.count() > 0) {
+        constexpr std::int64_t kMinDuration = 100;
+        fault.active_for =
+            milliseconds(kMinDuration + below(choice.max_duration.count()));
       }
       plan.push_back(fault);
     }
@@ -122,8 +124,8 @@
                         {"fault", base::FindName(kFaultNames, fault.kind)},
                         {"place", base::FindName(kPlaceNames, fault.place)},
                         {"target", fault.target}};
-    if (fault.lasts.count() > 0) {
-      line["for_ms"] = fault.lasts.count();
+    if (fault.active_for.count() > 0) {
+      line["for_ms"] = fault.active_for.count();
     }
     text += line.dump() + "\n";
   }
--- a/src/cassiastile/soak/fleet.cpp
+++ b/src/cassiastile/soak/fleet.cpp
@@ -20,28 +20,30 @@
 using std::chrono::milliseconds;
 
 constexpr char kSpare[] = "spare";
-constexpr jobs::Resources kRoom{8000, 16384, 0};
-constexpr milliseconds kProcessCheck{20};
-constexpr milliseconds kRestart{300};
-// The platform takes a silent worker off its list after some heartbeats.
-constexpr milliseconds kListLapse{3000};
-constexpr milliseconds kMoveTime{800};
-constexpr milliseconds kUpkeepTime{1000};
+constexpr jobs::Resources kCapacity{8000, 16384, 0};
+constexpr milliseconds kProcessCheckInterval{20};
+constexpr milliseconds kRestartDelay{300};
+// The platform removes a silent worker from its list after some missed
+// heartbeats.
+constexpr milliseconds kDelistDelay{3000};
+constexpr milliseconds kMoveDuration{800};
+constexpr milliseconds kMaintenanceDuration{1000};
 constexpr milliseconds kLinkDelay{80};
 constexpr std::size_t kWaveMaxDown = 2;
-// Harm shows for about as long on connections and leases.
-constexpr milliseconds kHarmShows{4000};
+// A fault affects connections and leases for about this long.
+constexpr milliseconds kFaultEffect{4000};
 
-// Ports that nothing listens on now. They lie below those that the kernel hands
-// out to outgoing connections, which would take them while a host is down, and
-// begin at another place in each process, so that soaks can run side by side.
+// Returns ports that nothing listens on now. They lie below the kernel's
+// ephemeral ports, since an outgoing connection could take such a port while a
+// host is down. The search begins at a port that depends on the process id, so
+// that soaks can run side by side.
 std::vector<std::uint16_t> FreePorts(asio::io_context& context,
                                      std::size_t count) {
   constexpr int kLowest = 10000;
   constexpr int kHighest = 32000;
-  constexpr int kApart = 100;
-  constexpr int kBlocks = (kHighest - kLowest) / kApart;
-  int port = kLowest + (getpid() % kBlocks) * kApart;
+  constexpr int kBlockSize = 100;
+  constexpr int kBlocks = (kHighest - kLowest) / kBlockSize;
+  int port = kLowest + (getpid() % kBlocks) * kBlockSize;
   std::vector<std::uint16_t> ports;
   for (; ports.size() < count;
        port = port + 1 < kHighest ? port + 1 : kLowest) {
@@ -58,7 +60,7 @@
   return ports;
 }
 
-std::string Local(std::uint16_t port) {
+std::string LoopbackEndpoint(std::uint16_t port) {
   return "127.0.0.1:" + std::to_string(port);
 }
 
@@ -107,7 +109,7 @@
              std::vector<host::Machine> list;
              for (const auto& machine : m_machines) {
                list.push_back({machine->name, machine->pool, machine->state,
-                               machine->id, kRoom});
+                               machine->id, kCapacity});
              }
              return list;
            },
@@ -121,9 +123,9 @@
   m_machine_server = std::move(*machines);
   for (std::size_t i = 0; i < m_options.plan.workers; ++i) {
     auto worker = adapter::WorkerServer::Start(
-        m_context, m_loop, m_watch,
+        m_context, m_loop, m_checker,
         [this](const jobs::TaskId& task) -> const jobs::StepSpec* {
-          const jobs::JobSpec* spec = m_watch.SpecOf(task.job);
+          const jobs::JobSpec* spec = m_checker.SpecOf(task.job);
           return spec != nullptr && task.step < spec->steps.size()
                      ? &spec->steps[task.step]
                      : nullptr;
@@ -147,17 +149,17 @@
 }
 
 base::Result<void> Fleet::StartHosts() {
-  constexpr std::size_t kPortsOfHost = 4;
-  const auto ports = FreePorts(m_context, kPortsOfHost * m_options.plan.hosts);
+  constexpr std::size_t kPortsPerHost = 4;
+  const auto ports = FreePorts(m_context, kPortsPerHost * m_options.plan.hosts);
   for (std::size_t i = 0; i < m_options.plan.hosts; ++i) {
     auto host = std::make_unique<Host>();
     host->name = "host-" + std::to_string(i);
     host->settings_path = m_options.folder + "/" + host->name + ".json";
     host->log_path = m_options.folder + "/" + host->name + ".log";
-    host->peer_port = ports[kPortsOfHost * i];
-    host->metrics_port = ports[kPortsOfHost * i + 1];
-    host->client_port = ports[kPortsOfHost * i + 2];
-    host->ready_port = ports[kPortsOfHost * i + 3];
+    host->peer_port = ports[kPortsPerHost * i];
+    host->metrics_port = ports[kPortsPerHost * i + 1];
+    host->client_port = ports[kPortsPerHost * i + 2];
+    host->ready_port = ports[kPortsPerHost * i + 3];
     auto callers = LoopbackProxy::Start(m_context, host->client_port);
     auto table = LoopbackProxy::Start(m_context, m_table->Port());
     if (!callers || !table) {
@@ -180,10 +182,10 @@
       {"address", "127.0.0.1"},
       {"peer_port", host.peer_port},
       {"metrics_port", host.metrics_port},
-      {"client_endpoint", Local(host.client_port)},
-      {"ready_endpoint", Local(host.ready_port)},
-      {"table_endpoint", Local(host.table->Port())},
-      {"machines_endpoint", Local(m_machine_server->Port())},
+      {"client_endpoint", LoopbackEndpoint(host.client_port)},
+      {"ready_endpoint", LoopbackEndpoint(host.ready_port)},
+      {"table_endpoint", LoopbackEndpoint(host.table->Port())},
+      {"machines_endpoint", LoopbackEndpoint(m_machine_server->Port())},
       {"advice_endpoint", ""},
       {"processor_share", 1.0},
       {"max_worker_lease_ms", 10000},
@@ -194,13 +196,13 @@
 }
 
 void Fleet::StartProcess(Host& host) {
-  host.end_expected = false;
+  host.exit_expected = false;
   host.paused = false;
-  ++m_starts;
+  ++m_process_starts;
   const auto started = host.process.Start(m_options.host_program,
                                           host.settings_path, host.log_path);
   if (!started) {
-    m_watch.Violate(started.error().message);
+    m_checker.Violate(started.error().message);
   }
 }
 
@@ -210,23 +212,23 @@
     if (!end) {
       continue;
     }
-    if (!host->end_expected) {
-      m_watch.Violate(
-          fmt::format("{} ended by itself, status {}", host->name, *end));
+    if (!host->exit_expected) {
+      m_checker.Violate(fmt::format("{} ended unexpectedly, wait status {}",
+                                    host->name, *end));
     }
     if (WIFEXITED(*end) && WEXITSTATUS(*end) != 0) {
-      m_watch.Violate(fmt::format("{} ended with exit code {}", host->name,
-                                  WEXITSTATUS(*end)));
+      m_checker.Violate(fmt::format("{} ended with exit code {}", host->name,
+                                    WEXITSTATUS(*end)));
     }
-    if (!m_ending) {
-      After(kRestart, [this, host = host.get()] {
-        if (!m_ending && !host->process.IsRunning()) {
+    if (!m_shutting_down) {
+      After(kRestartDelay, [this, host = host.get()] {
+        if (!m_shutting_down && !host->process.IsRunning()) {
           StartProcess(*host);
         }
       });
     }
   }
-  After(kProcessCheck, [this] { WatchProcesses(); });
+  After(kProcessCheckInterval, [this] { WatchProcesses(); });
 }
 
 void Fleet::WriteConfig() {
@@ -270,9 +272,10 @@
   if (machine.pool == kSpare) {
     return;
   }
-  ++machine.life;
-  if (!machine.keeps_id || machine.id.empty()) {
-    machine.id = fmt::format("{}-life-{}", machine.name, machine.life);
+  ++machine.incarnation_number;
+  if (!machine.reuses_id || machine.id.empty()) {
+    machine.id =
+        fmt::format("{}-life-{}", machine.name, machine.incarnation_number);
   }
   jobs::WorkerEntry entry;
   entry.id = {machine.id, std::chrono::duration_cast<milliseconds>(
@@ -280,11 +283,11 @@
                               .count()};
   entry.service = machine.pool;
   entry.machine = machine.name;
-  entry.endpoint = Local(machine.proxy->Port());
+  entry.endpoint = LoopbackEndpoint(machine.proxy->Port());
   entry.availability_zone = "loopback";
   entry.kind = "a";
   entry.rack = "r";
-  entry.capacity = kRoom;
+  entry.capacity = kCapacity;
   m_table->Write({adapter::kWorkerTable, "", machine.id,
                   adapter::EncodeWorker(entry), 0, false});
   machine.worker->BeginIncarnation(std::move(entry));
@@ -296,12 +299,12 @@
   machine.worker->EndIncarnation();
   machine.state = state;
   const std::string id = machine.id;
-  if (!machine.keeps_id) {
+  if (!machine.reuses_id) {
     machine.id.clear();
   }
-  After(kListLapse, [this, id, machine = &machine] {
+  After(kDelistDelay, [this, id, machine = &machine] {
     if (machine->id != id) {
-      m_table->Drop({adapter::kWorkerTable, "", id, "", 0, false});
+      m_table->Delete({adapter::kWorkerTable, "", id, "", 0, false});
     }
   });
   After(down, [this, machine = &machine] { BeginIncarnation(*machine); });
@@ -323,9 +326,9 @@
     return host::MachineOrderResult::kRefused;
   }
   if (machine->pool != pool) {
-    machine->keeps_id = false;
+    machine->reuses_id = false;
     machine->pool = pool;
-    EndIncarnation(*machine, host::MachineState::kMoving, kMoveTime);
+    EndIncarnation(*machine, host::MachineState::kMoving, kMoveDuration);
   }
   return host::MachineOrderResult::kDone;
 }
@@ -333,7 +336,7 @@
 host::MachineOrderResult Fleet::Maintain(const std::string& name,
                                          std::uint64_t wave) {
   Machine* machine = FindMachine(name);
-  if (machine != nullptr && machine->upkeeps == wave) {
+  if (machine != nullptr && machine->last_wave == wave) {
     return host::MachineOrderResult::kDone;
   }
   if (machine == nullptr || machine->state != host::MachineState::kUp) {
@@ -344,12 +347,14 @@
     down += other->state == host::MachineState::kMaintenance ? 1 : 0;
   }
   if (down >= kWaveMaxDown) {
-    m_watch.Violate(fmt::format("upkeep of {} begins while {} are down for it",
-                                name, down));
+    m_checker.Violate(fmt::format(
+        "maintenance of {} begins while {} machines are down for it", name,
+        down));
   }
-  machine->upkeeps = wave;
-  machine->keeps_id = false;
-  EndIncarnation(*machine, host::MachineState::kMaintenance, kUpkeepTime);
+  machine->last_wave = wave;
+  machine->reuses_id = false;
+  EndIncarnation(*machine, host::MachineState::kMaintenance,
+                 kMaintenanceDuration);
   return host::MachineOrderResult::kDone;
 }
 
@@ -360,11 +365,11 @@
       ApplyToHost(host, fault);
       return;
     case Place::kHostCallers:
-      host.harmed_at = m_loop.GetClock().Now() + fault.lasts;
+      host.last_fault_at = m_loop.GetClock().Now() + fault.active_for;
       ApplyToLink(*host.callers, fault);
       return;
     case Place::kHostTable:
-      host.harmed_at = m_loop.GetClock().Now() + fault.lasts;
+      host.last_fault_at = m_loop.GetClock().Now() + fault.active_for;
       ApplyToLink(*host.table, fault);
       return;
     case Place::kWorker:
@@ -375,10 +380,10 @@
         m_table->Model().ForgetHistory();
         return;
       }
-      m_table->Faults().refuses = fault.kind == FaultKind::kRefuse;
+      m_table->Faults().refuses_calls = fault.kind == FaultKind::kRefuse;
       m_table->Faults().loses_some_answers =
           fault.kind == FaultKind::kLoseAnswers;
-      After(fault.lasts, [this] { m_table->Faults() = {}; });
+      After(fault.active_for, [this] { m_table->Faults() = {}; });
       return;
     case Place::kOperators:
       if (fault.kind == FaultKind::kWave) {
@@ -394,20 +399,20 @@
   const base::TimePoint now = m_loop.GetClock().Now();
   switch (fault.kind) {
     case FaultKind::kKill:
-      host.harmed_at = now;
-      host.end_expected = true;
+      host.last_fault_at = now;
+      host.exit_expected = true;
       host.process.Signal(SIGKILL);
       return;
     case FaultKind::kStop:
       host.stopped_at = now;
-      host.end_expected = true;
+      host.exit_expected = true;
       host.process.Signal(SIGTERM);
       return;
     case FaultKind::kPause:
-      host.harmed_at = now + fault.lasts;
+      host.last_fault_at = now + fault.active_for;
       host.paused = true;
       host.process.Signal(SIGSTOP);
-      After(fault.lasts, [&host] {
+      After(fault.active_for, [&host] {
         host.paused = false;
         host.process.Signal(SIGCONT);
       });
@@ -433,7 +438,7 @@
                                                           : milliseconds(0),
                  .cut_to_server = fault.kind == FaultKind::kCutToServer,
                  .cut_from_server = fault.kind == FaultKind::kCutFromServer});
-      After(fault.lasts, [&proxy] { proxy.Set({}); });
+      After(fault.active_for, [&proxy] { proxy.Set({}); });
       return;
   }
 }
@@ -441,20 +446,20 @@
 void Fleet::ApplyToWorker(Machine& machine, const Fault& fault) {
   if (fault.kind == FaultKind::kCrash) {
     if (machine.state == host::MachineState::kUp &&
-        machine.worker->Life() != nullptr) {
-      machine.keeps_id = fault.target % 2 == 0;
-      EndIncarnation(machine, host::MachineState::kDown, fault.lasts);
+        machine.worker->CurrentIncarnation() != nullptr) {
+      machine.reuses_id = fault.target % 2 == 0;
+      EndIncarnation(machine, host::MachineState::kDown, fault.active_for);
     }
   } else if (fault.kind == FaultKind::kLate) {
     machine.worker->Faults().delays_starts = true;
-    After(fault.lasts,
+    After(fault.active_for,
           [&machine] { machine.worker->Faults().delays_starts = false; });
   } else {
     ApplyToLink(*machine.proxy, fault);
   }
 }
 
-void Fleet::Heal() {
+void Fleet::ClearFaults() {
   m_table->Faults() = {};
   for (const auto& host : m_hosts) {
     host->callers->Set({});
@@ -471,9 +476,9 @@
 }
 
 void Fleet::Stop() {
-  m_ending = true;
+  m_shutting_down = true;
   for (const auto& host : m_hosts) {
-    host->end_expected = true;
+    host->exit_expected = true;
     host->process.Signal(SIGCONT);
     host->process.Signal(SIGTERM);
   }
@@ -485,15 +490,15 @@
 }
 
 std::string Fleet::CallersEndpoint(std::size_t host) const {
-  return "http://" + Local(m_hosts[host]->callers->Port());
+  return "http://" + LoopbackEndpoint(m_hosts[host]->callers->Port());
 }
 
 bool Fleet::HasOnlyPlannedStops(std::size_t host) const {
   const base::TimePoint now = m_loop.GetClock().Now();
   const Host& each = *m_hosts[host];
-  return now - each.stopped_at < kHarmShows &&
-         (each.harmed_at == base::TimePoint{} ||
-          now - each.harmed_at > kHarmShows);
+  return now - each.stopped_at < kFaultEffect &&
+         (each.last_fault_at == base::TimePoint{} ||
+          now - each.last_fault_at > kFaultEffect);
 }
 
 }  // namespace cassiastile::soak
--- a/src/cassiastile/soak/fleet.hpp
+++ b/src/cassiastile/soak/fleet.hpp
@@ -20,7 +20,8 @@
 
 std::string ServiceName(std::size_t index);
 
-// The processes of the hosts, and what the platform runs around them.
+// The host processes, and the stand-in platform services around them: the
+// table, the machines and the workers.
 class Fleet {
  public:
   static base::Result<std::unique_ptr<Fleet>> Start(asio::io_context& context,
@@ -29,18 +30,19 @@
   ~Fleet();
 
   void Apply(const Fault& fault);
-  // Ends all faults that last; hosts that are down start again.
-  void Heal();
-  // Asks all processes to end; returns whether all have.
+  // Ends all faults that have a duration. Hosts that are down restart as usual.
+  void ClearFaults();
+  // Asks all processes to exit; HasEnded tells when all have.
   void Stop();
   bool HasEnded() const;
 
   std::size_t Hosts() const { return m_hosts.size(); }
   std::string CallersEndpoint(std::size_t host) const;
-  // Whether a planned stop is all that a host has seen lately.
+  // Whether a host was stopped as planned a short time ago, with no other fault
+  // near that time.
   bool HasOnlyPlannedStops(std::size_t host) const;
-  sim::InvariantChecker& Checker() { return m_watch; }
-  std::size_t Starts() const { return m_starts; }
+  sim::InvariantChecker& Checker() { return m_checker; }
+  std::size_t ProcessStarts() const { return m_process_starts; }
 
  private:
   struct Host {
@@ -54,11 +56,12 @@
     std::unique_ptr<LoopbackProxy> callers;
     std::unique_ptr<LoopbackProxy> table;
     HostProcess process;
-    bool end_expected = false;
+    bool exit_expected = false;
     bool paused = false;
     int reloads = 0;
     base::TimePoint stopped_at{};
-    base::TimePoint harmed_at{};  // By anything but a planned stop.
+    // End of the last fault but a planned stop.
+    base::TimePoint last_fault_at{};
   };
   struct Machine {
     std::string name;
@@ -66,10 +69,10 @@
     host::MachineState state = host::MachineState::kUp;
     std::unique_ptr<adapter::WorkerServer> worker;
     std::unique_ptr<LoopbackProxy> proxy;
-    std::uint64_t life = 0;
-    bool keeps_id = false;  // The next life has the same id.
+    std::uint64_t incarnation_number = 0;
+    bool reuses_id = false;  // By the next incarnation.
     std::string id;
-    std::uint64_t upkeeps = 0;  // The last wave that it had.
+    std::uint64_t last_wave = 0;  // The last wave that maintained it.
   };
 
   Fleet(asio::io_context& context,
@@ -99,15 +102,15 @@
   asio::io_context& m_context;
   host::Loop& m_loop;
   const SoakOptions& m_options;
-  sim::InvariantChecker m_watch;
+  sim::InvariantChecker m_checker;
   std::unique_ptr<adapter::TableServer> m_table;
   std::unique_ptr<adapter::MachineServer> m_machine_server;
   std::vector<std::unique_ptr<Machine>> m_machines;
   std::vector<std::unique_ptr<Host>> m_hosts;
   std::uint64_t m_config_version = 0;
   std::uint64_t m_wave = 0;
-  std::size_t m_starts = 0;
-  bool m_ending = false;
+  std::size_t m_process_starts = 0;
+  bool m_shutting_down = false;
   host::Lifetime m_lifetime;
 };
 
--- a/src/cassiastile/soak/host_process.cpp
+++ b/src/cassiastile/soak/host_process.cpp
@@ -23,9 +23,9 @@
                                       const std::string& output) {
   posix_spawn_file_actions_t actions;
   posix_spawn_file_actions_init(&actions);
-  constexpr mode_t kMode = 0644;
+  constexpr mode_t kLogFileMode = 0644;
   posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, output.c_str(),
-                                   O_WRONLY | O_CREAT | O_APPEND, kMode);
+                                   O_WRONLY | O_CREAT | O_APPEND, kLogFileMode);
   posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
   std::string name = program;
   std::string option = "--settings";
--- a/src/cassiastile/soak/loopback_proxy.cpp
+++ b/src/cassiastile/soak/loopback_proxy.cpp
@@ -16,8 +16,8 @@
 
 using asio::ip::tcp;
 
-// How often data that waits is looked at again.
-constexpr std::chrono::milliseconds kHeldCheck{20};
+// How often held data is checked again.
+constexpr std::chrono::milliseconds kHeldDataInterval{20};
 constexpr std::size_t kBufferBytes = 16384;
 
 }  // namespace
@@ -37,12 +37,12 @@
   }
 
   std::uint16_t Port() const { return m_acceptor.local_endpoint().port(); }
-  void Set(const LinkFaults& spoil) { m_spoil = spoil; }
+  void Set(const LinkFaults& link_faults) { m_link_faults = link_faults; }
 
-  void Silence() {
+  void Blackhole() {
     for (const auto& weak : m_connections) {
       if (const auto connection = weak.lock()) {
-        connection->silent = true;
+        connection->blackholed = true;
       }
     }
   }
@@ -76,14 +76,14 @@
 
     tcp::socket caller;
     tcp::socket server;
-    bool silent = false;
+    bool blackholed = false;
   };
   // One direction of a connection.
   struct Flow {
     std::shared_ptr<Connection> connection;
     tcp::socket& from;
     tcp::socket& to;
-    bool there = false;
+    bool to_server = false;
     std::array<char, kBufferBytes> buffer{};
     asio::steady_timer timer;
   };
@@ -121,12 +121,12 @@
   }
 
   std::shared_ptr<Flow> MakeFlow(const std::shared_ptr<Connection>& connection,
-                                 bool there) {
+                                 bool to_server) {
     Connection& ends = *connection;
     return std::shared_ptr<Flow>(new Flow{connection,
-                                          there ? ends.caller : ends.server,
-                                          there ? ends.server : ends.caller,
-                                          there,
+                                          to_server ? ends.caller : ends.server,
+                                          to_server ? ends.server : ends.caller,
+                                          to_server,
                                           {},
                                           asio::steady_timer(m_context)});
   }
@@ -140,24 +140,26 @@
             flow->connection->Reset();
             return;
           }
-          self->Hold(flow, bytes, self->m_spoil.delay);
+          self->Forward(flow, bytes, self->m_link_faults.delay);
         });
   }
 
-  void Hold(const std::shared_ptr<Flow>& flow,
-            std::size_t bytes,
-            std::chrono::milliseconds delay) {
-    const bool cut =
-        flow->there ? m_spoil.cut_to_server : m_spoil.cut_from_server;
-    if (!cut && !flow->connection->silent && delay.count() == 0) {
+  // Writes the data to the other side, once its delay is over and neither a cut
+  // nor a blackholed connection holds it back.
+  void Forward(const std::shared_ptr<Flow>& flow,
+               std::size_t bytes,
+               std::chrono::milliseconds delay) {
+    const bool cut = flow->to_server ? m_link_faults.cut_to_server
+                                     : m_link_faults.cut_from_server;
+    if (!cut && !flow->connection->blackholed && delay.count() == 0) {
       Write(flow, bytes);
       return;
     }
-    flow->timer.expires_after(delay.count() > 0 ? delay : kHeldCheck);
+    flow->timer.expires_after(delay.count() > 0 ? delay : kHeldDataInterval);
     flow->timer.async_wait(
         [self = shared_from_this(), flow, bytes](const asio::error_code&) {
           if (flow->from.is_open()) {
-            self->Hold(flow, bytes, {});
+            self->Forward(flow, bytes, {});
           }
         });
   }
@@ -177,7 +179,7 @@
   asio::io_context& m_context;
   tcp::acceptor m_acceptor;
   tcp::endpoint m_target;
-  LinkFaults m_spoil;
+  LinkFaults m_link_faults;
   std::list<std::weak_ptr<Connection>> m_connections;
 };
 
@@ -204,8 +206,8 @@
   return m_impl->Port();
 }
 
-void LoopbackProxy::Set(const LinkFaults& spoil) {
-  m_impl->Set(spoil);
+void LoopbackProxy::Set(const LinkFaults& link_faults) {
+  m_impl->Set(link_faults);
 }
 
 void LoopbackProxy::ResetConnections() {
@@ -213,7 +215,7 @@
 }
 
 void LoopbackProxy::BlackholeConnections() {
-  m_impl->Silence();
+  m_impl->Blackhole();
 }
 
 }  // namespace cassiastile::soak
--- a/src/cassiastile/soak/soak.cpp
+++ b/src/cassiastile/soak/soak.cpp
@@ -12,26 +12,26 @@
 
 using std::chrono::milliseconds;
 
-// The first host takes the office and reads the workers.
+// The first host becomes the leader and reads the workers in this time.
 constexpr milliseconds kWarmUp{1500};
-constexpr milliseconds kCheck{100};
-// The grace of the settings, and a moment to be reaped.
-constexpr milliseconds kEndWithin{7000};
+constexpr milliseconds kCheckInterval{100};
+// The hosts' stop_grace_s, 6 s, and a moment to be reaped.
+constexpr milliseconds kExitTimeout{7000};
 
-FaultPlan PlanOf(const SoakOptions& options) {
+FaultPlan ChoosePlan(const SoakOptions& options) {
   return options.faults.empty() ? MakePlan(options.seed, options.plan)
                                 : options.faults;
 }
 
-// One run, from the first process to the last.
-class Run {
+// One soak run, from the start of the processes to their exit.
+class SoakRun {
  public:
-  explicit Run(const SoakOptions& options)
+  explicit SoakRun(const SoakOptions& options)
       : m_options(options),
-        m_plan(PlanOf(options)),
+        m_plan(ChoosePlan(options)),
         m_loop(m_context, m_clock) {}
 
-  base::Result<SoakResult> Play() {
+  base::Result<SoakResult> Execute() {
     std::ofstream(m_options.folder + "/plan.jsonl") << EncodePlan(m_plan);
     auto fleet = Fleet::Start(m_context, m_loop, m_options);
     if (!fleet) {
@@ -45,8 +45,8 @@
     SoakResult result;
     result.seed = m_options.seed;
     result.faults = m_plan.size();
-    m_callers->Count(result);
-    result.starts = m_fleet->Starts();
+    m_callers->AddCounts(result);
+    result.starts = m_fleet->ProcessStarts();
     result.violations = m_fleet->Checker().Violations();
     return result;
   }
@@ -58,28 +58,28 @@
       m_loop.After(fault.at, [this, fault] { m_fleet->Apply(fault); });
     }
     m_loop.After(m_options.plan.length, [this] {
-      m_callers->BeginStop();
-      m_fleet->Heal();
-      m_settle_by = m_clock.Now() + m_options.settle;
-      Settle();
+      m_callers->StopSubmitting();
+      m_fleet->ClearFaults();
+      m_settle_deadline = m_clock.Now() + m_options.settle_timeout;
+      AwaitSettled();
     });
   }
 
-  void Settle() {
-    if (!m_callers->IsSettled() && m_clock.Now() < m_settle_by) {
-      m_loop.After(kCheck, [this] { Settle(); });
+  void AwaitSettled() {
+    if (!m_callers->IsSettled() && m_clock.Now() < m_settle_deadline) {
+      m_loop.After(kCheckInterval, [this] { AwaitSettled(); });
       return;
     }
-    m_callers->Judge();
+    m_callers->CheckOutcomes();
     m_fleet->Stop();
-    m_end_by = m_clock.Now() + kEndWithin;
-    AwaitEnd();
+    m_exit_deadline = m_clock.Now() + kExitTimeout;
+    AwaitExit();
   }
 
-  void AwaitEnd() {
-    const bool late = m_clock.Now() > m_end_by;
+  void AwaitExit() {
+    const bool late = m_clock.Now() > m_exit_deadline;
     if (!m_fleet->HasEnded() && !late) {
-      m_loop.After(kCheck, [this] { AwaitEnd(); });
+      m_loop.After(kCheckInterval, [this] { AwaitExit(); });
       return;
     }
     if (late) {
@@ -95,18 +95,18 @@
   host::AsioLoop m_loop;
   std::unique_ptr<Fleet> m_fleet;
   std::unique_ptr<Callers> m_callers;
-  base::TimePoint m_settle_by{};
-  base::TimePoint m_end_by{};
+  base::TimePoint m_settle_deadline{};
+  base::TimePoint m_exit_deadline{};
 };
 
 }  // namespace
 
 base::Result<SoakResult> RunSoak(const SoakOptions& options) {
-  return Run(options).Play();
+  return SoakRun(options).Execute();
 }
 
 base::Result<FaultPlan> ShrinkPlan(SoakOptions options, int tries) {
-  FaultPlan plan = PlanOf(options);
+  FaultPlan plan = ChoosePlan(options);
   const auto fails = [&options, tries](const FaultPlan& candidate) {
     options.faults = candidate;
     for (int i = 0; i < tries; ++i) {
@@ -119,7 +119,7 @@
   };
   if (!fails(plan)) {
     return base::Fail(base::ErrorCode::kInvalid,
-                      "the plan did not fail when it was played again");
+                      "the plan did not fail when it was run again");
   }
   for (std::size_t size = plan.size() / 2; size > 0; size /= 2) {
     for (std::size_t from = 0; from + size <= plan.size() && plan.size() > 1;) {
--- a/src/cassiastile/soak/soak_test.cpp
+++ b/src/cassiastile/soak/soak_test.cpp
@@ -16,7 +16,7 @@
   EXPECT_NE(MakePlan(7, {}), MakePlan(8, {}));
 }
 
-TEST(FaultPlanTest, PlansAreReadAsTheyWereWritten) {
+TEST(FaultPlanTest, PlansRoundTrip) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     const FaultPlan plan = MakePlan(seed, {});
     const auto read = DecodePlan("# a comment\n" + EncodePlan(plan));
@@ -25,7 +25,7 @@
   }
 }
 
-TEST(FaultPlanTest, FaultyLineIsNamed) {
+TEST(FaultPlanTest, ErrorNamesTheInvalidLine) {
   const auto read = DecodePlan(
       "{\"at_ms\":1,\"fault\":\"kill\",\"place\":\"host\"}\n"
       "{\"at_ms\":1,\"fault\":\"flood\",\"place\":\"host\"}\n");
@@ -35,8 +35,8 @@
 
 class SoakTest : public testing::TestWithParam<std::uint64_t> {};
 
-// A short run of real processes; longer ones are cassia-soak's.
-TEST_P(SoakTest, PromisesHold) {
+// A short run of real processes; cassia-soak makes longer ones.
+TEST_P(SoakTest, InvariantsHold) {
   SoakOptions options;
   options.seed = GetParam();
   options.plan.length = milliseconds(4000);
