--- a/cmake/cassiastile_module.cmake
+++ b/cmake/cassiastile_module.cmake
@@ -1,13 +1,13 @@
 # cassiastile_module(NAME DEPS...)
 #
-# Makes the static library cassiastile_NAME from the sources of the calling
-# folder, and the test program NAME_test from its *_test.cpp files. Each test
-# case becomes a ctest entry.
+# Defines the static library cassiastile_NAME from the sources of the calling
+# folder, and the test program NAME_test from its *_test.cpp and *_bench.cpp
+# files. Each test case becomes a ctest entry.
 include(GoogleTest)
 
 function(cassiastile_module name)
   file(GLOB sources CONFIGURE_DEPENDS *.cpp)
-  # Test benches are what several tests of a module share.
+  # *_bench.cpp files hold code that several tests of a module share.
   file(GLOB tests CONFIGURE_DEPENDS *_test.cpp *_bench.cpp)
   if(tests)
     list(REMOVE_ITEM sources ${tests})
@@ -23,7 +23,7 @@
     add_executable(${name}_test ${tests})
     target_link_libraries(${name}_test PRIVATE cassiastile_${name} GTest::gmock GTest::gtest_main rapidcheck)
     target_compile_definitions(${name}_test PRIVATE CASSIASTILE_SOURCE_DIR="${PROJECT_SOURCE_DIR}")
-    # Sanitizers slow the tests down by a factor of up to fifty.
+    # Sanitizers slow the tests down by up to a factor of fifty.
     set(seconds 120)
     if(CASSIASTILE_SANITIZE)
       set(seconds 1200)
--- a/cmake/cassiastile_options.cmake
+++ b/cmake/cassiastile_options.cmake
@@ -3,7 +3,7 @@
 set(CMAKE_CXX_EXTENSIONS OFF)
 set(CMAKE_EXPORT_COMPILE_COMMANDS ON)
 
-# OFF builds the programs alone, without what only tests need.
+# OFF builds only the programs, without the packages that only tests need.
 option(CASSIASTILE_TESTS "Build tests, examples and measurements" ON)
 
 find_program(CCACHE_PROGRAM ccache)
@@ -30,7 +30,7 @@
   find_package(rapidcheck CONFIG REQUIRED)
 endif()
 
-# The settings that every target of the project is built with.
+# Compile and link settings shared by all targets.
 add_library(cassiastile_common INTERFACE)
 target_include_directories(cassiastile_common INTERFACE ${PROJECT_SOURCE_DIR}/include)
 target_compile_definitions(cassiastile_common INTERFACE ASIO_STANDALONE)
--- a/cmake/cassiastile_program.cmake
+++ b/cmake/cassiastile_program.cmake
@@ -1,5 +1,5 @@
-# cassiastile_program(NAME DEPS...) builds NAME.cpp into build/bin/NAME, with
-# dashes in the program's name for underscores in the file's.
+# cassiastile_program(NAME DEPS...) builds NAME.cpp into build/bin/NAME, where
+# the underscores of the file's name become dashes in the program's name.
 function(cassiastile_program file)
   string(REPLACE "_" "-" program ${file})
   add_executable(${program} ${file}.cpp)
@@ -7,7 +7,8 @@
   set_target_properties(${program} PROPERTIES RUNTIME_OUTPUT_DIRECTORY ${PROJECT_BINARY_DIR}/bin)
 endfunction()
 
-# cassiastile_examples(MODULE) builds one program for each examples/MODULE/*.cpp.
+# cassiastile_examples(MODULE) builds one program from each
+# examples/MODULE/*.cpp.
 function(cassiastile_examples module)
   file(GLOB examples CONFIGURE_DEPENDS ${module}/*.cpp)
   foreach(example ${examples})
