--- a/spec/claim.h
+++ b/spec/claim.h
@@ -1,22 +1,23 @@
-/* Claim before send: a caller's keyed request reaches two entry hosts, each of
-   which claims the key in the table before it sends. Claims are delayed,
-   answers are lost, hosts die at any moment. */
+/* Claim before send: two entry hosts receive the same request with the same
+   idempotency key, and each claims the key in the table before it sends the
+   request. Claims may be delayed, answers may be lost, and a host may die at
+   any moment. */
 
-mtype = { fresh, claiming, unknown, claimed, sent, refused, over };
+mtype = { fresh, claiming, unknown, claimed, sent, refused, finished };
 
 mtype state[2] = fresh;
-byte row;                 /* who holds the claim: 0 none, else index + 1 */
-bool in_flight[2];        /* the claim may still apply */
+byte holder;              /* who holds the claim: 0 none, else index + 1 */
+bool in_flight[2];        /* the claim was sent and may still apply */
 bool applied[2];
 bool answered[2];         /* the table has answered */
-bool spent[2];            /* the nonce was spent by an empty transaction */
+bool nonce_used[2];       /* by an empty transaction: the claim can't apply */
 bool not_run[2];          /* the caller was told "not run" */
 byte sends;
 
 inline apply(i) {
   in_flight[i] = false; answered[i] = true;
   if
-  :: row == 0 && !spent[i] -> row = i + 1; applied[i] = true
+  :: holder == 0 && !nonce_used[i] -> holder = i + 1; applied[i] = true
   :: else
   fi
 }
@@ -37,14 +38,16 @@
      :: d_step { state[i] == claiming -> state[i] = unknown }
      :: d_step { state[i] == unknown -> RESOLVE(i) }
      :: d_step { state[i] == claimed -> state[i] = sent; sends++ }
-     :: d_step { state[i] == refused -> state[i] = over; not_run[i] = true }
-     :: d_step { state[i] != over -> state[i] = over }   /* it dies */
+     :: d_step { state[i] == refused -> state[i] = finished; not_run[i] = true }
+     /* the host dies */
+     :: d_step { state[i] != finished -> state[i] = finished }
      :: else
      fi;
      i = 0;
      assert(sends <= 1);
-     /* what was refused as not run holds no claim, now or later */
-     assert(!(not_run[0] && (row == 1 || (in_flight[0] && !spent[0]))));
-     assert(!(not_run[1] && (row == 2 || (in_flight[1] && !spent[1])))) }
+     /* a host that answered "not run" holds no claim and can't get it later */
+     assert(!(not_run[0] && (holder == 1 || (in_flight[0] && !nonce_used[0]))));
+     assert(!(not_run[1] && (holder == 2 || (in_flight[1] && !nonce_used[1]))))
+     }
   od
 }
--- a/spec/config_freshness.h
+++ b/spec/config_freshness.h
@@ -1,25 +1,27 @@
-/* Configuration acceptance with freshness: three members, version 1 in force,
-   version 2 proposed by one of them. Ages count ticks and saturate, so that
-   runs have no end. Messages are lost, repeated, delayed and relayed; one
-   member restarts with nothing (1 and 2 are alike, so that 2 need not); anyone
-   may lose the store at any time.
+/* Configuration acceptance with bounded freshness: three members, version 1 in
+   force, version 2 proposed by one of them. Ages count ticks and saturate, so
+   that runs are unbounded while the number of states is finite. Messages may
+   be lost, repeated, delayed and relayed. One member may restart without its
+   state; member 2 never does, because 1 and 2 are symmetric. Any member may
+   lose access to the store at any time.
 
-   A member acts on version 1 while its age of confirmation is at most F. */
+   A member acts on version 1 while its last confirmation is at most F ticks
+   old. */
 
 #define N 3
-#define F 1
-#define OLD (F + 1)         /* the age of what is too old to use */
+#define F 1                 /* freshness bound, in ticks */
+#define STALE (F + 1)       /* too old to act on; ages saturate here */
 #define W 0                 /* longest time from first promise to commit */
-#define DELAY (W + 1)       /* the age at which a restarted member may speak */
-#define GROWN (DELAY + OLD)
+#define DELAY (W + 1)       /* least uptime of a restarted member that votes */
+#define MAX_UPTIME (DELAY + STALE) /* uptimes saturate here */
 
 byte head[N];      /* newest version known; 0 none */
 byte in_force[N];
-bool promised[N];
-bool voter[N];
-byte up[N];        /* age of the process */
-byte store_age[N]; /* age of the newest read of the store that had head[i] */
-byte agreed[N * N];/* age of j's agreement with head[i], as known to i */
+bool promised[N];  /* to stop confirming version 1 */
+bool voter[N];     /* its agreement counts towards a majority */
+byte uptime[N];
+byte store_age[N]; /* age of the newest store read that returned head[i] */
+byte agreed[N * N]; /* age of j's agreement with head[i], as known to i */
 
 bool committed;
 byte committed_age;
@@ -32,6 +34,7 @@
 #define AG(i, j) agreed[(i) * N + (j)]
 #define MIN(a, b) ((a) < (b) -> (a) : (b))
 #define MAX(a, b) ((a) < (b) -> (b) : (a))
+/* the two other members */
 #define J(i) (((i) + 1) % N)
 #define K(i) (((i) + 2) % N)
 #define MAJORITY_AGE(i) (AGREES(i) -> MIN(AG(i, J(i)), AG(i, K(i))) \
@@ -41,21 +44,21 @@
 #define ACTS_ON_OLD(i) (in_force[i] == 1 && CONFIRMED(i) <= F)
 
 inline clear_ages(i) {
-  store_age[i] = OLD; AG(i, 0) = OLD; AG(i, 1) = OLD; AG(i, 2) = OLD
+  store_age[i] = STALE; AG(i, 0) = STALE; AG(i, 1) = STALE; AG(i, 2) = STALE
 }
 
-/* The age of confirmation of the version in force is kept when a newer head is
-   learnt. */
+/* When a newer head is learnt, the confirmation of the version in force keeps
+   its age. */
 inline learn(i, version) {
   if
   :: version > head[i] ->
-     frozen = OLD;
+     kept_age = STALE;
      if
-     :: head[i] == 1 && in_force[i] == 1 -> frozen = CONFIRMED(i)
+     :: head[i] == 1 && in_force[i] == 1 -> kept_age = CONFIRMED(i)
      :: else
      fi;
      clear_ages(i);
-     store_age[i] = frozen;
+     store_age[i] = kept_age;
      head[i] = version;
      if
      :: version == 2 -> promised[i] = false
@@ -65,9 +68,9 @@
   fi
 }
 
-inline speak_up(i) {
+inline restore_vote(i) {
   if
-  :: !voter[i] && head[i] == 1 && SPEAKS(i) -> voter[i] = true
+  :: !voter[i] && head[i] == 1 && MAY_VOTE(i) -> voter[i] = true
   :: else
   fi
 }
@@ -80,10 +83,10 @@
   fi
 }
 
-/* Member i hears from member j. A message that comes late gives no more than
-   one that came when it was sent and grew old since, so that messages take no
-   time here. */
-inline hear(i, j) {
+/* Member i receives a message from member j. Messages take no time here: one
+   that arrives late tells no more than one that arrived at once and has aged
+   since. */
+inline receive(i, j) {
   learn(i, head[j]);
   if
   :: head[j] == 1 && head[i] == 1 ->
@@ -95,29 +98,29 @@
      :: AGREES(j) -> AG(i, j) = 0
      :: else
      fi;
-     AG(i, i) = OLD
+     AG(i, i) = STALE
   :: else
   fi
 }
 
 inline restart(i) {
   head[i] = 0; in_force[i] = 0; promised[i] = false; voter[i] = false;
-  up[i] = 0; clear_ages(i); restarts++
+  uptime[i] = 0; clear_ages(i); restarts++
 }
 
-inline older(age, most) {
-  age = (age < most -> age + 1 : most)
+inline advance(age, limit) {
+  age = (age < limit -> age + 1 : limit)
 }
 
 inline tick() {
   for (n : 0 .. N - 1) {
-    older(store_age[n], OLD); older(up[n], GROWN);
-    older(AG(n, 0), OLD); older(AG(n, 1), OLD); older(AG(n, 2), OLD)
+    advance(store_age[n], STALE); advance(uptime[n], MAX_UPTIME);
+    advance(AG(n, 0), STALE); advance(AG(n, 1), STALE); advance(AG(n, 2), STALE)
   }
   n = 0;
   if
-  :: committed -> older(committed_age, OLD)
-  :: proposing && !committed -> older(proposal_age, (W + 1))
+  :: committed -> advance(committed_age, STALE)
+  :: proposing && !committed -> advance(proposal_age, (W + 1))
   :: else
   fi
 }
@@ -125,18 +128,18 @@
 #define OPEN (proposing && !committed && !withdrawn)
 #define PROMISES (promised[0] + promised[1] + promised[2])
 
-/* The bound: once version 2 was committed F ticks ago, no member acts on
-   version 1, whatever it can reach. */
+/* The invariant: once version 2 was committed more than F ticks ago, no member
+   acts on version 1, whichever members or store it can reach. */
 inline check() {
   assert(!(committed && committed_age > F &&
            (ACTS_ON_OLD(0) || ACTS_ON_OLD(1) || ACTS_ON_OLD(2))))
 }
 
 active proctype fleet() {
-  byte i = 0; byte n = 0; byte frozen = 0;
+  byte i = 0; byte n = 0; byte kept_age = 0;
   d_step {
     for (n : 0 .. N - 1) {
-      head[n] = 1; in_force[n] = 1; voter[n] = true; up[n] = GROWN;
+      head[n] = 1; in_force[n] = 1; voter[n] = true; uptime[n] = MAX_UPTIME;
       clear_ages(n)
     }
     n = 0
@@ -150,9 +153,9 @@
      fi;
      if
      :: d_step { head[i] != 2 || in_force[i] != 2 ->
-          read_store(i); speak_up(i); frozen = 0 }
-     :: d_step { true -> hear(i, J(i)); speak_up(i); frozen = 0 }
-     :: d_step { true -> hear(i, K(i)); speak_up(i); frozen = 0 }
+          read_store(i); restore_vote(i); kept_age = 0 }
+     :: d_step { true -> receive(i, J(i)); restore_vote(i); kept_age = 0 }
+     :: d_step { true -> receive(i, K(i)); restore_vote(i); kept_age = 0 }
      :: d_step { head[i] > in_force[i] -> in_force[i] = head[i];
           if
           :: head[i] == 2 -> clear_ages(i)
@@ -167,7 +170,7 @@
   :: d_step { !proposing && head[0] == 1 -> proposing = true;
        promised[0] = true }
   :: d_step { (OPEN && MAY_COMMIT && proposal_age <= W) ->
-       committed = true; promised[0] = false; learn(0, 2); frozen = 0 }
+       committed = true; promised[0] = false; learn(0, 2); kept_age = 0 }
   :: d_step { OPEN -> withdrawn = true }
   :: d_step { true -> tick(); check() }
   od
--- a/spec/config_freshness_broken.pml
+++ b/spec/config_freshness_broken.pml
@@ -1,5 +1,5 @@
-/* Broken: version 2 is committed without the promises of others, so that a
-   majority which never heard of it goes on acting on version 1. */
+/* Broken: version 2 is committed without promises from other members, so that a
+   majority that never heard of it keeps acting on version 1. */
 #define MAY_COMMIT true
-#define SPEAKS(i) (CONFIRMED(i) <= F && up[i] >= DELAY + CONFIRMED(i))
+#define MAY_VOTE(i) (CONFIRMED(i) <= F && uptime[i] >= DELAY + CONFIRMED(i))
 #include "config_freshness.h"
--- a/spec/grant.h
+++ b/spec/grant.h
@@ -1,19 +1,19 @@
 /* Grant accounting: two holders share a limit through one row of the table.
-   Answers are lost; holders die with work running, whose end must be confirmed
-   before their grants are given to others. */
+   Answers may be lost. A holder may die while its work runs on; the end of that
+   work must be confirmed before the holder's grants go to others. */
 
 #define LIMIT 2
-#define CREDITS 2         /* the most that one holder asks for */
+#define MAX_GRANTS 2      /* the most that one holder asks for */
 
 mtype = { idle, acquire, release };
 
-byte granted[2];          /* the row */
-byte known[2];            /* what the holder takes itself to hold */
-byte running[2];          /* its work */
+byte granted[2];          /* as the row has it */
+byte known[2];            /* grants that the holder believes it has */
+byte running[2];          /* units of work, each using one grant */
 bool dead[2];
 mtype op[2] = idle;
 bool applied[2];
-bool done[2];
+bool done[2];             /* the table has processed the operation */
 byte deaths;
 
 inline apply(i) {
@@ -51,7 +51,7 @@
      :: i = 1
      fi;
      if
-     :: d_step { (!dead[i] && op[i] == idle && known[i] < CREDITS) ->
+     :: d_step { (!dead[i] && op[i] == idle && known[i] < MAX_GRANTS) ->
           op[i] = acquire }
      :: d_step { (!dead[i] && op[i] == idle && running[i] < known[i]) ->
           known[i]--; op[i] = release }
--- a/spec/grant_accounting_broken.pml
+++ b/spec/grant_accounting_broken.pml
@@ -1,4 +1,4 @@
-/* Broken: a dead holder's grants are given back while its work runs on. */
+/* Broken: a dead holder's grants are released while its work still runs. */
 #define LOST(i) answer(i)
 #define MAY_RECLAIM(i) true
 #include "grant.h"
--- a/spec/office_chain.h
+++ b/spec/office_chain.h
@@ -1,55 +1,57 @@
-/* The office: two hosts, one task, two workers. Every commit of an office expects
-   the office's row as its last commit left it and rewrites it. A commit may be
-   applied late, an answer may be lost and the commit sent again. Orders to start
-   may be carried out late. A worker keeps the highest fence and the highest run
-   that ended or was stopped there. */
+/* Leadership: two hosts, one task, two workers. Every commit of a leader
+   expects the leadership row as the leader's last commit left it, and rewrites
+   it. A commit may be applied late; its answer may be lost and the commit sent
+   again. Start orders may be carried out late. A worker keeps the highest
+   fencing token that it saw and the highest run that ended or was stopped on
+   it. */
 
 #define MAX_VERSION 8
 #define MAX_RUN 3
 
-mtype = { none, start, drop, note, elect };
+mtype = { none, start, discard, record_end, elect };
 
 /* the table */
-byte version = 1;         /* of the office's row */
+byte version = 1;         /* of the leadership row */
 byte holder = 0;
 byte rec_run = 0;         /* the recorded run that may be alive; 0 none */
 byte rec_worker = 0;
 byte last_run = 0;
-bool noted = false;       /* the successful end is recorded */
+bool end_recorded = false; /* the successful end is recorded */
 
 /* hosts, by index 1 and 2 */
-bool in_office[3];
-byte fence[3];
-byte mine[3];             /* the row's version after its last commit */
-byte book[3];              /* the run in its books; 0 none */
-byte where[3];
-byte last[3];
-bool done_seen[3];
+bool is_leader[3];
+byte token[3];            /* fencing token */
+byte known_version[3];    /* of the row, after the host's last commit */
+byte tracked_run[3];      /* the run that it believes is alive; 0 none */
+byte tracked_worker[3];
+byte newest_run[3];
+bool knows_end[3];        /* it knows of the recorded successful end */
 bool adopted[3];          /* the worker has confirmed or denied the run */
 
-/* the commit under way of each host */
+/* the commit in progress of each host */
 mtype op[3] = none;
 byte op_expect[3];
 byte op_run[3];
 byte op_worker[3];
-bool op_sent[3];          /* an attempt is on its way and may be applied */
-bool op_applied[3];       /* by one of the attempts */
+bool op_sent[3];          /* an attempt is in flight and may be applied */
+bool op_applied[3];       /* one of the attempts was applied */
 
-/* orders to start on their way, one for each host */
-bool ord[3];
-byte ord_run[3];
-byte ord_worker[3];
-byte ord_fence[3];
+/* start orders in flight, at most one for each host */
+bool order_pending[3];
+byte order_run[3];
+byte order_worker[3];
+byte order_token[3];
 
 /* workers, by index 1 and 2 */
-byte w_fence[3];
+byte w_token[3];
 byte w_run[3];            /* running now; 0 none */
-byte w_closed[3];
-bool w_done[3];           /* a successful end is listed */
-byte ended = 0;           /* successful ends in all */
+byte w_closed[3];         /* runs up to this one can't start any more */
+bool w_done[3];           /* it lists a successful end */
+byte successful_ends = 0;
 
 inline begin(i, kind, r, w) {
-  op[i] = kind; op_expect[i] = mine[i]; op_run[i] = r; op_worker[i] = w;
+  op[i] = kind; op_expect[i] = known_version[i];
+  op_run[i] = r; op_worker[i] = w;
   op_sent[i] = true; op_applied[i] = false
 }
 
@@ -61,64 +63,69 @@
      :: op[i] == elect -> holder = i
      :: op[i] == start ->
         rec_run = op_run[i]; rec_worker = op_worker[i]; last_run = op_run[i]
-     :: op[i] == drop -> rec_run = 0
-     :: op[i] == note -> noted = true; rec_run = 0
+     :: op[i] == discard -> rec_run = 0
+     :: op[i] == record_end -> end_recorded = true; rec_run = 0
      fi
   :: else
   fi;
   op_sent[i] = false
 }
 
-/* The answer: applied, or a conflict that shows whether an earlier attempt was. */
+/* The answer says that the commit was applied, or reports a conflict, which
+   shows whether an earlier attempt was applied. */
 inline answer(i) {
   if
   :: op_applied[i] ->
-     mine[i] = op_expect[i] + 1;
+     known_version[i] = op_expect[i] + 1;
      if
      :: op[i] == elect ->
-        in_office[i] = true; fence[i] = mine[i];
-        book[i] = rec_run; where[i] = rec_worker; last[i] = last_run;
-        done_seen[i] = noted; adopted[i] = (rec_run == 0)
+        is_leader[i] = true; token[i] = known_version[i];
+        tracked_run[i] = rec_run; tracked_worker[i] = rec_worker;
+        newest_run[i] = last_run;
+        knows_end[i] = end_recorded; adopted[i] = (rec_run == 0)
      :: op[i] == start ->
-        book[i] = op_run[i]; where[i] = op_worker[i]; last[i] = op_run[i];
-        adopted[i] = true;
-        ord[i] = true; ord_run[i] = op_run[i]; ord_worker[i] = op_worker[i];
-        ord_fence[i] = fence[i]
-     :: op[i] == drop -> book[i] = 0
-     :: op[i] == note -> book[i] = 0; done_seen[i] = true
+        tracked_run[i] = op_run[i]; tracked_worker[i] = op_worker[i];
+        newest_run[i] = op_run[i]; adopted[i] = true;
+        order_pending[i] = true; order_run[i] = op_run[i];
+        order_worker[i] = op_worker[i]; order_token[i] = token[i]
+     :: op[i] == discard -> tracked_run[i] = 0
+     :: op[i] == record_end -> tracked_run[i] = 0; knows_end[i] = true
      fi
-  :: else -> in_office[i] = false
+  :: else -> is_leader[i] = false
   fi;
   op[i] = none; op_applied[i] = false
 }
 
 inline deliver(i) {
-  w = ord_worker[i];
+  w = order_worker[i];
   if
-  :: ord_fence[i] >= w_fence[w] && w_run[w] == 0 && ord_run[i] > w_closed[w] ->
-     w_fence[w] = ord_fence[i]; w_run[w] = ord_run[i];
-     assert(w_run[1] == 0 || w_run[2] == 0);   /* one run at a time */
-     assert(!noted)                            /* none after a noted end */
+  :: order_token[i] >= w_token[w] && w_run[w] == 0 &&
+     order_run[i] > w_closed[w] ->
+     w_token[w] = order_token[i]; w_run[w] = order_run[i];
+     assert(w_run[1] == 0 || w_run[2] == 0);   /* at most one run at a time */
+     assert(!end_recorded)                     /* none after a recorded end */
   :: else
   fi;
-  ord[i] = false
+  order_pending[i] = false
 }
 
-/* The office asks the worker of its run, which raises the fence there. */
-inline look(i) {
-  w = where[i];
+/* The leader asks the worker about its run, which raises the worker's fencing
+   token. */
+inline query_worker(i) {
+  w = tracked_worker[i];
   if
-  :: fence[i] >= w_fence[w] ->
-     w_fence[w] = fence[i];
+  :: token[i] >= w_token[w] ->
+     w_token[w] = token[i];
      if
-     :: w_run[w] == book[i] -> adopted[i] = true
-     :: w_run[w] != book[i] && w_done[w] -> begin(i, note, 0, 0)
-     :: w_run[w] != book[i] && !w_done[w] ->
-        /* not there: a stop closes it, so that it can't begin any more */
+     :: w_run[w] == tracked_run[i] -> adopted[i] = true
+     :: w_run[w] != tracked_run[i] && w_done[w] -> begin(i, record_end, 0, 0)
+     :: w_run[w] != tracked_run[i] && !w_done[w] ->
+        /* the worker doesn't have it: it is stopped there, so that a late order
+           can't start it any more */
         CLOSE(w, i);
-        begin(i, drop, 0, 0)
+        begin(i, discard, 0, 0)
      fi
-  :: else -> in_office[i] = false
+  :: else -> is_leader[i] = false
   fi
 }
 
@@ -126,17 +133,19 @@
   byte w;
 end:
   do
-  :: atomic { !in_office[i] && op[i] == none && holder != i ->
-       mine[i] = version; begin(i, elect, 0, 0) }
-  :: atomic { in_office[i] && op[i] == none && book[i] == 0 && !done_seen[i] &&
-              last[i] < MAX_RUN ->
+  :: atomic { !is_leader[i] && op[i] == none && holder != i ->
+       known_version[i] = version; begin(i, elect, 0, 0) }
+  :: atomic { is_leader[i] && op[i] == none && tracked_run[i] == 0 &&
+              !knows_end[i] && newest_run[i] < MAX_RUN ->
        if :: w = 1 :: w = 2 fi;
-       begin(i, start, last[i] + 1, w) }
-  :: atomic { in_office[i] && op[i] == none && book[i] != 0 -> look(i) }
+       begin(i, start, newest_run[i] + 1, w) }
+  :: atomic { is_leader[i] && op[i] == none && tracked_run[i] != 0 ->
+       query_worker(i) }
   :: atomic { op[i] != none && op_sent[i] -> apply(i) }
   :: atomic { op[i] != none && !op_sent[i] -> answer(i) }
-  :: atomic { op[i] != none && !op_sent[i] -> op_sent[i] = true } /* lost */
-  :: atomic { ord[i] -> deliver(i) }
+  /* the answer is lost and the commit sent again */
+  :: atomic { op[i] != none && !op_sent[i] -> op_sent[i] = true }
+  :: atomic { order_pending[i] -> deliver(i) }
   od
 }
 
--- a/spec/office_chain_broken.pml
+++ b/spec/office_chain_broken.pml
@@ -1,5 +1,6 @@
-/* Left out: a commit expects the row as the office's last commit left it. */
+/* Broken: a commit doesn't require the row to be as the leader's last commit
+   left it. */
 #define EXPECT(i) (true)
 #define CLOSE(w, i) \
-  if :: w_closed[w] < book[i] -> w_closed[w] = book[i] :: else fi
+  if :: w_closed[w] < tracked_run[i] -> w_closed[w] = tracked_run[i] :: else fi
 #include "office_chain.h"
--- a/spec/shard_lease.h
+++ b/spec/shard_lease.h
@@ -3,7 +3,7 @@
    be lost. Ages count ticks and saturate. */
 
 #define L 2               /* the lease, in ticks */
-#define OLD (L + 1)
+#define EXPIRED (L + 1)   /* ages saturate here */
 #define MAX_EPOCH 3
 
 mtype = { idle, take, renew, work };
@@ -16,10 +16,11 @@
 byte seen_owner[3];
 byte seen_epoch[3];
 bool unseen[3];           /* the renewal row changed since the last scan */
-byte watched[3];          /* age of the last change seen */
-byte renewed[3];          /* age of the start of the last renewal known good */
+byte change_age[3];       /* age of the last change seen */
+byte renewal_age[3];      /* time since the start of the last renewal known
+                             to be applied */
 
-/* one write under way for each process */
+/* the write in progress of each process */
 mtype op[3] = idle;
 byte op_epoch[3];
 bool op_stale[3];         /* the renewal row changed since the write was made */
@@ -28,7 +29,7 @@
 bool done[3];             /* the table has answered */
 
 #define OTHER(i) (3 - (i))
-#define GRIP(i) (seen_owner[i] == i && renewed[i] < L)
+#define HOLDS_LEASE(i) (seen_owner[i] == i && renewal_age[i] < L)
 
 inline touch_renewal(i) {
   unseen[1] = true; unseen[2] = true;
@@ -52,7 +53,7 @@
      owner = i; epoch++; applied[i] = true; touch_renewal(i)
   :: op[i] == renew && op_epoch[i] == epoch ->
      applied[i] = true; touch_renewal(i)
-  :: op[i] == work && FENCE(i) ->
+  :: op[i] == work && PRECONDITION(i) ->
      assert(owner == i);      /* only the owner's work takes effect */
      applied[i] = true
   :: else
@@ -62,9 +63,10 @@
 inline answer(i) {
   if
   :: applied[i] && op[i] == take ->
-     seen_owner[i] = i; seen_epoch[i] = op_epoch[i] + 1; renewed[i] = op_age[i]
+     seen_owner[i] = i; seen_epoch[i] = op_epoch[i] + 1;
+     renewal_age[i] = op_age[i]
   :: applied[i] && op[i] == renew && seen_epoch[i] == op_epoch[i] ->
-     renewed[i] = op_age[i]
+     renewal_age[i] = op_age[i]
   :: else
   fi;
   finish(i)
@@ -72,22 +74,22 @@
 
 inline scan(i) {
   if
-  :: seen_epoch[i] != epoch -> watched[i] = 0; renewed[i] = OLD
-  :: seen_epoch[i] == epoch && unseen[i] -> watched[i] = 0
+  :: seen_epoch[i] != epoch -> change_age[i] = 0; renewal_age[i] = EXPIRED
+  :: seen_epoch[i] == epoch && unseen[i] -> change_age[i] = 0
   :: else
   fi;
   seen_epoch[i] = epoch; seen_owner[i] = owner; unseen[i] = false
 }
 
-inline older(age) {
-  age = (age < OLD -> age + 1 : OLD)
+inline advance(age) {
+  age = (age < EXPIRED -> age + 1 : EXPIRED)
 }
 
 inline tick() {
   for (n : 1 .. 2) {
-    older(watched[n]); older(renewed[n]);
+    advance(change_age[n]); advance(renewal_age[n]);
     if
-    :: op[n] != idle -> older(op_age[n])
+    :: op[n] != idle -> advance(op_age[n])
     :: else
     fi
   }
@@ -96,7 +98,7 @@
 
 active proctype fleet() {
   byte i = 0; byte n = 0;
-  renewed[1] = OLD; renewed[2] = OLD;
+  renewal_age[1] = EXPIRED; renewal_age[2] = EXPIRED;
   do
   :: atomic {
      if
@@ -106,16 +108,17 @@
      if
      :: d_step { true -> scan(i) }
      :: d_step { (op[i] == idle && seen_owner[i] != i && epoch < MAX_EPOCH &&
-                  (seen_owner[i] == 0 || watched[i] >= L)) -> begin(i, take) }
+                  (seen_owner[i] == 0 || change_age[i] >= L)) ->
+          begin(i, take) }
      :: d_step { (op[i] == idle && seen_owner[i] == i) -> begin(i, renew) }
-     :: d_step { (op[i] == idle && GRIP(i)) -> begin(i, work) }
+     :: d_step { (op[i] == idle && HOLDS_LEASE(i)) -> begin(i, work) }
      :: d_step { (op[i] != idle && !done[i]) -> apply(i) }
      :: d_step { done[i] -> answer(i) }
      :: d_step { done[i] -> finish(i) }   /* the answer is lost */
      :: else
      fi;
      i = 0;
-     assert(!(GRIP(1) && GRIP(2))) }
+     assert(!(HOLDS_LEASE(1) && HOLDS_LEASE(2))) }
   :: d_step { true -> tick() }
   od
 }
