--- a/include/cassiastile/base/clock.hpp
+++ b/include/cassiastile/base/clock.hpp
@@ -10,8 +10,9 @@
 using WallTime = std::chrono::system_clock::time_point;
 using Duration = std::chrono::steady_clock::duration;
 
-// Where a part reads the time. Durations and deadlines use Now, which never
-// goes back; WallNow is only for what people read and may step.
+// The source of time, passed to every component. Measure durations and
+// deadlines with Now, which is monotonic. WallNow can jump in either direction
+// and is only for times shown to people.
 class Clock {
  public:
   virtual ~Clock() = default;
@@ -19,21 +20,22 @@
   virtual WallTime WallNow() const = 0;
 };
 
-// The machine's clocks.
+// The clocks of the operating system. Thread-safe.
 class SystemClock final : public Clock {
  public:
   TimePoint Now() const override;
   WallTime WallNow() const override;
 };
 
-// A clock that moves only when told to, for tests and measurements in virtual
-// time. Not safe for use by several threads.
+// A clock that advances only on request, for tests and measurements in virtual
+// time. Not thread-safe.
 class ManualClock final : public Clock {
  public:
   TimePoint Now() const override;
   WallTime WallNow() const override;
+  // Advances both the steady and the wall clock.
   void Advance(Duration by);
-  // Steps the wall clock alone, as an operator or a time server may.
+  // Changes only the wall clock, as an operator or a time server can.
   void StepWall(std::chrono::seconds by);
 
  private:
@@ -41,10 +43,11 @@
   WallTime m_wall{std::chrono::hours(24 * 365 * 50)};
 };
 
-// The time as RFC 3339 text in UTC with milliseconds.
+// Formats a time as RFC 3339 in UTC with milliseconds, such as
+// 1970-01-01T00:00:01.500Z.
 std::string FormatWallTime(WallTime time);
 
-// Whole milliseconds of a duration, rounded towards zero.
+// Converts a duration to whole milliseconds, rounded towards zero.
 constexpr std::int64_t Milliseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration)
       .count();
--- a/include/cassiastile/base/enum_names.hpp
+++ b/include/cassiastile/base/enum_names.hpp
@@ -6,14 +6,14 @@
 
 namespace cassiastile::base {
 
-// One row of an enumeration's table of names.
+// One row of the table that maps an enumeration's values to names.
 template <typename Enum>
 struct EnumName {
   Enum value;
   std::string_view name;
 };
 
-// The name of a value, or "?" for one the table lacks.
+// Returns the name of a value, or "?" if the table does not contain it.
 template <typename Enum, std::size_t kSize>
 constexpr std::string_view FindName(
     const std::array<EnumName<Enum>, kSize>& names,
@@ -26,7 +26,7 @@
   return "?";
 }
 
-// The value that a name stands for, or nothing.
+// Returns the value with a name, or nothing if no value has it.
 template <typename Enum, std::size_t kSize>
 constexpr std::optional<Enum> FindValue(
     const std::array<EnumName<Enum>, kSize>& names,
--- a/include/cassiastile/base/error.hpp
+++ b/include/cassiastile/base/error.hpp
@@ -8,22 +8,23 @@
 
 namespace cassiastile::base {
 
-// The kinds of failure that callers of the library tell apart.
+// The kinds of failure that callers handle differently.
 enum class ErrorCode : std::uint8_t {
-  kInvalid,      // The input breaks a rule; a retry will not help.
-  kNotFound,     // The thing named does not exist.
-  kConflict,     // A precondition no longer holds; read again and decide anew.
-  kDenied,       // The key or the operator may not do this.
-  kOverloaded,   // Refused for lack of room; nothing ran.
-  kUnavailable,  // A dependency can't be reached; nothing took effect.
-  kUnknown,      // It may or may not have taken effect.
+  kInvalid,      // The input is invalid; a retry fails as well.
+  kNotFound,     // The named object does not exist.
+  kConflict,     // A precondition failed; read again and retry.
+  kDenied,       // The key or the operator lacks permission.
+  kOverloaded,   // Rejected because a limit or queue is full; nothing ran.
+  kUnavailable,  // A dependency is unreachable; nothing took effect.
+  kUnknown,      // The call may or may not have taken effect.
   kTimeout,      // The deadline passed before anything took effect.
-  kInternal,     // A fault of the program itself.
+  kInternal,     // A bug in this program.
 };
 
+// The code's name, such as "not-found"; the type of an HTTP problem answer.
 std::string_view NameOf(ErrorCode code);
 
-// A failure with a sentence for people. The sentence never holds a key.
+// A failure with a message for people. The message must never contain a key.
 struct Error {
   ErrorCode code = ErrorCode::kInternal;
   std::string message;
@@ -32,7 +33,7 @@
 template <typename Value>
 using Result = tl::expected<Value, Error>;
 
-// Shorthand for returning an error from a function whose type is a Result.
+// Makes an error to return from a function that returns a Result.
 tl::unexpected<Error> Fail(ErrorCode code, std::string message);
 
 }  // namespace cassiastile::base
--- a/include/cassiastile/base/findings.hpp
+++ b/include/cassiastile/base/findings.hpp
@@ -6,8 +6,8 @@
 
 namespace cassiastile::base {
 
-// A position in a text file; lines and columns count from one, and zero means
-// that the position is not known.
+// A position in a text file. Lines and columns start at one; zero means
+// unknown.
 struct TextPosition {
   std::string file;
   std::size_t line = 0;
@@ -16,9 +16,9 @@
   bool operator==(const TextPosition&) const = default;
 };
 
-// One thing wrong with an input: where it stands, the path of the value within
-// the document (such as pools[2].hosts[0].zone), what is wrong and what would
-// be right.
+// One error in an input: its position in the file, the path of the value in the
+// document (such as pools[2].hosts[0].zone), and a message that says what is
+// wrong and what would be valid.
 struct Finding {
   TextPosition place;
   std::string path;
@@ -29,10 +29,11 @@
 
 using Findings = std::vector<Finding>;
 
-// FILE:LINE:COL: error: PATH: MESSAGE
+// Formats a finding as FILE:LINE:COL: error: PATH: MESSAGE, without "PATH: " if
+// the path is empty.
 std::string FormatFinding(const Finding& finding);
 
-// One line for each finding, in the order of their places.
+// Formats one line per finding, sorted by file, line and column.
 std::string FormatFindings(Findings findings);
 
 }  // namespace cassiastile::base
--- a/include/cassiastile/base/log.hpp
+++ b/include/cassiastile/base/log.hpp
@@ -5,8 +5,8 @@
 
 namespace cassiastile::base {
 
-// A part's log. Every line starts with the part's fixed prefix. Lines are short
-// sentences and never hold keys. Safe for use by several threads.
+// Writes a component's log lines, each with the component's fixed prefix. Lines
+// are short sentences and must never contain keys. Thread-safe.
 class Log {
  public:
   explicit Log(std::string prefix);
@@ -20,9 +20,9 @@
   std::string m_prefix;
 };
 
-// Sends log lines of the given level and above (debug, info, warn, error) to
-// standard error. Returns false for a level with another name. Until it is
-// called nothing is logged.
+// Starts logging to standard error, from the given level up (debug, info, warn
+// or error). Nothing is logged before this call. Returns false if the level is
+// unknown.
 bool StartLogging(std::string_view level);
 
 }  // namespace cassiastile::base
--- a/include/cassiastile/base/random.hpp
+++ b/include/cassiastile/base/random.hpp
@@ -6,15 +6,15 @@
 
 namespace cassiastile::base {
 
-// The engine that decisions draw from; always passed in, so that a seed
-// repeats a run.
+// The random engine of all decisions. It is always passed in, so that a test or
+// simulation can repeat a run from its seed.
 using Random = std::mt19937_64;
 
-// An engine seeded from the system's entropy, for daemons.
+// Returns an engine seeded from the system's entropy, for daemons.
 Random MakeRandom();
 
-// A 32-digit hexadecimal identifier, unique for all practical purposes. Used
-// for request ids, decision ids and transaction nonces.
+// Returns a random 128-bit identifier as 32 hexadecimal digits. Used for
+// request ids, decision ids and transaction nonces.
 std::string MakeId(Random& random);
 
 }  // namespace cassiastile::base
--- a/include/cassiastile/base/version.hpp
+++ b/include/cassiastile/base/version.hpp
@@ -4,7 +4,7 @@
 
 namespace cassiastile::base {
 
-// The release that all programs of one build name with --version.
+// The version that every program prints with --version.
 inline constexpr std::string_view kVersion = "0.1.0";
 
 }  // namespace cassiastile::base
--- a/include/cassiastile/daemon/command_line.hpp
+++ b/include/cassiastile/daemon/command_line.hpp
@@ -5,31 +5,34 @@
 
 namespace cassiastile::daemon {
 
-// What a daemon's --help and --version say.
+// A daemon's name and description, for --help and --version.
 struct Program {
   std::string name;     // Such as "cassia-entry".
   std::string summary;  // One sentence on what the program does.
 };
 
-// What was asked of a daemon on its command line.
+// The options from a daemon's command line.
 struct Invocation {
   std::string settings_path;
   std::string log_level = "info";
-  bool check_only = false;  // Only report findings on the settings.
+  bool check_only = false;  // Check the settings, then exit.
 };
 
-// A command line that was answered already, with the status to exit with: 0
-// after --help or --version, 2 after wrong usage.
+// Says that the program has printed its answer and should exit with the given
+// status: after --help, --version, wrong usage or invalid settings.
 struct EarlyExit {
   int exit_status = 0;
 };
 
+// Exit statuses of daemons, as listed by --help.
 inline constexpr int kExitSuccess = 0;
 inline constexpr int kExitInvalidSettings = 1;
 inline constexpr int kExitUsage = 2;
 inline constexpr int kExitStartFailed = 3;
 
-// Reads --help, --version, --config FILE, --log-level LEVEL and --check.
+// Parses --help, --version, --config FILE, --log-level LEVEL and --check.
+// Prints the help, the version or the usage error itself and then returns
+// EarlyExit: status 0 for help and version, 2 for wrong usage.
 std::variant<Invocation, EarlyExit> ReadCommandLine(const Program& program,
                                                     int argc,
                                                     const char* const* argv);
--- a/include/cassiastile/daemon/health.hpp
+++ b/include/cassiastile/daemon/health.hpp
@@ -7,9 +7,9 @@
 
 namespace cassiastile::daemon {
 
-// Adds /healthz (the process runs), /readyz (200 while `ready` says so, else
-// 503) and /metrics, which first calls `update` to bring gauges up to date. The
-// metrics outlive the router.
+// Adds the routes /healthz (always 200), /readyz (200 if `ready` returns true,
+// else 503) and /metrics, which calls `update` first to refresh the gauges. The
+// metrics must outlive the router.
 void AddHealthRoutes(wire::Router& router,
                      std::function<bool()> ready,
                      const wire::Metrics& metrics,
--- a/include/cassiastile/daemon/platform_access.hpp
+++ b/include/cassiastile/daemon/platform_access.hpp
@@ -12,22 +12,25 @@
 
 namespace cassiastile::daemon {
 
+// How a process reaches the platform services.
 struct PlatformAccessOptions {
-  std::string address;  // IP:PORT of the platform's services.
-  std::string process;  // Names this process and run in stored decisions.
-  std::chrono::milliseconds timeout{800};
+  std::string address;  // IP:PORT of the platform services.
+  std::string process;  // Identifies this process run in stored decisions.
+  std::chrono::milliseconds timeout{800};  // Of one call.
   platform::StoreGuardOptions guard;
 };
 
-// Reads "platform", "platform_timeout_ms", "store_writes_per_second" and
-// "store_reads_per_second".
+// Reads the settings "platform", "platform_timeout_ms",
+// "store_writes_per_second" and "store_reads_per_second". Errors are added to
+// the findings of `settings`.
 PlatformAccessOptions ReadPlatformOptions(config::Settings& settings);
 
-// A process's access to the platform: one client, the guarded table, the other
-// services and the log of decisions.
+// A process's clients for the platform services: the table behind a StoreGuard,
+// the object store, the host list and the machine service, over one HTTP
+// client. Also owns the decision log, which writes to the object store.
 class PlatformAccess {
  public:
-  // The clock outlives the access.
+  // The clock must outlive this object.
   PlatformAccess(const base::Clock& clock,
                  const PlatformAccessOptions& options);
 
@@ -37,7 +40,7 @@
   platform::Machines& Machines() { return m_machines; }
   platform::DecisionLog& Decisions() { return *m_decisions; }
 
-  // Brings the gauges of the store and of the decisions up to date.
+  // Refreshes the gauges of the table and the decision log.
   void UpdateMetrics(wire::Metrics& metrics) const;
 
  private:
--- a/include/cassiastile/daemon/run_daemon.hpp
+++ b/include/cassiastile/daemon/run_daemon.hpp
@@ -11,15 +11,16 @@
 
 namespace cassiastile::daemon {
 
-// A running program. Stop ends it gracefully: what was begun is finished.
+// A running daemon. Stop shuts it down gracefully: calls in progress finish
+// first.
 class Daemon {
  public:
   virtual ~Daemon() = default;
   virtual void Stop() = 0;
 };
 
-// A daemon that is one object with a static Start(Options), which returns a
-// base::Result of a std::unique_ptr, and a Stop().
+// Adapts a class to Daemon. The class needs a static Start(Options) that
+// returns base::Result<std::unique_ptr<Host>>, and a Stop().
 template <typename Host>
 class HostDaemon final : public Daemon {
  public:
@@ -40,21 +41,21 @@
   std::unique_ptr<Host> m_host;
 };
 
-// Loads the settings that the command line names and starts the log, or says on
-// standard error what is wrong.
+// Starts logging and loads the settings file named on the command line. On
+// failure, prints the error to standard error and returns EarlyExit.
 std::variant<config::Settings, EarlyExit> LoadSettings(
     const Invocation& invocation);
 
-// Prints findings on standard error. True when there were none.
+// Prints findings to standard error. Returns whether there are none.
 bool AreClean(const base::Findings& findings);
 
-// Says on standard error why a program can't start.
+// Prints to standard error why a program can't start. Returns kExitStartFailed.
 int ReportStartFailure(const Program& program, const base::Error& error);
 
-// A daemon's main: reads the command line and the settings, starts the daemon,
-// waits for the signal to stop and stops it. `read` turns settings into
-// options; `start` turns options into a daemon, as base::Result of a
-// std::unique_ptr. Returns the status to exit with.
+// A daemon's main function: reads the command line and the settings, starts the
+// daemon, waits for SIGTERM or SIGINT and stops it. `read` converts settings to
+// options; `start` takes the options and returns a base::Result of a
+// std::unique_ptr to the daemon. Returns the exit status.
 template <typename Read, typename Start>
 int RunDaemon(const Program& program,
               int argc,
--- a/include/cassiastile/daemon/stop_signal.hpp
+++ b/include/cassiastile/daemon/stop_signal.hpp
@@ -4,13 +4,14 @@
 
 namespace cassiastile::daemon {
 
-// Waits for the request to stop. Made first in main, before any thread, so that
-// all threads leave SIGTERM and SIGINT to Wait. SIGPIPE is ignored.
+// Waits for SIGTERM or SIGINT. Construct it first in main: threads inherit the
+// blocked signals only if they start later, and only then is Wait sure to
+// receive them. The constructor also makes the process ignore SIGPIPE.
 class StopSignal {
  public:
   StopSignal();
 
-  // Returns when SIGTERM or SIGINT arrives.
+  // Blocks until SIGTERM or SIGINT arrives.
   void Wait() const;
 
  private:
--- a/src/cassiastile/base/base_test.cpp
+++ b/src/cassiastile/base/base_test.cpp
@@ -9,7 +9,7 @@
 namespace cassiastile::base {
 namespace {
 
-TEST(ClockTest, WallStepsLeaveSteadyTimeAlone) {
+TEST(ClockTest, WallClockStepsDoNotChangeSteadyTime) {
   ManualClock clock;
   const TimePoint before = clock.Now();
   clock.StepWall(std::chrono::seconds(-3600));
@@ -22,7 +22,7 @@
 }
 
 TEST(HashTest, MatchesPublishedVector) {
-  // FIPS 180-4, the digest of "abc".
+  // The digest of "abc" given in FIPS 180-4.
   EXPECT_EQ(Sha256Hex("abc"),
             "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
@@ -40,7 +40,7 @@
   EXPECT_NE(MakeId(first), MakeId(first));
 }
 
-TEST(FindingsTest, AreReportedInOrderOfPlace) {
+TEST(FindingsTest, AreReportedInOrderOfPosition) {
   Findings findings{{{"f", 9, 1}, "b", "late"}, {{"f", 2, 5}, "a", "early"}};
   EXPECT_EQ(FormatFindings(findings),
             "f:2:5: error: a: early\nf:9:1: error: b: late\n");
--- a/src/cassiastile/base/log.cpp
+++ b/src/cassiastile/base/log.cpp
@@ -24,7 +24,7 @@
     {LogLevel::kError, "error"},
 }};
 
-log4cxx::LevelPtr LibraryLevel(LogLevel level) {
+log4cxx::LevelPtr ToLog4cxxLevel(LogLevel level) {
   switch (level) {
     case LogLevel::kDebug:
       return log4cxx::Level::getDebug();
@@ -42,11 +42,11 @@
            const std::string& prefix,
            std::string_view sentence) {
   const log4cxx::LoggerPtr logger = log4cxx::Logger::getLogger("cassiastile");
-  const log4cxx::LevelPtr library_level = LibraryLevel(level);
-  if (!logger->isEnabledFor(library_level)) {
+  const log4cxx::LevelPtr log4cxx_level = ToLog4cxxLevel(level);
+  if (!logger->isEnabledFor(log4cxx_level)) {
     return;
   }
-  logger->forcedLog(library_level, prefix + ": " + std::string(sentence),
+  logger->forcedLog(log4cxx_level, prefix + ": " + std::string(sentence),
                     log4cxx::spi::LocationInfo::getLocationUnavailable());
 }
 
@@ -80,7 +80,7 @@
   const auto appender = std::make_shared<log4cxx::ConsoleAppender>(
       layout, log4cxx::ConsoleAppender::getSystemErr());
   log4cxx::BasicConfigurator::configure(appender);
-  log4cxx::Logger::getRootLogger()->setLevel(LibraryLevel(*found));
+  log4cxx::Logger::getRootLogger()->setLevel(ToLog4cxxLevel(*found));
   return true;
 }
 
--- a/src/cassiastile/daemon/command_line.cpp
+++ b/src/cassiastile/daemon/command_line.cpp
@@ -36,7 +36,7 @@
             << ".jsonc --log-level debug\n";
 }
 
-EarlyExit RefuseUsage(const Program& program, const std::string& reason) {
+EarlyExit ReportWrongUsage(const Program& program, const std::string& reason) {
   std::cerr << program.name << ": " << reason << "; see --help\n";
   return {kExitUsage};
 }
@@ -54,7 +54,7 @@
                    values);
     options::notify(values);
   } catch (const options::error& error) {
-    return RefuseUsage(program, error.what());
+    return ReportWrongUsage(program, error.what());
   }
   if (values.count("help") > 0) {
     PrintHelp(program, description);
@@ -65,7 +65,7 @@
     return EarlyExit{kExitSuccess};
   }
   if (invocation.settings_path.empty()) {
-    return RefuseUsage(program, "--config FILE is missing");
+    return ReportWrongUsage(program, "--config FILE is missing");
   }
   return invocation;
 }
--- a/src/cassiastile/daemon/daemon_test.cpp
+++ b/src/cassiastile/daemon/daemon_test.cpp
@@ -12,14 +12,14 @@
                          static_cast<int>(arguments.size()), arguments.data());
 }
 
-TEST(CommandLineTest, TellsHelpFromWrongUsage) {
+TEST(CommandLineTest, HelpSucceedsAndWrongUsageFails) {
   EXPECT_EQ(std::get<EarlyExit>(Read({"--help"})).exit_status, kExitSuccess);
   EXPECT_EQ(std::get<EarlyExit>(Read({"--version"})).exit_status, kExitSuccess);
   EXPECT_EQ(std::get<EarlyExit>(Read({})).exit_status, kExitUsage);
   EXPECT_EQ(std::get<EarlyExit>(Read({"--nothing"})).exit_status, kExitUsage);
 }
 
-TEST(CommandLineTest, TakesTheSettingsFile) {
+TEST(CommandLineTest, ReadsTheSettingsFile) {
   const auto command = Read({"--config", "f.jsonc", "--check"});
   EXPECT_EQ(std::get<Invocation>(command).settings_path, "f.jsonc");
   EXPECT_TRUE(std::get<Invocation>(command).check_only);
--- a/src/cassiastile/daemon/platform_access.cpp
+++ b/src/cassiastile/daemon/platform_access.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::int64_t kMostCallsPerSecond = 10000;
+constexpr std::int64_t kMaxCallsPerSecond = 10000;
 
 platform::HttpPlatformLink MakeLink(wire::HttpClient& client,
                                     const PlatformAccessOptions& options) {
@@ -34,9 +34,9 @@
   options.timeout =
       settings.Milliseconds("platform_timeout_ms", options.timeout);
   options.guard.writes_per_second = static_cast<double>(
-      settings.Number("store_writes_per_second", 25, 1, kMostCallsPerSecond));
+      settings.Number("store_writes_per_second", 25, 1, kMaxCallsPerSecond));
   options.guard.reads_per_second = static_cast<double>(
-      settings.Number("store_reads_per_second", 100, 1, kMostCallsPerSecond));
+      settings.Number("store_reads_per_second", 100, 1, kMaxCallsPerSecond));
   return options;
 }
 
