--- a/include/cassiastile/control/audit_chain_appender.hpp
+++ b/include/cassiastile/control/audit_chain_appender.hpp
@@ -5,10 +5,11 @@
 
 namespace cassiastile::control {
 
-// Appends operators' acts on hosts and waves to the one audit chain.
+// Makes the writes that append operators' actions on hosts and waves to the
+// audit chain in the table, the same chain that records configuration edits.
 class AuditChainAppender final : public fleet::AuditAppender {
  public:
-  // The table outlives the appender.
+  // The table must outlive the appender.
   explicit AuditChainAppender(platform::Table& table);
 
   base::Result<fleet::AuditAddition> Append(
--- a/include/cassiastile/control/authentication.hpp
+++ b/include/cassiastile/control/authentication.hpp
@@ -9,17 +9,19 @@
 
 namespace cassiastile::control {
 
-// The operator whose key came with a request. kDenied when it is nobody's;
-// kUnavailable when no document is in force yet, or when this host can't tell
-// whether keys were withdrawn.
+// Returns the name of the operator whose key a request carries. Fails with
+// kDenied if the key is missing or no operator's, and with kUnavailable if no
+// document is in force yet or this host's document may be stale, so that the
+// key could have been revoked.
 base::Result<std::string> AuthenticateOperator(
     const config::FleetSource& source,
     const wire::HttpRequest& request,
     base::TimePoint now);
 
-// The team whose key came with a request; empty where none came. kDenied for a
-// key that is nobody's; kUnavailable when this host can't tell whether keys
-// were withdrawn.
+// Returns the team whose key a request carries, or an empty name if it carries
+// no key. Fails with kDenied if the key is unknown, and with kUnavailable if no
+// document is in force yet or this host's document may be stale, so that the
+// key could have been revoked.
 base::Result<std::string> AuthenticateTeam(const config::FleetSource& source,
                                            const wire::HttpRequest& request,
                                            base::TimePoint now);
--- a/include/cassiastile/control/config_answers.hpp
+++ b/include/cassiastile/control/config_answers.hpp
@@ -10,21 +10,29 @@
 
 namespace cassiastile::control {
 
-// The answers of the configuration interface.
+// The responses of the routes under /v1/config, /v1/audit and /v1/members.
+
+// What a dry run of an edit would change.
 wire::HttpResponse MakeDryRunAnswer(const member::EditOutcome& outcome);
+// A committed edit, with the members not known to have it in force. Its state
+// is "pending" if these may still act on an older version.
 wire::HttpResponse MakeAcceptedAnswer(const member::EditOutcome& outcome,
                                       const member::EditQuorum::Wait& wait);
+// A refused edit: 409 for a conflict, 422 for an invalid document, 403 for
+// sections of other owners, or the response for another error.
 wire::HttpResponse MakeRefusedAnswer(const member::EditRefusal& refusal,
                                      const std::string& decision_id);
 wire::HttpResponse MakeHistoryAnswer(
     const std::vector<member::ConfigVersion>& versions);
+// The audit rows that match `since` (a sequence number or a time) and `section`
+// (any if empty), and whether the chain of all `rows` up to `head` is intact.
 wire::HttpResponse MakeAuditAnswer(const std::vector<member::AuditRow>& rows,
                                    const member::AuditHead& head,
                                    const std::string& since,
                                    const std::string& section);
 wire::HttpResponse MakeMembersAnswer(const member::MemberStatus& status);
 
-// A sentence on a refusal, for the decision log.
+// Describes why an edit was refused, for the decision log.
 std::string DescribeRefusal(const member::EditRefusal& refusal);
 
 }  // namespace cassiastile::control
--- a/include/cassiastile/control/config_service.hpp
+++ b/include/cassiastile/control/config_service.hpp
@@ -14,29 +14,29 @@
 
 namespace cassiastile::control {
 
-// What the service stands on; all of it outlives the service.
+// The objects that the service uses. All must outlive it.
 struct ConfigServiceDependencies {
   member::ConfigStore& store;
   member::Member& member;
   platform::Table& table;
   const base::Clock& clock;
   base::DecisionSink* decisions = nullptr;  // May be null.
-  // What teams have running, for dry runs; may be empty.
+  // Returns what teams are running, for dry runs. May be empty.
   std::function<std::vector<config::TeamUsage>()> team_use;
 };
 
-// The configuration and audit interfaces for operators. Calls that read or
-// write the table run on threads of the service's own.
+// Serves the configuration, audit and member routes to operators. Calls that
+// read or write the table run on the service's own threads.
 class ConfigService {
  public:
   static std::unique_ptr<ConfigService> Create(ConfigServiceDependencies parts);
-  // Waits for the calls under way.
+  // Waits for the calls in progress.
   ~ConfigService();
   ConfigService(const ConfigService&) = delete;
   ConfigService& operator=(const ConfigService&) = delete;
 
   // Adds the routes under /v1/config, /v1/audit and /v1/members. The service
-  // outlives the router.
+  // must outlive the router.
   void Register(wire::Router& router);
 
  private:
--- a/include/cassiastile/control/control_host.hpp
+++ b/include/cassiastile/control/control_host.hpp
@@ -15,30 +15,38 @@
 
 namespace cassiastile::control {
 
+// Settings of a control process.
 struct ControlHostOptions {
   config::SocketAddress listen;  // HTTP for operators, callers and workers.
   std::size_t http_threads = 4;
   member::MemberOptions member;
   daemon::PlatformAccessOptions platform;
-  std::chrono::milliseconds pool_interval{1000};  // Between looks at the pools.
-  // How long a rebooted host must stay up before it is trusted with work.
+  std::chrono::milliseconds pool_interval{
+      1000};  // Between pool service rounds.
+  // How long a rebooted host must stay up before it gets work again.
   std::chrono::milliseconds probe_time{10000};
+  // How long /readyz fails, while connections are still accepted, before the
+  // HTTP server drains.
   std::chrono::milliseconds drain_notice{500};
+  // After this time calls that are still unanswered are cut off.
   std::chrono::milliseconds drain_deadline{30000};
 };
 
-// A control process: its membership, the shards that it owns, and the
-// interfaces of docs/API.md.
+// A control process. It is a member of the fleet, owns the shards of some
+// pools, and serves operators, task submitters and workers over HTTP;
+// docs/API.md describes the routes.
 class ControlHost {
  public:
+  // Starts all threads and listens. Fails if the member can't be created or the
+  // address can't be listened on.
   static base::Result<std::unique_ptr<ControlHost>> Start(
       ControlHostOptions options);
   ~ControlHost();
   ControlHost(const ControlHost&) = delete;
   ControlHost& operator=(const ControlHost&) = delete;
 
-  // Answers what was taken, then gives up the shards and leaves the members.
-  // Returns the number of calls cut off, zero when all were answered.
+  // Answers the calls already accepted, then releases the shards and leaves the
+  // membership. Returns the number of calls cut off unanswered.
   std::size_t Stop();
 
  private:
--- a/include/cassiastile/control/decision_service.hpp
+++ b/include/cassiastile/control/decision_service.hpp
@@ -7,10 +7,10 @@
 
 namespace cassiastile::control {
 
-// Answers GET /v1/decisions/<id> to operators, and to a team for its own
-// decisions, and GET /v1/decisions/gaps to operators. Looks in this process's
-// memory first, then among the stored batches. All that is passed in outlives
-// the service.
+// Serves GET /v1/decisions/<id> to operators, and to a team for its own
+// decisions, and GET /v1/decisions/gaps to operators. Looks for a decision in
+// this process's memory first, then in the batches in the object store. All
+// constructor arguments must outlive the service.
 class DecisionService {
  public:
   DecisionService(const base::Clock& clock,
@@ -18,6 +18,7 @@
                   const platform::DecisionLog& log,
                   platform::ObjectStore& objects);
 
+  // Adds the routes. The service must outlive the router.
   void Register(wire::Router& router);
 
  private:
--- a/include/cassiastile/control/pool_service.hpp
+++ b/include/cassiastile/control/pool_service.hpp
@@ -25,9 +25,9 @@
 
 namespace cassiastile::control {
 
-struct PoolSnapshot;  // What one round leaves for readers.
+struct PoolSnapshot;  // The state after a round, for readers.
 
-// What the service works with; all of it outlives the service.
+// The objects that the service uses. All must outlive it.
 struct PoolServiceDependencies {
   const base::Clock& clock;
   const config::FleetSource& source;
@@ -35,24 +35,26 @@
   platform::Table& table;
   platform::Machines& machines;
   fleet::HostWorkSource& work;
-  const fleet::DemandSource* demand = nullptr;  // Null where none is measured.
+  const fleet::DemandSource* demand = nullptr;  // Null if demand is unknown.
   fleet::AuditAppender& audit;
   base::DecisionSink& decisions;
 };
 
+// Settings of a PoolService.
 struct PoolServiceOptions {
-  std::string name;        // This process's, as it stands in the rows.
-  std::uint64_t seed = 0;  // Of the nonces and decision ids.
+  std::string name;        // Identifies this process in the rows it writes.
+  std::uint64_t seed = 0;  // For nonces and decision ids.
   std::chrono::milliseconds interval{1000};  // Between two rounds.
-  std::size_t max_queued_actions = 64;
+  std::size_t max_queued_actions = 64;       // More are refused as overloaded.
   fleet::ReconcilerOptions reconciler;
 };
 
-// Runs the pools whose shards this host owns, and takes operators' acts on
-// hosts and waves on any host. The rounds and the acts share one thread.
+// Reconciles the pools whose shards this host owns, and accepts operators'
+// actions on hosts and waves on every control host. The rounds and the actions
+// share one thread.
 class PoolService final : public fleet::PoolView {
  public:
-  // Fails when the name is empty.
+  // Fails with kInvalid if the name is empty.
   static base::Result<std::unique_ptr<PoolService>> Create(
       PoolServiceDependencies ports,
       PoolServiceOptions options);
@@ -60,24 +62,30 @@
   PoolService(const PoolService&) = delete;
   PoolService& operator=(const PoolService&) = delete;
 
+  // Adds the routes under /v1/hosts and /v1/waves. The service must outlive the
+  // router.
   void Register(wire::Router& router);
 
+  // Starts the thread that runs the rounds.
   void Start();
 
-  // Ends after the round under way. Acts that wait are refused, not run.
+  // Stops after the current round. Queued actions are refused and not run.
   void Stop();
 
-  // One round: the acts that wait, then each owned pool. Start calls it; tests
-  // may instead.
+  // Runs one round: the queued actions, then each owned pool. Called by the
+  // thread, or by tests in its place.
   void RunOnce();
 
+  // The hosts of a pool as of the last round. Thread-safe.
   std::vector<fleet::HostView> Hosts(const std::string& pool) const override;
 
-  // Pools, hosts out and waves, for the status page.
+  // The pools, their hosts out of service and the waves as of the last round,
+  // for GET /v1/status. Thread-safe.
   nlohmann::json StatusJson() const;
 
  private:
-  // An operator's act that waits for its turn.
+  // A queued operator's action: its audit entry, the change to make, and the
+  // response body on success.
   struct OperatorAction {
     fleet::AuditEntry entry;
     std::function<base::Result<void>(const fleet::AuditAddition&)> run;
@@ -89,7 +97,7 @@
 
   void HandleHostAction(const wire::HttpRequest& request,
                         const wire::HttpResponder& respond,
-                        const std::string& act);
+                        const std::string& action);
   void HandleWaveAction(const wire::HttpRequest& request,
                         const wire::HttpResponder& respond);
   void AnswerWave(const wire::HttpRequest& request,
@@ -97,9 +105,9 @@
   base::Result<std::string> AuthorizeSectionOwner(
       const wire::HttpRequest& request,
       config::SectionName section) const;
-  void Enqueue(OperatorAction act);
+  void Enqueue(OperatorAction action);
   void RunActions();
-  base::Result<void> RunAction(const OperatorAction& act);
+  base::Result<void> RunAction(const OperatorAction& action);
   void TickOwnedPools();
   bool IsStopping() const;
   void TickRemovedPools();
@@ -110,11 +118,11 @@
   PoolServiceOptions m_options;
   base::Log m_log{"pools"};
 
-  std::mutex m_round_mutex;  // Held through a round.
+  std::mutex m_round_mutex;  // Held during a round; guards the next two.
   fleet::Reconciler m_reconciler;
   std::shared_ptr<const config::AcceptedFleet> m_document;
 
-  mutable std::mutex m_mutex;
+  mutable std::mutex m_mutex;  // Guards the next three.
   std::deque<OperatorAction> m_actions;
   std::shared_ptr<const PoolSnapshot> m_published;
   bool m_stopping = false;
--- a/include/cassiastile/control/shard_forwarder.hpp
+++ b/include/cassiastile/control/shard_forwarder.hpp
@@ -10,24 +10,25 @@
 
 namespace cassiastile::control {
 
-// Marks a call that one control process passed on to another.
+// Marks a request that another control process has forwarded. It is not
+// forwarded again.
 inline constexpr std::string_view kForwardedHeader = "Cassiastile-Forwarded";
 
-// What answers a call on the host that owns the shard.
+// Answers a request on the host that owns the shard, under its lease.
 using ShardHandler = std::function<
     void(member::ShardLease, wire::HttpRequest, wire::HttpResponder)>;
 
-// Answers calls on the shard's owner, wherever they arrive. All parts outlive
-// it.
+// Routes requests to the owner of their shard, whichever control host receives
+// them. The constructor arguments must outlive the forwarder.
 class ShardForwarder {
  public:
   ShardForwarder(const base::Clock& clock,
                  const member::ShardOwner& owner,
                  wire::HttpClient& client);
 
-  // Runs the handler here when this host owns the shard, else passes the call
-  // on once. Refuses with "not run" when no owner is known, and with
-  // "unknown" when the owner's answer is lost.
+  // Runs the handler if this host owns the shard, else forwards the request to
+  // the owner, once. The response says "not run" if no owner is known or the
+  // owner can't be reached, and "unknown" if the owner's response is lost.
   void Handle(const std::string& shard,
               wire::HttpRequest request,
               wire::HttpResponder respond,
--- a/include/cassiastile/control/status_service.hpp
+++ b/include/cassiastile/control/status_service.hpp
@@ -12,17 +12,20 @@
 
 namespace cassiastile::control {
 
-// Answers GET /v1/status to operators with what each part says of itself.
+// Serves GET /v1/status to operators: one field per component, with the status
+// that the component reports.
 class StatusService {
  public:
-  // Returns a part's status; called on a thread of the server.
+  // Returns a component's status. Called on the HTTP server's threads.
   using Part = std::function<nlohmann::json()>;
 
-  // The clock and the source outlive the service.
+  // `parts` maps field names to components. The clock and the source must
+  // outlive the service.
   StatusService(const base::Clock& clock,
                 const config::FleetSource& source,
                 std::map<std::string, Part> parts);
 
+  // Adds the route. The service must outlive the router.
   void Register(wire::Router& router);
 
  private:
--- a/include/cassiastile/control/task_event_batcher.hpp
+++ b/include/cassiastile/control/task_event_batcher.hpp
@@ -24,7 +24,8 @@
 
 namespace cassiastile::control {
 
-// What a pump and the task service work with. All outlive them.
+// The objects that the batchers and the task service use. All must outlive
+// them.
 struct TaskServiceDependencies {
   platform::Table& table;
   const config::FleetSource& fleet;
@@ -34,57 +35,62 @@
   const base::Clock& clock;
 };
 
+// Settings of a TaskEventBatcher.
 struct TaskEventBatcherOptions {
   work::TaskOwnerOptions owner;
-  // The least time between two batches, and between one that wrote rows and
-  // the next. The second bounds the shard's writes.
+  // The minimum time between two batches, and after a batch that wrote rows.
+  // The latter limits the shard's write rate.
   std::chrono::milliseconds batch_interval{25};
   std::chrono::milliseconds write_interval{150};
-  // The longest time between two batches.
+  // The maximum wait for an event; then a batch without events runs, for
+  // timeouts.
   std::chrono::milliseconds tick{250};
-  // Cancellations in one batch, so that waves of them don't delay starts.
+  // The maximum number of cancellations in one batch, so that a burst of them
+  // does not delay starts.
   std::size_t max_cancels = 256;
-  std::size_t max_waiting = 4096;  // Events waiting for a batch.
+  // The maximum number of queued events and reads; more are refused with kFull.
+  std::size_t max_waiting = 4096;
 };
 
-// A task in doubt or a worker in quarantine, with what that rests on.
+// A task in doubt or a worker in quarantine, with the evidence for it.
 struct TaskIssue {
   std::string subject;
   std::string evidence;
 };
 
-// A shard's state, as of the last second.
+// A shard's state, refreshed once a second. Only `pool` is set unless `owned`.
 struct TaskPoolStatus {
   std::string pool;
-  bool owned = false;  // By this process, and read from the table.
+  // Whether this process owns the shard and has read its rows.
+  bool owned = false;
   std::size_t tasks = 0;
-  std::size_t waiting = 0;
-  std::size_t runs = 0;
+  std::size_t waiting = 0;  // Including tasks that fit no host of the pool.
+  std::size_t runs = 0;     // Runs that count against the teams' limits.
   std::vector<TaskIssue> in_doubt;
   std::vector<TaskIssue> quarantined;
   std::map<std::string, fleet::HostWork> hosts;
 };
 
-// Why a pump did nothing with an event.
+// Why a batcher did not handle an event.
 enum class BatcherRefusal : std::uint8_t {
-  kNone,
-  kNotOwner,
-  kFull,
-  kStopping,
+  kNone,      // It was handled.
+  kNotOwner,  // This process does not own the shard.
+  kFull,      // Too many events are queued.
+  kStopping,  // The batcher was stopped.
 };
 
+// The result of one event or read.
 struct BatcherResult {
   BatcherRefusal refusal = BatcherRefusal::kNone;
   work::TaskResult result;
-  std::optional<work::Task> task;  // The task after the event, if confirmed.
-  std::string explanation;         // Why it waits, is in doubt or ended.
+  std::optional<work::Task> task;  // The task after the event, if committed.
+  std::string explanation;         // Why it waits, is in doubt or has ended.
 };
 
 using BatcherCompletion = std::function<void(BatcherResult)>;
 
-// Collects the events of one pool's shard for a few milliseconds and hands them
-// to its owner together, on a thread of its own. Safe for use by several
-// threads.
+// Collects the events of one pool's shard for a few milliseconds and passes
+// them to the shard's TaskOwner in one batch, on its own thread. Thread-safe.
 class TaskEventBatcher {
  public:
   TaskEventBatcher(std::string pool,
@@ -96,21 +102,28 @@
   TaskEventBatcher& operator=(const TaskEventBatcher&) = delete;
 
   void Start();
-  // Handles what waits, then ends.
+  // Handles the queued events, then ends the thread. Later ones are refused.
   void Stop();
 
-  // Handles an event of the task with the key. The completion runs once and
+  // Queues an event of the task with the key; `key` is empty for a poll. The
+  // completion runs exactly once, on the batcher's or the caller's thread, and
   // must not block.
   void Submit(work::TaskEvent event,
               std::string key,
               BatcherCompletion completion);
-  // Reads a task between two batches.
+  // Queues a read of a task, answered after the events of its batch. The
+  // completion runs as for Submit.
   void Read(std::string key, BatcherCompletion completion);
 
+  // Requests, in the next batch, that tasks that can be checkpointed leave the
+  // host.
   void RequestEvacuation(const std::string& host);
+
+  // The status as of the last refresh; does not wait for the batcher's thread.
   TaskPoolStatus Status() const;
 
  private:
+  // A queued event, or a read if it has no event.
   struct Item {
     std::optional<work::TaskEvent> event;
     std::string key;
@@ -130,13 +143,14 @@
   const std::string m_pool;
   const TaskEventBatcherOptions m_options;
   TaskServiceDependencies m_parts;
-  work::TaskOwner m_owner;  // Used by the pump's thread alone, as is the rest.
+  // These are used only by the batcher's thread.
+  work::TaskOwner m_owner;
   std::uint64_t m_fleet_version = 0;
-  base::TimePoint m_views_at{};
-  base::TimePoint m_status_at{};
-  base::TimePoint m_batch_due{};  // Not before this.
+  base::TimePoint m_views_refreshed_at{};
+  base::TimePoint m_status_refreshed_at{};
+  base::TimePoint m_next_batch_at{};  // The earliest time of the next batch.
 
-  mutable std::mutex m_mutex;  // Guards what follows.
+  mutable std::mutex m_mutex;  // Guards the members below.
   std::condition_variable m_changed;
   std::deque<Item> m_items;
   std::set<std::string> m_hosts_to_evacuate;
--- a/include/cassiastile/control/task_http.hpp
+++ b/include/cassiastile/control/task_http.hpp
@@ -8,23 +8,26 @@
 
 namespace cassiastile::control {
 
-// The answers to calls on tasks, from what a pump did with them.
+// HTTP responses to task and worker requests, made from a batcher's results.
 
+// Responds to a submission of `spec`.
 wire::HttpResponse MakeSubmitResponse(const BatcherResult& result,
                                       const work::TaskSpec& spec);
 
-// For reads, cancellations and operators' words on a task.
+// Responds to a read, a cancellation or an operator's resolution of a task.
 wire::HttpResponse MakeTaskResponse(const BatcherResult& result);
 
+// Responds to a worker's poll.
 wire::HttpResponse MakePollResponse(const BatcherResult& result);
 
-// An answer that renews a worker's leases and says nothing else, for when no
-// owner of the shard can be asked.
+// A poll response that only renews the worker's leases, for when no owner of
+// the shard can be reached.
 wire::HttpResponse MakeRenewalResponse(const std::string& pool,
                                        base::Duration lease,
                                        base::Duration poll_after);
 
-// Whether an answer says that no owner of the shard could be asked.
+// Whether a response says that the shard has no owner or that its owner can't
+// be reached.
 bool IsNoOwnerResponse(const wire::HttpResponse& response);
 
 }  // namespace cassiastile::control
--- a/include/cassiastile/control/task_service.hpp
+++ b/include/cassiastile/control/task_service.hpp
@@ -17,33 +17,37 @@
 
 namespace cassiastile::control {
 
+// Settings of a TaskService.
 struct TaskServiceOptions {
-  TaskEventBatcherOptions pump;
+  TaskEventBatcherOptions batcher;
   std::uint64_t seed = 1;  // For nonces, decision ids and jitter.
 };
 
-// Takes tasks from callers, hands them to workers and answers operators about
-// them, for the pools whose shards this process owns; passes other calls on.
-// Also tells waves what runs on a host. Safe for use by several threads.
+// Serves the task routes of callers and operators and the polls of workers, for
+// the pools whose shards this process owns, and forwards other requests to the
+// owner. Also tells waves which work runs on a host. Thread-safe.
 class TaskService final : public fleet::HostWorkSource {
  public:
-  // All parts and the forwarder outlive the service.
+  // The objects in `parts` and the forwarder must outlive the service.
   static std::unique_ptr<TaskService> Create(TaskServiceDependencies parts,
                                              const ShardForwarder& forwarder,
                                              TaskServiceOptions options);
   ~TaskService() override;
 
-  // Adds the routes under /v1/queues and /v1/workers. Before the server starts.
+  // Adds the routes under /v1/queues and /v1/workers. Call it before the server
+  // starts; the service must outlive the router.
   void Register(wire::Router& router);
 
+  // Starts the thread that follows the document: it creates batchers for new
+  // pools and tracks which hosts belong to which pool.
   void Start();
-  // Answers the calls taken and takes no more.
+  // Answers the accepted requests, then refuses all others.
   void Stop();
 
   fleet::HostWork WorkOn(const std::string& host) const override;
   void RequestEvacuation(const std::string& host) override;
 
-  // One for each pool of the document that this process has heard of.
+  // The status of each pool seen so far, whether or not this process owns it.
   std::vector<TaskPoolStatus> Status() const;
 
  private:
@@ -51,7 +55,8 @@
               const ShardForwarder& forwarder,
               TaskServiceOptions options);
 
-  // What a caller's call on one task asks of the owner's pump.
+  // Performs a caller's request on one task, by its key, with the owner's
+  // batcher.
   using TaskCall = std::function<void(TaskEventBatcher&,
                                       const std::string& key,
                                       const wire::HttpResponder&)>;
@@ -59,14 +64,15 @@
   void HandleSubmit(wire::HttpRequest request, wire::HttpResponder respond);
   void HandleRead(wire::HttpRequest request, wire::HttpResponder respond);
   void HandleCancel(wire::HttpRequest request, wire::HttpResponder respond);
-  // Runs the call on the owner of the task that the request names.
+  // Runs the call on the host that owns the task named by the request.
   void ForwardTaskCall(wire::HttpRequest request,
                        wire::HttpResponder respond,
                        TaskCall call);
   void HandleResolve(wire::HttpRequest request, wire::HttpResponder respond);
   void HandlePoll(wire::HttpRequest request, wire::HttpResponder respond);
 
-  // The queue that a call names, if the caller's key is for it.
+  // Returns the queue that a request names, if it is open to all or the request
+  // carries a key of the queue's team.
   base::Result<config::Queue> AuthorizeCaller(
       const wire::HttpRequest& request) const;
   std::string PoolOfHost(const std::string& host) const;
@@ -80,7 +86,7 @@
   TaskServiceOptions m_options;
   base::Log m_log{"tasks"};
 
-  mutable std::mutex m_mutex;  // Guards what follows.
+  mutable std::mutex m_mutex;  // Guards the members below.
   std::condition_variable m_changed;
   base::Random m_random;
   std::map<std::string, std::shared_ptr<TaskEventBatcher>> m_batchers;
--- a/src/cassiastile/control/authentication.cpp
+++ b/src/cassiastile/control/authentication.cpp
@@ -4,12 +4,12 @@
 
 namespace {
 
-tl::unexpected<base::Error> NoDocument() {
+tl::unexpected<base::Error> NoDocumentError() {
   return base::Fail(base::ErrorCode::kUnavailable,
                     "No fleet document is in force on this host.");
 }
 
-tl::unexpected<base::Error> NotFresh() {
+tl::unexpected<base::Error> StaleConfigurationError() {
   return base::Fail(base::ErrorCode::kUnavailable,
                     "This host can't tell whether keys were withdrawn.");
 }
@@ -22,10 +22,10 @@
     base::TimePoint now) {
   const auto accepted = source.Current();
   if (!accepted) {
-    return NoDocument();
+    return NoDocumentError();
   }
   if (!source.IsFresh(now)) {
-    return NotFresh();
+    return StaleConfigurationError();
   }
   const auto secret = wire::FindBearerToken(request);
   const config::Operator* found =
@@ -47,10 +47,10 @@
   }
   const auto accepted = source.Current();
   if (!accepted) {
-    return NoDocument();
+    return NoDocumentError();
   }
   if (!source.IsFresh(now)) {
-    return NotFresh();
+    return StaleConfigurationError();
   }
   const config::Key* key = config::FindKey(accepted->fleet, *secret);
   if (key == nullptr) {
--- a/src/cassiastile/control/config_answers.cpp
+++ b/src/cassiastile/control/config_answers.cpp
@@ -22,7 +22,7 @@
   return list;
 }
 
-// A problem with members of its own beside the usual ones.
+// Makes a problem response with additional JSON members.
 wire::HttpResponse MakeProblemWith(const wire::Problem& problem,
                                    const nlohmann::json& members) {
   wire::HttpResponse response = wire::MakeProblemResponse(problem);
@@ -99,7 +99,7 @@
          text.find_first_not_of("0123456789") == std::string::npos;
 }
 
-// `since` is a sequence or a time.
+// `since` is a sequence number or a time; empty values match all rows.
 bool Matches(const member::AuditRow& row,
              const std::string& since,
              const std::string& section) {
--- a/src/cassiastile/control/config_service.cpp
+++ b/src/cassiastile/control/config_service.cpp
@@ -23,7 +23,7 @@
 constexpr std::size_t kReadThreads = 2;
 constexpr std::size_t kEditThreads = 1;
 constexpr std::size_t kMaxWaiting = 64;
-wire::HttpResponse MakeBusy() {
+wire::HttpResponse MakeOverloadedResponse() {
   return wire::MakeErrorResponse(
       {base::ErrorCode::kOverloaded, "Too many calls wait for the table."});
 }
@@ -43,7 +43,7 @@
                                       {"text", text}});
 }
 
-// Reads the body of an edit; the section, if any, comes from the path.
+// Parses an edit request. The section, if any, comes from the path.
 base::Result<member::ConfigEdit> ReadEdit(const wire::HttpRequest& request) {
   const auto body = wire::ParseJsonBody(request.body);
   if (!body) {
@@ -93,18 +93,20 @@
   }
 
   void Register(wire::Router& router) {
-    AddRead(router, "/v1/config", &Impl::AnswerConfig);
-    AddRead(router, "/v1/config/history", &Impl::AnswerHistory);
-    AddRead(router, "/v1/audit", &Impl::AnswerAudit);
-    AddRead(router, "/v1/members", &Impl::AnswerMembers);
-    AddEdit(router, "/v1/config");
-    AddEdit(router, "/v1/config/sections/:section");
+    AddReadRoute(router, "/v1/config", &Impl::AnswerConfig);
+    AddReadRoute(router, "/v1/config/history", &Impl::AnswerHistory);
+    AddReadRoute(router, "/v1/audit", &Impl::AnswerAudit);
+    AddReadRoute(router, "/v1/members", &Impl::AnswerMembers);
+    AddEditRoute(router, "/v1/config");
+    AddEditRoute(router, "/v1/config/sections/:section");
   }
 
  private:
   using Answer = wire::HttpResponse (Impl::*)(const wire::HttpRequest&);
 
-  void AddRead(wire::Router& router, std::string_view path, Answer answer) {
+  void AddReadRoute(wire::Router& router,
+                    std::string_view path,
+                    Answer answer) {
     router.Add(
         "GET", path,
         [this, answer](wire::HttpRequest request, wire::HttpResponder respond) {
@@ -123,7 +125,7 @@
         });
   }
 
-  void AddEdit(wire::Router& router, std::string_view path) {
+  void AddEditRoute(wire::Router& router, std::string_view path) {
     router.Add("POST", path,
                [this](wire::HttpRequest request, wire::HttpResponder respond) {
                  Post(m_edits, &Impl::AnswerEdit, std::move(request),
@@ -137,7 +139,7 @@
             wire::HttpResponder respond) {
     if (m_waiting.fetch_add(1) >= kMaxWaiting) {
       --m_waiting;
-      respond(MakeBusy());
+      respond(MakeOverloadedResponse());
       return;
     }
     asio::post(pool, [this, answer, request = std::move(request),
@@ -147,8 +149,8 @@
     });
   }
 
-  // Without a document there are no operators to tell apart, and nothing to
-  // show.
+  // Answers reads while no document is in force: operators can't be
+  // authenticated then, and there is nothing to show.
   wire::HttpResponse AnswerWithoutDocument(const wire::HttpRequest&) {
     const auto head = m_parts.store.Head();
     if (!head) {
@@ -167,7 +169,7 @@
     const auto asked = wire::FindQueryParameter(request, "version");
     const auto head = m_parts.store.Head();
     if (!head) {
-      // Without the table, what is in force here is known all the same.
+      // The table can't be read, but the version in force here is in memory.
       const auto fleet = m_parts.member.Current();
       const bool same =
           fleet && (!asked || ParseVersion(*asked) == fleet->version);
@@ -194,7 +196,7 @@
   }
 
   wire::HttpResponse AnswerAudit(const wire::HttpRequest& request) {
-    // The head is read first: rows appended meanwhile are left out.
+    // The head is read first, so rows appended between the reads are removed.
     const auto head = member::ReadAuditHead(m_parts.table);
     auto rows = member::ReadAuditRows(m_parts.table, 0);
     if (!head || !rows) {
@@ -233,7 +235,7 @@
                               m_parts.member.WaitUntilInForce(result->version));
   }
 
-  // Keeps the decision and returns its id, or nothing where none are kept.
+  // Records the decision on an edit. Returns its id, empty if there is no sink.
   std::string Record(const member::ConfigEdit& edit,
                      const std::string& outcome) {
     if (m_parts.decisions == nullptr) {
--- a/src/cassiastile/control/config_service_test.cpp
+++ b/src/cassiastile/control/config_service_test.cpp
@@ -25,7 +25,7 @@
   return text.str();
 }
 
-// One control process with its table; the service is called without HTTP.
+// One control process and its table. Requests go to the router without HTTP.
 class ConfigServiceTest : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -44,7 +44,7 @@
         {*m_store, *m_member, m_table, m_clock, nullptr, {}});
     m_service->Register(m_router);
     Get("/v1/config", kBoardKey);
-    EXPECT_EQ(m_status, 404) << "no document was accepted yet";
+    EXPECT_EQ(m_status, 404) << "before the first document is accepted";
     const auto body = Post("/v1/config", kBoardKey,
                            {{"text", ExampleText()}, {"base_version", 0}});
     ASSERT_EQ(body.value("state", ""), "accepted") << body.dump();
@@ -95,7 +95,7 @@
   int m_status = 0;
 };
 
-TEST_F(ConfigServiceTest, GivesTextHistoryAuditAndMembers) {
+TEST_F(ConfigServiceTest, ReturnsTextHistoryAuditAndMembers) {
   const auto config = Get("/v1/config", kBoardKey);
   EXPECT_EQ(config.at("version"), 1);
   EXPECT_EQ(config.at("text"), ExampleText());
@@ -112,7 +112,7 @@
   EXPECT_EQ(Get("/v1/members", kBoardKey).at("members").size(), 1U);
 }
 
-TEST_F(ConfigServiceTest, GivesWhatIsInForceWithoutTheTable) {
+TEST_F(ConfigServiceTest, ReturnsTheDocumentInForceWithoutTheTable) {
   m_table.SetFaults({true, 0, 0, 0});
   EXPECT_EQ(Get("/v1/config", kBoardKey).at("version"), 1);
   Get("/v1/config/history", kBoardKey);
--- a/src/cassiastile/control/control_host.cpp
+++ b/src/cassiastile/control/control_host.cpp
@@ -23,8 +23,10 @@
 
 using nlohmann::json;
 
-// Stands for the tasks towards the pools, since each is made with the other.
-class LateHostWork final : public fleet::HostWorkSource {
+// Forwards to the task service, which is set later: the pool service needs a
+// HostWorkSource before the task service, which needs the pools, can be
+// created.
+class DeferredHostWork final : public fleet::HostWorkSource {
  public:
   void Set(fleet::HostWorkSource& source) { m_source = &source; }
 
@@ -50,11 +52,10 @@
   return names;
 }
 
-json TroublesToJson(const std::vector<TaskIssue>& troubles) {
+json IssuesToJson(const std::vector<TaskIssue>& issues) {
   json list = json::array();
-  for (const TaskIssue& trouble : troubles) {
-    list.push_back(
-        {{"subject", trouble.subject}, {"evidence", trouble.evidence}});
+  for (const TaskIssue& issue : issues) {
+    list.push_back({{"subject", issue.subject}, {"evidence", issue.evidence}});
   }
   return list;
 }
@@ -69,8 +70,8 @@
                     {"tasks", pool.tasks},
                     {"waiting", pool.waiting},
                     {"running", pool.runs},
-                    {"in_doubt", TroublesToJson(pool.in_doubt)},
-                    {"quarantined", TroublesToJson(pool.quarantined)}});
+                    {"in_doubt", IssuesToJson(pool.in_doubt)},
+                    {"quarantined", IssuesToJson(pool.quarantined)}});
   }
   return list;
 }
@@ -104,7 +105,7 @@
   daemon::PlatformAccess access;
   std::unique_ptr<wire::HttpClient> client;
   AuditChainAppender audit;
-  LateHostWork host_work;
+  DeferredHostWork host_work;
   std::unique_ptr<member::Member> member;
   std::unique_ptr<member::ShardLeaseManager> shards;
   std::unique_ptr<ShardForwarder> forwarder;
@@ -235,15 +236,15 @@
 std::size_t ControlHost::Stop() {
   Parts& parts = *m_parts;
   parts.draining.store(true);
-  const std::size_t cut = parts.server->Drain(parts.options.drain_notice,
-                                              parts.options.drain_deadline);
+  const std::size_t cut_off_calls = parts.server->Drain(
+      parts.options.drain_notice, parts.options.drain_deadline);
   parts.tasks->Stop();
   parts.pools->Stop();
   parts.shards->Stop();
   parts.member->Stop();
-  parts.log.Info("The control process has stopped; " + std::to_string(cut) +
-                 " calls were cut off.");
-  return cut;
+  parts.log.Info("The control process has stopped; " +
+                 std::to_string(cut_off_calls) + " calls were cut off.");
+  return cut_off_calls;
 }
 
 }  // namespace cassiastile::control
--- a/src/cassiastile/control/control_host_test.cpp
+++ b/src/cassiastile/control/control_host_test.cpp
@@ -30,23 +30,23 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// Two control processes over real sockets, with the platform's stand-in.
+// Two control processes over real sockets, with a simulated platform.
 class ControlHostTest : public testing::Test {
  protected:
   void SetUp() override {
     for (const std::string name : {"c1", "c2"}) {
-      Repeat([&] { return StartHost(name); });
+      RetryUntil([&] { return StartHost(name); });
     }
     const nlohmann::json body{{"text", ReadExample()}, {"base_version", 0}};
-    Repeat([&] { return Post("/v1/config", body)->status == 200; });
-    Repeat([&] {
+    RetryUntil([&] { return Post("/v1/config", body)->status == 200; });
+    RetryUntil([&] {
       const wire::HttpOutcome taken = Submit("warm");
       return taken && taken->status == 201;
     });
   }
 
-  // Fails when another process took a port between its being found free and
-  // its use.
+  // Returns false if the host can't start, as when another process takes a port
+  // between FindFreePort and its use.
   bool StartHost(const std::string& name) {
     const ControlHostOptions options = MakeOptions(name);
     auto host = ControlHost::Start(options);
@@ -91,7 +91,7 @@
     return m_client->Call(MakeCall(path, body));
   }
 
-  // Hands in a task on a queue open to all.
+  // Submits a task to a queue that is open to all.
   wire::HttpOutcome Submit(const std::string& id) {
     wire::HttpCall call =
         MakeCall("/v1/queues/member-notices/tasks",
@@ -101,18 +101,18 @@
   }
 
   template <typename Try>
-  static void Repeat(const Try& holds) {
+  static void RetryUntil(const Try& condition) {
     constexpr int kTries = 600;
     for (int i = 0; i < kTries; ++i) {
-      if (holds()) {
+      if (condition()) {
         return;
       }
       std::this_thread::sleep_for(milliseconds(50));
     }
-    FAIL() << "It never held.";
+    FAIL() << "The condition did not become true within 600 tries.";
   }
 
-  bool IsKept(const std::string& id) {
+  bool IsStored(const std::string& id) {
     const auto row =
         m_platform->Table().Get("task/notices/member-notices/" + id);
     return row && row->has_value();
@@ -127,7 +127,7 @@
   std::vector<std::unique_ptr<ControlHost>> m_hosts;
 };
 
-TEST_F(ControlHostTest, StopAnswersWhatItTookAndKeepsWhatItAcknowledged) {
+TEST_F(ControlHostTest, StopAnswersAcceptedCallsAndKeepsAcknowledgedTasks) {
   constexpr int kCallers = 4;
   std::vector<std::future<std::vector<std::string>>> callers;
   callers.reserve(kCallers);
@@ -138,7 +138,8 @@
         const std::string id = std::to_string(caller) + "-" + std::to_string(i);
         const wire::HttpOutcome outcome = Submit(id);
         if (!outcome) {
-          // The process is gone; a call it had taken was answered.
+          // The process has stopped. Calls it had accepted were answered, so
+          // this one can't have been sent.
           EXPECT_EQ(outcome.error().state, wire::SendState::kNotSent);
           return acknowledged;
         }
@@ -147,7 +148,7 @@
         } else {
           EXPECT_NE(outcome->body.find("\"not-run\""), std::string::npos)
               << outcome->body;
-          EXPECT_FALSE(IsKept(id));
+          EXPECT_FALSE(IsStored(id));
         }
       }
     }));
@@ -158,7 +159,7 @@
   std::size_t count = 0;
   for (auto& caller : callers) {
     for (const std::string& id : caller.get()) {
-      EXPECT_TRUE(IsKept(id)) << id;
+      EXPECT_TRUE(IsStored(id)) << id;
       ++count;
     }
   }
@@ -169,12 +170,12 @@
   EXPECT_EQ(m_hosts.front()->Stop(), 0U);
   m_hosts.front().reset();
   m_addresses.erase(m_addresses.begin());
-  Repeat([&] {
+  RetryUntil([&] {
     const wire::HttpOutcome outcome = Submit("after");
     return outcome && outcome->status == 201;
   });
-  EXPECT_TRUE(IsKept("warm"));
-  EXPECT_TRUE(IsKept("after"));
+  EXPECT_TRUE(IsStored("warm"));
+  EXPECT_TRUE(IsStored("after"));
 }
 
 }  // namespace
--- a/src/cassiastile/control/decision_service_test.cpp
+++ b/src/cassiastile/control/decision_service_test.cpp
@@ -8,7 +8,7 @@
 namespace cassiastile::control {
 namespace {
 
-// A document that is in force as long as the test says so.
+// A fixed document that is fresh until a test clears `fresh`.
 class FixedSource final : public config::FleetSource {
  public:
   FixedSource() {
@@ -84,7 +84,7 @@
   EXPECT_EQ(Ask("d1", "ann-1"), 503);
 }
 
-TEST_F(DecisionServiceTest, FindsWhatAnotherProcessStored) {
+TEST_F(DecisionServiceTest, FindsDecisionsStoredByAnotherProcess) {
   platform::DecisionLogOptions options;
   options.process = "e1-1";
   auto other = platform::DecisionLog::Create(m_objects, options);
--- a/src/cassiastile/control/pool_operator_actions.cpp
+++ b/src/cassiastile/control/pool_operator_actions.cpp
@@ -11,11 +11,11 @@
 namespace cassiastile::control {
 
 void PoolService::Register(wire::Router& router) {
-  for (const std::string act : {"drain", "return"}) {
-    router.Add("POST", "/v1/hosts/:host/" + act,
-               [this, act](const wire::HttpRequest& request,
-                           const wire::HttpResponder& respond) {
-                 HandleHostAction(request, respond, act);
+  for (const std::string action : {"drain", "return"}) {
+    router.Add("POST", "/v1/hosts/:host/" + action,
+               [this, action](const wire::HttpRequest& request,
+                              const wire::HttpResponder& respond) {
+                 HandleHostAction(request, respond, action);
                });
   }
   router.Add("GET", "/v1/waves/:wave",
@@ -54,7 +54,7 @@
 
 void PoolService::HandleHostAction(const wire::HttpRequest& request,
                                    const wire::HttpResponder& respond,
-                                   const std::string& act) {
+                                   const std::string& action) {
   const auto name = AuthorizeSectionOwner(request, config::SectionName::kPools);
   if (!name) {
     respond(wire::MakeErrorResponse(name.error()));
@@ -62,9 +62,10 @@
   }
   const std::string host = request.path_parameters.at("host");
   const std::string& actor = *name;
-  const bool drain = act == "drain";
+  const bool drain = action == "drain";
   OperatorAction next;
-  next.entry = {"host " + host + " " + act, actor, m_ports.clock.WallNow(), ""};
+  next.entry = {"host " + host + " " + action, actor, m_ports.clock.WallNow(),
+                ""};
   next.run = [this, host, actor, drain](const fleet::AuditAddition& audit) {
     return drain ? m_reconciler.DrainHost(host, actor, audit)
                  : m_reconciler.UndrainHost(host, actor, audit);
@@ -89,8 +90,8 @@
     return;
   }
   const std::string wave = request.path_parameters.at("wave");
-  const auto act = fleet::FindWaveAction(request.path_parameters.at("act"));
-  if (!act) {
+  const auto action = fleet::FindWaveAction(request.path_parameters.at("act"));
+  if (!action) {
     respond(wire::MakeErrorResponse(
         {base::ErrorCode::kNotFound,
          "A wave takes start, pause, resume and abort."}));
@@ -98,15 +99,15 @@
   }
   const std::string& actor = *name;
   OperatorAction next;
-  next.entry = {"wave " + wave + " " + std::string(fleet::NameOf(*act)), actor,
-                m_ports.clock.WallNow(), ""};
-  next.run = [this, wave, actor, act](const fleet::AuditAddition& audit) {
-    return m_reconciler.ApplyWaveAction(wave, actor, *act, audit);
+  next.entry = {"wave " + wave + " " + std::string(fleet::NameOf(*action)),
+                actor, m_ports.clock.WallNow(), ""};
+  next.run = [this, wave, actor, action](const fleet::AuditAddition& audit) {
+    return m_reconciler.ApplyWaveAction(wave, actor, *action, audit);
   };
   next.answer = [this, wave] {
     PoolSnapshot snapshot;
     snapshot.document = m_document;
-    snapshot.wall = m_ports.clock.WallNow();
+    snapshot.wall_time = m_ports.clock.WallNow();
     snapshot.state = m_reconciler.State();
     const config::Wave* declared = config::FindWave(m_document->fleet, wave);
     snapshot.forecasts[wave] = m_reconciler.Forecast(*declared);
--- a/src/cassiastile/control/pool_service.cpp
+++ b/src/cassiastile/control/pool_service.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-// How often an act is decided anew when others change its rows.
-constexpr int kActAttempts = 4;
+// Attempts at an action whose rows other writers change at the same time.
+constexpr int kMaxActionAttempts = 4;
 
 fleet::ReconcilerPorts MakePorts(const PoolServiceDependencies& ports) {
   return {ports.table,  ports.machines, ports.work,
@@ -28,7 +28,7 @@
     PoolServiceOptions options) {
   if (options.name.empty()) {
     return base::Fail(base::ErrorCode::kInvalid,
-                      "The pool service needs the process's name.");
+                      "The process name of the pool service is empty.");
   }
   return std::unique_ptr<PoolService>(
       new PoolService(ports, std::move(options)));
@@ -71,14 +71,14 @@
   if (m_thread.joinable()) {
     m_thread.join();
   }
-  for (const OperatorAction& act : refused) {
-    act.respond(wire::MakeErrorResponse(
+  for (const OperatorAction& action : refused) {
+    action.respond(wire::MakeErrorResponse(
         {base::ErrorCode::kUnavailable, "This host is stopping."}));
   }
 }
 
 void PoolService::RunOnce() {
-  const std::lock_guard round(m_round_mutex);
+  const std::lock_guard round_lock(m_round_mutex);
   m_document = m_ports.source.Current();
   if (m_document == nullptr) {
     return;
@@ -86,7 +86,7 @@
   RunActions();
   const base::Result<void> read = m_reconciler.Refresh(m_document);
   if (!read) {
-    m_log.Warn("The rows can't be read: " + read.error().message);
+    m_log.Warn("Can't read the rows of the pools: " + read.error().message);
     return;
   }
   TickOwnedPools();
@@ -104,16 +104,16 @@
     if (IsStopping()) {
       return;
     }
-    const auto grip =
+    const auto shard_lease =
         m_ports.owner.CurrentLease(pool.name, m_ports.clock.Now());
-    if (grip) {
-      m_reconciler.Tick(pool.name, grip->fence);
+    if (shard_lease) {
+      m_reconciler.Tick(pool.name, shard_lease->fence);
     }
   }
 }
 
-// The hosts of pools that the document no longer has are drained by the owner
-// of its first pool.
+// Drains the hosts of pools that were removed from the document. The owner of
+// the document's first pool does so.
 void PoolService::TickRemovedPools() {
   const config::Fleet& fleet = m_document->fleet;
   if (fleet.pools.empty() ||
@@ -135,7 +135,7 @@
 void PoolService::Publish() {
   auto published = std::make_shared<PoolSnapshot>();
   published->document = m_document;
-  published->wall = m_ports.clock.WallNow();
+  published->wall_time = m_ports.clock.WallNow();
   published->state = m_reconciler.State();
   published->drain_times = m_reconciler.ExpectedDrainTimes();
   published->overdue = m_reconciler.OverdueDrains();
@@ -179,12 +179,12 @@
   return body;
 }
 
-void PoolService::Enqueue(OperatorAction act) {
+void PoolService::Enqueue(OperatorAction action) {
   base::Error refusal{base::ErrorCode::kUnavailable, "This host is stopping."};
   {
     const std::lock_guard lock(m_mutex);
     if (!m_stopping && m_actions.size() < m_options.max_queued_actions) {
-      m_actions.push_back(std::move(act));
+      m_actions.push_back(std::move(action));
       m_wake.notify_all();
       return;
     }
@@ -193,39 +193,40 @@
                  "Too many acts wait on this host."};
     }
   }
-  act.respond(wire::MakeErrorResponse(refusal));
+  action.respond(wire::MakeErrorResponse(refusal));
 }
 
 void PoolService::RunActions() {
-  std::deque<OperatorAction> acts;
+  std::deque<OperatorAction> actions;
   {
     const std::lock_guard lock(m_mutex);
-    acts.swap(m_actions);
+    actions.swap(m_actions);
   }
-  for (const OperatorAction& act : acts) {
-    const base::Result<void> done = RunAction(act);
+  for (const OperatorAction& action : actions) {
+    const base::Result<void> done = RunAction(action);
     if (done) {
-      m_log.Info(fmt::format("{} by {}.", act.entry.what, act.entry.who));
+      m_log.Info(fmt::format("Operator action \"{}\" done by {}.",
+                             action.entry.what, action.entry.who));
       constexpr int kOk = 200;
-      act.respond(wire::MakeJsonResponse(kOk, act.answer()));
+      action.respond(wire::MakeJsonResponse(kOk, action.answer()));
     } else {
-      act.respond(wire::MakeErrorResponse(done.error()));
+      action.respond(wire::MakeErrorResponse(done.error()));
     }
   }
 }
 
-base::Result<void> PoolService::RunAction(const OperatorAction& act) {
+base::Result<void> PoolService::RunAction(const OperatorAction& action) {
   base::Result<void> done;
-  for (int attempt = 0; attempt < kActAttempts; ++attempt) {
+  for (int attempt = 0; attempt < kMaxActionAttempts; ++attempt) {
     done = m_reconciler.Refresh(m_document);
     if (!done) {
       return done;
     }
-    const auto audit = m_ports.audit.Append(act.entry);
+    const auto audit = m_ports.audit.Append(action.entry);
     if (!audit) {
       return tl::unexpected(audit.error());
     }
-    done = act.run(*audit);
+    done = action.run(*audit);
     if (done || done.error().code != base::ErrorCode::kConflict) {
       return done;
     }
--- a/src/cassiastile/control/pool_service_test.cpp
+++ b/src/cassiastile/control/pool_service_test.cpp
@@ -44,7 +44,7 @@
   std::set<std::string> owned;
 };
 
-class RowAuditAppender final : public fleet::AuditAppender {
+class FakeAuditAppender final : public fleet::AuditAppender {
  public:
   base::Result<fleet::AuditAddition> Append(
       const fleet::AuditEntry& entry) override {
@@ -75,7 +75,8 @@
     m_service->Register(m_router);
   }
 
-  // Answers a request, giving the service the round that an act waits for.
+  // Sends a request, runs the round that handles operators' actions, and
+  // returns the response.
   wire::HttpResponse Call(const std::string& method,
                           const std::string& path,
                           const std::string& key) {
@@ -101,7 +102,7 @@
   fleet::fake::World m_world{MakeDocument(1)};
   FakeSource m_source;
   FakeOwner m_owner;
-  RowAuditAppender m_audit;
+  FakeAuditAppender m_audit;
   wire::Router m_router;
   std::unique_ptr<PoolService> m_service;
 };
@@ -137,7 +138,7 @@
   EXPECT_TRUE(m_world.Pool("p0").out.empty());
 }
 
-TEST_F(PoolServiceTest, DrainGoesWithItsAuditRowAndReturns) {
+TEST_F(PoolServiceTest, DrainWritesItsAuditRowAndCanBeUndone) {
   Run(1);
   ASSERT_EQ(Call("POST", "/v1/hosts/p0-h0/drain", kAnnasKey).status, 200);
   EXPECT_EQ((*m_world.table.Get("audit/1"))->value, "host p0-h0 drainanna");
@@ -172,7 +173,7 @@
   EXPECT_EQ(m_service->Hosts("p1").size(), 3U);
 }
 
-TEST_F(PoolServiceTest, HostsOfAPoolThatLeftTheDocumentAreDrainedAndGo) {
+TEST_F(PoolServiceTest, HostsOfARemovedPoolAreDrainedAndRemoved) {
   Run(1);
   auto shorter = MakeDocument(2);
   shorter->fleet.pools.pop_back();
@@ -183,7 +184,7 @@
   EXPECT_EQ(m_world.table.State().hosts.size(), 3U);
 }
 
-TEST_F(PoolServiceTest, LostAnswerIsToldAsUnknown) {
+TEST_F(PoolServiceTest, LostAnswerIsReportedAsUnknown) {
   Run(1);
   m_world.table.lose_answer = 1;
   const auto answer = Call("POST", "/v1/hosts/p0-h0/drain", kAnnasKey);
@@ -199,7 +200,7 @@
   EXPECT_EQ(status["waves"][0]["acts"][0], "start");
 }
 
-TEST_F(PoolServiceTest, ThreadAnswersActsAndStopRefusesTheRest) {
+TEST_F(PoolServiceTest, ThreadAnswersActionsAndStopRefusesLaterOnes) {
   m_service->Start();
   std::promise<wire::HttpResponse> answer;
   wire::HttpRequest request;
--- a/src/cassiastile/control/pool_status.cpp
+++ b/src/cassiastile/control/pool_status.cpp
@@ -59,8 +59,8 @@
   return failures;
 }
 
-// What an operator can do next with a wave.
-std::vector<std::string> PossibleActs(fleet::WaveState state) {
+// The actions on a wave that are valid in its state.
+std::vector<std::string> PossibleActions(fleet::WaveState state) {
   switch (state) {
     case fleet::WaveState::kPlanned:
     case fleet::WaveState::kFinished:
@@ -141,7 +141,7 @@
             {"failures", MakeFailuresJson(record)},
             {"accepted_failures", record.accepted_failures},
             {"out", MakeHostsOutJson(snapshot, wave)},
-            {"acts", PossibleActs(record.state)}};
+            {"acts", PossibleActions(record.state)}};
   const auto forecast = snapshot.forecasts.find(wave.name);
   if (forecast != snapshot.forecasts.end()) {
     body["hosts"] = forecast->second.total;
@@ -158,7 +158,7 @@
     body["limits"] = limits->second;
   }
   body["obstacles"] = fleet::FindWaveObstacles(snapshot.document->fleet, wave,
-                                               snapshot.wall, {});
+                                               snapshot.wall_time, {});
   return body;
 }
 
--- a/src/cassiastile/control/shard_forwarder.cpp
+++ b/src/cassiastile/control/shard_forwarder.cpp
@@ -61,8 +61,8 @@
                             wire::HttpRequest request,
                             wire::HttpResponder respond,
                             const ShardHandler& handler) const {
-  if (const auto grip = m_owner.CurrentLease(shard, m_clock.Now())) {
-    handler(*grip, std::move(request), std::move(respond));
+  if (const auto shard_lease = m_owner.CurrentLease(shard, m_clock.Now())) {
+    handler(*shard_lease, std::move(request), std::move(respond));
     return;
   }
   const std::string address = m_owner.OwnerAddress(shard);
--- a/src/cassiastile/control/task_event_batcher.cpp
+++ b/src/cassiastile/control/task_event_batcher.cpp
@@ -84,10 +84,10 @@
 void TaskEventBatcher::Run() {
   while (true) {
     std::vector<Item> items = WaitForItems();
-    const bool nothing = items.empty();
+    const bool was_idle = items.empty();
     HandleItems(std::move(items));
     const std::lock_guard lock(m_mutex);
-    if (m_stopping && nothing && m_items.empty()) {
+    if (m_stopping && was_idle && m_items.empty()) {
       return;
     }
   }
@@ -97,16 +97,17 @@
   std::unique_lock lock(m_mutex);
   m_changed.wait_for(lock, m_options.tick,
                      [this] { return m_stopping || !m_items.empty(); });
-  const base::Duration pause = m_batch_due - m_parts.clock.Now();
-  if (!m_stopping && pause > base::Duration{}) {
-    m_changed.wait_for(lock, pause, [this] { return m_stopping; });
+  const base::Duration delay = m_next_batch_at - m_parts.clock.Now();
+  if (!m_stopping && delay > base::Duration{}) {
+    m_changed.wait_for(lock, delay, [this] { return m_stopping; });
   }
   std::vector<Item> taken;
   std::deque<Item> left;
   std::size_t cancels = 0;
   for (Item& item : m_items) {
-    const bool over = IsCancel(item.event) && ++cancels > m_options.max_cancels;
-    if (over) {
+    const bool over_limit =
+        IsCancel(item.event) && ++cancels > m_options.max_cancels;
+    if (over_limit) {
       left.push_back(std::move(item));
     } else {
       taken.push_back(std::move(item));
@@ -118,10 +119,10 @@
 
 void TaskEventBatcher::HandleItems(std::vector<Item> items) {
   const base::TimePoint now = m_parts.clock.Now();
-  m_batch_due = now + m_options.batch_interval;
+  m_next_batch_at = now + m_options.batch_interval;
   RefreshViews(now);
-  const auto grip = m_parts.owner.CurrentLease(m_pool, now);
-  if (!grip) {
+  const auto shard_lease = m_parts.owner.CurrentLease(m_pool, now);
+  if (!shard_lease) {
     Refuse(items, BatcherRefusal::kNotOwner);
     RefreshStatus(now, false);
     return;
@@ -133,10 +134,11 @@
     }
   }
   const std::uint64_t written = m_owner.BatchesWritten();
-  std::vector<work::TaskResult> results = m_owner.Handle(
-      events, {now, m_parts.clock.WallNow()}, {grip->epoch, grip->fence});
+  std::vector<work::TaskResult> results =
+      m_owner.Handle(events, {now, m_parts.clock.WallNow()},
+                     {shard_lease->epoch, shard_lease->fence});
   if (m_owner.BatchesWritten() != written) {
-    m_batch_due = now + m_options.write_interval;
+    m_next_batch_at = now + m_options.write_interval;
   }
   std::size_t next = 0;
   for (Item& item : items) {
@@ -157,25 +159,27 @@
     m_fleet_version = accepted->version;
     m_owner.SetFleet(*accepted);
   }
-  if (m_views_at == base::TimePoint{} || now - m_views_at >= kViewsInterval) {
-    m_views_at = now;
+  if (m_views_refreshed_at == base::TimePoint{} ||
+      now - m_views_refreshed_at >= kViewsInterval) {
+    m_views_refreshed_at = now;
     m_owner.SetHosts(m_parts.pools.Hosts(m_pool));
   }
-  std::set<std::string> leave;
+  std::set<std::string> hosts_to_evacuate;
   {
     const std::lock_guard lock(m_mutex);
-    leave.swap(m_hosts_to_evacuate);
+    hosts_to_evacuate.swap(m_hosts_to_evacuate);
   }
-  for (const std::string& host : leave) {
+  for (const std::string& host : hosts_to_evacuate) {
     m_owner.Shard().RequestEvacuation(host, now);
   }
 }
 
 void TaskEventBatcher::RefreshStatus(base::TimePoint now, bool owned) {
-  if (m_status_at != base::TimePoint{} && now - m_status_at < kStatusInterval) {
+  if (m_status_refreshed_at != base::TimePoint{} &&
+      now - m_status_refreshed_at < kStatusInterval) {
     return;
   }
-  m_status_at = now;
+  m_status_refreshed_at = now;
   TaskPoolStatus status;
   status.pool = m_pool;
   if (owned) {
--- a/src/cassiastile/control/task_http.cpp
+++ b/src/cassiastile/control/task_http.cpp
@@ -46,7 +46,7 @@
   return wire::MakeProblemResponse(problem);
 }
 
-std::optional<wire::HttpResponse> MakePumpRefusal(BatcherRefusal refusal) {
+std::optional<wire::HttpResponse> MakeBatcherRefusal(BatcherRefusal refusal) {
   switch (refusal) {
     case BatcherRefusal::kNone:
       return std::nullopt;
@@ -64,7 +64,7 @@
 
 std::optional<wire::HttpResponse> MakeEffectRefusal(
     const BatcherResult& result) {
-  if (auto refused = MakePumpRefusal(result.refusal)) {
+  if (auto refused = MakeBatcherRefusal(result.refusal)) {
     return refused;
   }
   switch (result.result.effect) {
@@ -158,7 +158,7 @@
 }
 
 wire::HttpResponse MakePollResponse(const BatcherResult& result) {
-  if (auto refused = MakePumpRefusal(result.refusal)) {
+  if (auto refused = MakeBatcherRefusal(result.refusal)) {
     return *refused;
   }
   if (!result.result.answer) {
--- a/src/cassiastile/control/task_service.cpp
+++ b/src/cassiastile/control/task_service.cpp
@@ -15,8 +15,9 @@
 using base::ErrorCode;
 
 constexpr base::Duration kWatchInterval = std::chrono::milliseconds(500);
-// What a host is said to be busy with while nothing is known of it.
-constexpr base::Duration kNotKnownRemaining = std::chrono::hours(1);
+// The remaining time assumed for the work of a host whose state is unknown. The
+// host counts as running one task without a checkpoint.
+constexpr base::Duration kUnknownRemaining = std::chrono::hours(1);
 
 std::string Parameter(const wire::HttpRequest& request,
                       const std::string& name) {
@@ -35,15 +36,15 @@
 
 base::Result<work::TaskOutcome> ParseResolution(const std::string& body) {
   const auto json = wire::ParseJsonBody(body);
-  const std::string as =
+  const std::string outcome_name =
       json && json->is_object() ? json->value("outcome", "") : "";
-  if (as == "queued") {
+  if (outcome_name == "queued") {
     return work::TaskOutcome::kNone;
   }
   for (const auto outcome :
        {work::TaskOutcome::kSucceeded, work::TaskOutcome::kFailed,
         work::TaskOutcome::kCancelled}) {
-    if (as == work::NameOf(outcome)) {
+    if (outcome_name == work::NameOf(outcome)) {
       return outcome;
     }
   }
@@ -105,44 +106,44 @@
 }
 
 void TaskService::Stop() {
-  std::map<std::string, std::shared_ptr<TaskEventBatcher>> pumps;
+  std::map<std::string, std::shared_ptr<TaskEventBatcher>> batchers;
   {
     const std::lock_guard lock(m_mutex);
     m_stopping = true;
-    pumps = m_batchers;
+    batchers = m_batchers;
   }
   m_changed.notify_all();
   if (m_watcher.joinable()) {
     m_watcher.join();
   }
-  for (const auto& [pool, pump] : pumps) {
-    pump->Stop();
+  for (const auto& [pool, batcher] : batchers) {
+    batcher->Stop();
   }
 }
 
 fleet::HostWork TaskService::WorkOn(const std::string& host) const {
-  const fleet::HostWork not_known{1, 1, kNotKnownRemaining};
-  const auto pump = FindBatcher(PoolOfHost(host));
-  if (pump == nullptr) {
-    return not_known;
+  const fleet::HostWork unknown_work{1, 1, kUnknownRemaining};
+  const auto batcher = FindBatcher(PoolOfHost(host));
+  if (batcher == nullptr) {
+    return unknown_work;
   }
-  const TaskPoolStatus status = pump->Status();
+  const TaskPoolStatus status = batcher->Status();
   const auto found = status.hosts.find(host);
   return status.owned && found != status.hosts.end() ? found->second
-                                                     : not_known;
+                                                     : unknown_work;
 }
 
 void TaskService::RequestEvacuation(const std::string& host) {
-  if (const auto pump = FindBatcher(PoolOfHost(host))) {
-    pump->RequestEvacuation(host);
+  if (const auto batcher = FindBatcher(PoolOfHost(host))) {
+    batcher->RequestEvacuation(host);
   }
 }
 
 std::vector<TaskPoolStatus> TaskService::Status() const {
   const std::lock_guard lock(m_mutex);
   std::vector<TaskPoolStatus> statuses;
-  for (const auto& [pool, pump] : m_batchers) {
-    statuses.push_back(pump->Status());
+  for (const auto& [pool, batcher] : m_batchers) {
+    statuses.push_back(batcher->Status());
   }
   return statuses;
 }
@@ -163,10 +164,10 @@
   spec->team = queue->team;
   spec->urgent = queue->urgent;
   m_forwarder.Handle(queue->pool, std::move(request), std::move(respond),
-                     [this, spec = *spec](const member::ShardLease& grip,
+                     [this, spec = *spec](const member::ShardLease& shard_lease,
                                           const wire::HttpRequest&,
                                           const wire::HttpResponder& answer) {
-                       BatcherOf(grip.shard)
+                       BatcherOf(shard_lease.shard)
                            ->Submit(
                                work::SubmitEvent{spec}, work::KeyOf(spec),
                                [spec, answer](const BatcherResult& result) {
@@ -178,19 +179,19 @@
 void TaskService::HandleRead(wire::HttpRequest request,
                              wire::HttpResponder respond) {
   ForwardTaskCall(std::move(request), std::move(respond),
-                  [](TaskEventBatcher& pump, const std::string& key,
+                  [](TaskEventBatcher& batcher, const std::string& key,
                      const wire::HttpResponder& answer) {
-                    pump.Read(key, AnswerWithTask(answer));
+                    batcher.Read(key, AnswerWithTask(answer));
                   });
 }
 
 void TaskService::HandleCancel(wire::HttpRequest request,
                                wire::HttpResponder respond) {
   ForwardTaskCall(std::move(request), std::move(respond),
-                  [](TaskEventBatcher& pump, const std::string& key,
+                  [](TaskEventBatcher& batcher, const std::string& key,
                      const wire::HttpResponder& answer) {
-                    pump.Submit(work::CancelEvent{key}, key,
-                                AnswerWithTask(answer));
+                    batcher.Submit(work::CancelEvent{key}, key,
+                                   AnswerWithTask(answer));
                   });
 }
 
@@ -205,10 +206,10 @@
   const std::string key = TaskKeyOf(request);
   m_forwarder.Handle(
       queue->pool, std::move(request), std::move(respond),
-      [this, key, call = std::move(call)](const member::ShardLease& grip,
+      [this, key, call = std::move(call)](const member::ShardLease& shard_lease,
                                           const wire::HttpRequest&,
                                           const wire::HttpResponder& answer) {
-        call(*BatcherOf(grip.shard), key, answer);
+        call(*BatcherOf(shard_lease.shard), key, answer);
       });
 }
 
@@ -235,12 +236,13 @@
   }
   const std::string key = TaskKeyOf(request);
   const work::ResolveEvent event{key, *outcome, *who};
-  m_forwarder.Handle(
-      queue->pool, std::move(request), std::move(respond),
-      [this, event](const member::ShardLease& grip, const wire::HttpRequest&,
-                    const wire::HttpResponder& answer) {
-        BatcherOf(grip.shard)->Submit(event, event.key, AnswerWithTask(answer));
-      });
+  m_forwarder.Handle(queue->pool, std::move(request), std::move(respond),
+                     [this, event](const member::ShardLease& shard_lease,
+                                   const wire::HttpRequest&,
+                                   const wire::HttpResponder& answer) {
+                       BatcherOf(shard_lease.shard)
+                           ->Submit(event, event.key, AnswerWithTask(answer));
+                     });
 }
 
 void TaskService::HandlePoll(wire::HttpRequest request,
@@ -258,7 +260,7 @@
                                "No pool has the host " + poll->worker + "."});
     return;
   }
-  const work::TaskShardOptions& shard = m_options.pump.owner.shard;
+  const work::TaskShardOptions& shard = m_options.batcher.owner.shard;
   auto renew_without_owner =
       [respond = std::move(respond), pool, lease = shard.lease,
        poll_after = shard.poll_after](wire::HttpResponse response) {
@@ -268,10 +270,10 @@
       };
   m_forwarder.Handle(
       pool, std::move(request), std::move(renew_without_owner),
-      [this, poll = *poll, home](const member::ShardLease& grip,
+      [this, poll = *poll, home](const member::ShardLease& shard_lease,
                                  const wire::HttpRequest&,
                                  const wire::HttpResponder& answer) {
-        BatcherOf(grip.shard)
+        BatcherOf(shard_lease.shard)
             ->Submit(poll, "", [answer, home](BatcherResult result) {
               if (result.result.answer) {
                 result.result.answer->home_pool = home;
@@ -333,17 +335,17 @@
 std::shared_ptr<TaskEventBatcher> TaskService::BatcherOf(
     const std::string& pool) {
   const std::lock_guard lock(m_mutex);
-  auto& pump = m_batchers[pool];
-  if (pump == nullptr) {
-    pump = std::make_shared<TaskEventBatcher>(pool, m_options.pump, m_parts,
-                                              base::Random(m_random()));
+  auto& batcher = m_batchers[pool];
+  if (batcher == nullptr) {
+    batcher = std::make_shared<TaskEventBatcher>(
+        pool, m_options.batcher, m_parts, base::Random(m_random()));
     if (m_stopping) {
-      pump->Stop();
+      batcher->Stop();
     } else {
-      pump->Start();
+      batcher->Start();
     }
   }
-  return pump;
+  return batcher;
 }
 
 std::shared_ptr<TaskEventBatcher> TaskService::FindBatcher(
--- a/src/cassiastile/control/task_service_test.cpp
+++ b/src/cassiastile/control/task_service_test.cpp
@@ -154,7 +154,8 @@
   EXPECT_EQ(nlohmann::json::parse(read.body).at("outcome"), "succeeded");
 }
 
-TEST_F(TaskServiceTest, SameSubmissionAnswersTheSameAndAnotherIsRefused) {
+TEST_F(TaskServiceTest,
+       ResubmissionGetsTheSameAnswerAndADifferentTaskIsRefused) {
   const auto first = Submit("1");
   const auto second = Submit("1");
   EXPECT_EQ(second.status, 201);
@@ -164,7 +165,7 @@
   EXPECT_EQ(other.status, 409);
 }
 
-TEST_F(TaskServiceTest, TakesWorkOnlyForTheTeamWhoseKeyCame) {
+TEST_F(TaskServiceTest, AcceptsTasksOnlyWithAKeyOfTheQueuesTeam) {
   const std::string body = R"({"id": "1"})";
   EXPECT_EQ(Call("POST", "/v1/queues/q/tasks", "", body).status, 403);
   EXPECT_EQ(Call("POST", "/v1/queues/q/tasks", "secret-b", body).status, 403);
@@ -213,7 +214,7 @@
   EXPECT_EQ(Call("GET", "/v1/queues/q/tasks/none", "secret-a").status, 404);
 }
 
-TEST_F(TaskServiceTest, StopAnswersWhatWasTakenAndRefusesTheRest) {
+TEST_F(TaskServiceTest, StopAnswersAcceptedCallsAndRefusesLaterOnes) {
   EXPECT_EQ(Submit("1").status, 201);
   m_service->Stop();
   const auto refused = Submit("2");
