--- a/include/cassiastile/host/dispatcher.hpp
+++ b/include/cassiastile/host/dispatcher.hpp
@@ -77,13 +77,14 @@
   const jobs::Scheduler& GetScheduler() const { return m_scheduler; }
 
  private:
+  // The calls to one worker.
   struct Link {
     WorkerAddress address;
     bool busy = false;     // A lease extension with a long poll is in flight.
     bool probing = false;  // An extension without waiting is in flight.
-    bool silent = false;
-    std::uint32_t failures = 0;
-    base::TimePoint due{};
+    bool silent = false;   // Was logged as silent.
+    std::uint32_t failures = 0;  // Consecutive, of extensions with a long poll.
+    base::TimePoint due{};       // When to send the next such extension.
     // The worker's clock, and our time when it was received.
     bool clock_known = false;
     std::chrono::milliseconds clock{0};
@@ -98,7 +99,7 @@
 
   // dispatcher.cpp
   // Reads all rows of a part, retrying until the store answers; used when a
-  // term begins and after a feed's history was lost.
+  // term begins and after a feed's history was compacted.
   void ReadUntilAnswered(const std::string& table,
                          const std::string& part,
                          const std::function<void(RowPage)>& on_rows);
@@ -154,11 +155,13 @@
   bool m_resigned = false;
   bool m_plan_requested = false;
   std::map<std::string, StoredJob> m_recovered;
-  std::uint64_t m_stored_revision = 0;  // Of the stored durations.
+  std::uint64_t m_stored_revision = 0;  // Of the durations last stored.
   base::TimePoint m_learnt_stored_at{};
   std::map<std::string, jobs::WorkerEntry> m_entries;
   std::uint64_t m_workers_version = 0;
   std::map<std::string, Link> m_links;
+  // Callers to answer once the acceptance or the cancellation is stored, by
+  // job.
   std::map<std::string, std::vector<Responder>> m_await_accept;
   std::map<std::string, std::vector<Responder>> m_await_cancel;
   base::TimePoint m_last_commit_at{};
--- a/include/cassiastile/host/settings.hpp
+++ b/include/cassiastile/host/settings.hpp
@@ -35,9 +35,13 @@
   Endpoint table_endpoint;
   Endpoint machines_endpoint;
   std::string advice_endpoint;  // Empty if no queue uses advice.
+  // Upper bound of the leases that workers get.
   std::chrono::milliseconds max_worker_lease{10000};
+  // How long a graceful stop may take.
   std::chrono::milliseconds stop_grace{6000};
+  // How long a finished job's state is kept.
   std::chrono::milliseconds finished_state{120000};
+  // How long a machine order of a previous leader may still be in flight.
   std::chrono::milliseconds machine_order_lease{3000};
   double processor_share = 1.0;  // Of one core.
 
--- a/include/cassiastile/member/audit_chain.hpp
+++ b/include/cassiastile/member/audit_chain.hpp
@@ -47,7 +47,7 @@
 // The preconditions and writes that a transaction must include in order to
 // append a change to the chain atomically.
 struct AuditWrites {
-  std::uint64_t sequence = 0;
+  std::uint64_t sequence = 0;  // Of the appended row.
   std::vector<platform::Precondition> preconditions;
   std::vector<platform::Write> writes;
 };
--- a/include/cassiastile/member/message.hpp
+++ b/include/cassiastile/member/message.hpp
@@ -46,26 +46,28 @@
 
 // The kinds of messages. Sent as numbers in this order.
 enum class MessageKind : std::uint8_t {
-  kPing,     // Asks for an acknowledgement.
-  kAck,      // Answers a ping with what the sender knows.
-  kPrepare,  // Asks for a promise for a version that is about to be committed.
-  kPromise,  // Answers a prepare: the sender no longer agrees with the old
-             // head.
-  kAbort,    // Cancels a prepare whose version was not committed.
+  kPing,  // Asks for an acknowledgement.
+  kAck,   // Answers a ping with what the sender knows.
+  // Asks the receiver to promise a version that is about to be committed.
+  kPrepare,
+  // Answers a prepare: the sender has promised the version, so it no longer
+  // agrees with the old head.
+  kPromise,
+  kAbort,       // Cancels a prepare whose version was not committed.
   kSuperseded,  // The receiver has been replaced by a later incarnation.
 };
 
 // What the sender of an acknowledgement knows about one listed member. An age
 // is an upper bound on the time since the member itself sent the information.
 struct MemberStatement {
-  std::uint8_t heard_age = 0;   // Units of kAgeUnitMilliseconds; or unknown.
+  std::uint8_t heard_age = 0;   // In kAgeUnitMilliseconds; or kAgeUnknown.
   std::uint8_t agreed_age = 0;  // Since it agreed with the head; same unit.
   bool in_force = false;        // Whether it has the head's version in force.
 };
 
 // The unit of the ages in MemberStatement, in milliseconds.
 inline constexpr std::uint32_t kAgeUnitMilliseconds = 20;
-// Stands for an age that is unknown or too large to be encoded.
+// Stand for an age that is unknown or too large to be encoded.
 inline constexpr std::uint8_t kAgeUnknown = 255;
 inline constexpr std::uint16_t kStoreAgeUnknown = 65535;
 
@@ -80,13 +82,16 @@
   std::uint64_t echo = 0;
   ConfigHead head;             // The newest head that the sender knows.
   std::uint64_t in_force = 0;  // The version in force at the sender.
-  // The version and the id of the prepare that this is about, else zero.
+  // The version and the id of the prepare that this message belongs to, or
+  // zero.
   std::uint64_t promise_version = 0;
   std::uint64_t promise_id = 0;
-  // Milliseconds, rounded up, since the table is known to have had this head.
+  // Milliseconds, rounded up, since the latest time at which `head` is known to
+  // have been the table's head.
   std::uint16_t store_age = kStoreAgeUnknown;
   bool reaches_store = false;  // The sender's last read of the table succeeded.
-  bool agrees = false;  // The sender votes for the head; no newer one promised.
+  // The sender votes for `head`; it has promised no newer version.
+  bool agrees = false;
   // Identifies the member list whose order the statements follow.
   std::uint32_t list_hash = 0;
   std::vector<MemberStatement> statements;  // One for each listed member.
@@ -115,7 +120,7 @@
 // don't fit in a datagram are left out, the last ones first.
 std::string EncodeMessage(const Message& message, std::string_view secret);
 
-// Authenticates and decodes a datagram. Never throws, whatever the bytes.
+// Authenticates and decodes a datagram. Never throws, for any input.
 tl::expected<Message, PacketFault> DecodeMessage(std::string_view datagram,
                                                  std::string_view secret);
 
--- a/include/cassiastile/platform/host_list.hpp
+++ b/include/cassiastile/platform/host_list.hpp
@@ -13,7 +13,7 @@
 enum class ListedRole : std::uint8_t {
   kRunner,  // Serves requests of one service.
   kWorker,  // Runs tasks of one pool.
-  kEntry,   // One of the system's own hosts.
+  kEntry,   // Entry process of one of this system's hosts.
 };
 
 // Whether a listed process stays or is leaving, as on a draining machine.
@@ -25,7 +25,7 @@
 std::string_view NameOf(ListedRole role);
 std::string_view NameOf(ListedState state);
 
-// An entry of the platform's host list. The list lags behind and may be wrong.
+// A process in the platform's host list. The list lags behind and may be wrong.
 struct ListedHost {
   std::string name;
   ListedRole role = ListedRole::kRunner;
--- a/include/cassiastile/platform/http_platform.hpp
+++ b/include/cassiastile/platform/http_platform.hpp
@@ -15,8 +15,8 @@
 // Connection settings of the platform's HTTP services. docs/PLATFORM.md
 // describes the calls.
 struct HttpPlatformLink {
-  wire::HttpClient* client =
-      nullptr;          // Not owned; outlives all users of the link.
+  // Not owned; must outlive all users of the link.
+  wire::HttpClient* client = nullptr;
   std::string address;  // IP:PORT
   std::chrono::milliseconds timeout{800};
 };
--- a/include/cassiastile/wire/http_server.hpp
+++ b/include/cassiastile/wire/http_server.hpp
@@ -26,9 +26,9 @@
   std::size_t max_body_bytes = 4U << 20U;
   std::size_t max_header_bytes = 16U << 10U;  // For one field value.
   std::size_t max_header_count = 100;
-  // Limit for receiving a whole request, and for an idle connection.
+  // Time limit for receiving a whole request, and for an idle connection.
   std::chrono::milliseconds read_timeout{15000};
-  // Limit for a handler to respond.
+  // Time limit for a handler to respond.
   std::chrono::milliseconds handle_timeout{120000};
 };
 
--- a/include/cassiastile/work/request_dispatcher.hpp
+++ b/include/cassiastile/work/request_dispatcher.hpp
@@ -27,7 +27,7 @@
   RequestId request_id = 0;
   std::string runner;
   std::string address;
-  base::Duration timeout{};  // The runner must stop after this time.
+  base::Duration timeout{};  // The runner is told to stop after this time.
   bool fresh_connection = false;
 };
 
@@ -73,7 +73,7 @@
   bool leaving = false;
 };
 
-// The highest demand since it was last taken.
+// The highest demand since the last call of TakeDemand.
 struct Demand {
   std::uint32_t requests = 0;                    // Running and queued.
   std::map<std::string, std::uint32_t> by_team;  // Running and queued, by team.
@@ -109,7 +109,7 @@
   RequestActions RefuseInvalidKeys(const std::set<std::string>& valid_keys,
                                    RefusalReason reason);
 
-  // How a request arriving now would be refused, or nothing.
+  // The refusal that a request arriving now would get, or nothing.
   std::optional<NotRun> Preview(const RequestTicket& ticket,
                                 base::TimePoint now);
 
@@ -130,8 +130,7 @@
     std::string runner;
     base::TimePoint sent{};
     base::TimePoint stop{};  // The runner must have stopped by then.
-    // Overdue; a hedge was already considered.
-    bool hedged = false;
+    bool overdue = false;    // Exceeded the silence limit; Hedge handled it.
   };
 
   // A request that was dequeued and is not yet answered.
--- a/src/bin/measure_member.cpp
+++ b/src/bin/measure_member.cpp
@@ -77,8 +77,8 @@
   network.At(proposer).BroadcastHead();
 }
 
-// Draws the time in seconds until all processes have read a new version, if
-// they only poll the table.
+// Draws a random time, in seconds, until all processes have read a new version
+// if they only poll the table.
 double SlowestPoll(std::uint32_t processes, base::Random& random) {
   std::uniform_real_distribution<double> phase(0, Seconds(kPollPeriod));
   double latest = 0;
@@ -122,9 +122,8 @@
 }
 
 // Returns how many seconds after a commit a member last acts on the old
-// version. The commit coincides with a partition that cuts all hosts but the
-// proposer's off the proposer and the store; the cut-off side still has a
-// majority.
+// version. At the time of the commit, all hosts but the proposer's lose contact
+// with the proposer and the store; they still have a majority.
 double TimeToLastUse(std::uint32_t hosts, std::uint64_t seed) {
   VirtualNetwork network(seed, kLossy);
   WarmUp(network, ShapeOf(hosts));
@@ -229,10 +228,10 @@
 // seconds until other owners hold leases on all of them.
 std::vector<double> TakeoverTimes(milliseconds scan_period) {
   constexpr milliseconds kRound{50};
-  constexpr int kDeaths = 12;
+  constexpr int kCrashes = 12;
   base::ManualClock clock;
   platform::MemoryTable table(kSeed);
-  std::set<std::string> dead;
+  std::set<std::string> crashed;
   std::map<std::string, std::unique_ptr<ShardLeaseManager>> managers;
   std::vector<std::string> shards;
   shards.reserve(25);
@@ -257,7 +256,7 @@
   const auto run = [&](base::Duration time) {
     for (base::Duration spent{}; spent < time; spent += kRound) {
       for (auto& [name, manager] : managers) {
-        if (!dead.contains(name)) {
+        if (!crashed.contains(name)) {
           manager->RunOnce();
         }
       }
@@ -266,10 +265,11 @@
   };
   run(seconds(10));
   std::vector<double> times;
-  for (int i = 0; i < kDeaths; ++i) {
+  for (int i = 0; i < kCrashes; ++i) {
     const std::string victim = names[static_cast<std::size_t>(i)];
     const auto lost = managers[victim]->OwnedShards(clock.Now());
-    dead.insert(victim);
+    crashed.insert(victim);
+    // Takes three rounds, 150 ms, so `start` is the time of the crash.
     run(milliseconds(137));
     const base::TimePoint start = clock.Now() - milliseconds(150);
     const auto taken = [&](const std::string& shard) {
@@ -284,7 +284,7 @@
     if (!lost.empty()) {
       times.push_back(Seconds(clock.Now() - start));
     }
-    dead.erase(victim);
+    crashed.erase(victim);
     run(seconds(8));
   }
   return times;
--- a/src/cassiastile/config/check_teams.cpp
+++ b/src/cassiastile/config/check_teams.cpp
@@ -72,11 +72,11 @@
 }
 
 // The path at which each digest was first seen.
-using DigestTable = std::unordered_map<std::string, std::string>;
+using DigestPaths = std::unordered_map<std::string, std::string>;
 
 void CheckDigest(const std::string& digest,
                  const std::string& path,
-                 DigestTable& seen,
+                 DigestPaths& seen,
                  CheckContext& context) {
   if (digest.empty()) {
     return;
@@ -151,7 +151,7 @@
 }
 
 void CheckDigests(const Fleet& fleet, CheckContext& context) {
-  DigestTable seen;
+  DigestPaths seen;
   for (std::size_t i = 0; i < fleet.operators.size(); ++i) {
     CheckDigest(fleet.operators[i].key_sha256,
                 RowPath(SectionName::kOperators, i, "key_sha256"), seen,
--- a/src/cassiastile/fleet/progress.cpp
+++ b/src/cassiastile/fleet/progress.cpp
@@ -39,7 +39,7 @@
                      seen.status ? seen.status->running_requests : 0);
 }
 
-HostAction StepInService(const HostObservation& seen) {
+HostAction ActionInService(const HostObservation& seen) {
   if (IsDown(seen)) {
     return MarkFailed{DescribeMachine(seen)};
   }
@@ -49,12 +49,12 @@
   return NoAction{};
 }
 
-HostAction StepDrained(const HostRecord& host,
-                       const HostObservation& seen,
-                       std::string cut) {
+HostAction ActionWhenDrained(const HostRecord& host,
+                             const HostObservation& seen,
+                             std::string stopped_work) {
   switch (host.reason.value_or(OutReason::kOperator)) {
     case OutReason::kWave:
-      return BeginReboot{seen.status->boots, std::move(cut)};
+      return BeginReboot{seen.status->boots, std::move(stopped_work)};
     case OutReason::kMoving:
       return MoveToPool{};
     case OutReason::kRemoving:
@@ -66,9 +66,9 @@
   return NoAction{};
 }
 
-HostAction StepDraining(const HostRecord& host,
-                        const HostObservation& seen,
-                        const DrainPolicy& drain) {
+HostAction ActionWhileDraining(const HostRecord& host,
+                               const HostObservation& seen,
+                               const DrainPolicy& drain) {
   if (host.reason == OutReason::kOperator) {
     return NoAction{};
   }
@@ -76,20 +76,20 @@
     return MarkFailed{DescribeMachine(seen) + " while it drained"};
   }
   if (IsDrained(seen)) {
-    return StepDrained(host, seen, {});
+    return ActionWhenDrained(host, seen, {});
   }
   if (!seen.status || seen.in_state <= drain.deadline) {
     return NoAction{};
   }
   if (drain.cut_at_deadline && seen.status->draining) {
-    return StepDrained(host, seen, DescribeWork(seen));
+    return ActionWhenDrained(host, seen, DescribeWork(seen));
   }
   return ReportOverdue{DescribeWork(seen) + " past the drain deadline"};
 }
 
-HostAction StepRebooting(const HostRecord& host,
-                         const HostObservation& seen,
-                         const ProgressOptions& options) {
+HostAction ActionWhileRebooting(const HostRecord& host,
+                                const HostObservation& seen,
+                                const ProgressOptions& options) {
   const std::uint64_t boots = host.boots.value_or(0);
   if (IsUp(seen) && seen.status->boots > boots) {
     return BeginProbe{};
@@ -102,8 +102,8 @@
   return IsUp(seen) ? HostAction(RetryReboot{boots}) : HostAction(NoAction{});
 }
 
-HostAction StepProbing(const HostObservation& seen,
-                       const ProgressOptions& options) {
+HostAction ActionWhileProbing(const HostObservation& seen,
+                              const ProgressOptions& options) {
   if (!seen.status && !seen.machine_missing) {
     return NoAction{};
   }
@@ -117,7 +117,8 @@
       fmt::format("up for {} ms of probing", options.probe_time.count())};
 }
 
-HostAction StepFailed(const HostRecord& host, const HostObservation& seen) {
+HostAction ActionWhenFailed(const HostRecord& host,
+                            const HostObservation& seen) {
   const bool booted =
       !host.boots || (seen.status && seen.status->boots > *host.boots);
   return IsUp(seen) && booted ? HostAction(BeginProbe{})
@@ -132,15 +133,15 @@
                       const ProgressOptions& options) {
   switch (host.state) {
     case HostState::kInService:
-      return StepInService(seen);
+      return ActionInService(seen);
     case HostState::kDraining:
-      return StepDraining(host, seen, drain);
+      return ActionWhileDraining(host, seen, drain);
     case HostState::kRebooting:
-      return StepRebooting(host, seen, options);
+      return ActionWhileRebooting(host, seen, options);
     case HostState::kProbing:
-      return StepProbing(seen, options);
+      return ActionWhileProbing(seen, options);
     case HostState::kFailed:
-      return StepFailed(host, seen);
+      return ActionWhenFailed(host, seen);
   }
   return NoAction{};
 }
--- a/src/cassiastile/member/membership_receive.cpp
+++ b/src/cassiastile/member/membership_receive.cpp
@@ -7,10 +7,13 @@
 
 namespace {
 
+// How many records of other members an acknowledgement carries to a member that
+// has another member list.
 constexpr std::size_t kRecordsPerAck = 2;
 // The most promises that are kept at once; further prepares get no promise.
 constexpr std::size_t kMaxPromises = 16;
 
+// Rounds up, since an encoded age must be an upper bound.
 std::uint8_t PackAge(const std::optional<base::TimePoint>& time,
                      base::TimePoint now) {
   if (!time) {
@@ -168,6 +171,7 @@
   return {};
 }
 
+// The answer has promise id zero if this member made no promise.
 Message Membership::AnswerPrepare(const Message& prepare) {
   const bool has_room = m_promises.size() < kMaxPromises ||
                         m_promises.contains(prepare.promise_id);
--- a/src/cassiastile/member/message_test.cpp
+++ b/src/cassiastile/member/message_test.cpp
@@ -63,13 +63,13 @@
 TEST(MessageTest, FormatThatNeedsANewerReaderIsUnsupported) {
   std::string data = EncodeMessage(MakeSample(), kSecret);
   data.resize(data.size() - kTagBytes);
-  data[3] = 2;  // The oldest format that can read it.
+  data[3] = 2;  // The oldest format whose readers can decode it.
   const auto decoded = DecodeMessage(AppendTag(data), kSecret);
   ASSERT_FALSE(decoded);
   EXPECT_EQ(decoded.error(), PacketFault::kUnsupported);
 }
 
-TEST(MessageTest, AnotherSecretIsForged) {
+TEST(MessageTest, MessageWithAnotherSecretIsForged) {
   const auto decoded = DecodeMessage(EncodeMessage(MakeSample(), "x"), kSecret);
   ASSERT_FALSE(decoded);
   EXPECT_EQ(decoded.error(), PacketFault::kForged);
@@ -97,14 +97,14 @@
   RC_ASSERT(!DecodeMessage(bytes, kSecret));
 }
 
-RC_GTEST_PROP(MessageProperty, SealedRandomBytesNeverThrow, ()) {
+RC_GTEST_PROP(MessageProperty, AuthenticatedRandomBytesNeverThrow, ()) {
   const auto bytes =
       *rc::gen::container<std::string>(rc::gen::arbitrary<char>());
   static_cast<void>(
       DecodeMessage(AppendTag(std::string("CM\x01\x01") + bytes), kSecret));
 }
 
-RC_GTEST_PROP(MessageProperty, CutOrFlippedIsDropped, ()) {
+RC_GTEST_PROP(MessageProperty, TruncatedOrBitFlippedIsDropped, ()) {
   std::string datagram = EncodeMessage(MakeSample(), kSecret);
   const auto at = *rc::gen::inRange<std::size_t>(0, datagram.size());
   const auto bit = *rc::gen::inRange(0, 8);
--- a/src/cassiastile/work/claim.cpp
+++ b/src/cassiastile/work/claim.cpp
@@ -77,9 +77,9 @@
 
 bool IsValidIdempotencyKey(std::string_view key) {
   return !key.empty() && key.size() <= kMaxKeyLength &&
-         std::all_of(key.begin(), key.end(), [](unsigned char letter) {
-           return std::isalnum(letter) != 0 || letter == '.' || letter == '_' ||
-                  letter == ':' || letter == '-';
+         std::all_of(key.begin(), key.end(), [](unsigned char character) {
+           return std::isalnum(character) != 0 || character == '.' ||
+                  character == '_' || character == ':' || character == '-';
          });
 }
 
--- a/src/cassiastile/work/request_dispatcher_tries.cpp
+++ b/src/cassiastile/work/request_dispatcher_tries.cpp
@@ -120,11 +120,11 @@
 void RequestDispatcher::Hedge(base::TimePoint now) {
   for (auto& [id, pending] : m_tries) {
     Runner* runner = FindRunner(pending.runner);
-    if (runner == nullptr || pending.hedged ||
+    if (runner == nullptr || pending.overdue ||
         now - pending.sent < SilenceLimit(*runner, m_options.routing)) {
       continue;
     }
-    pending.hedged = true;
+    pending.overdue = true;
     runner->fresh_connections_until = now + m_options.fresh_connection_period;
     if (runner->last_answer < pending.sent) {
       const auto index = static_cast<std::size_t>(runner - m_runners.data());
--- a/src/cassiastile/work/task_policy_test.cpp
+++ b/src/cassiastile/work/task_policy_test.cpp
@@ -33,6 +33,8 @@
   EXPECT_NEAR(estimate.seconds, 25, 0.1);
 }
 
+// Guards against teams that give old work a new kind to escape what was learned
+// about their declarations.
 TEST(SizeEstimateTest, NewKindStartsFromTheTeamsDeclarationError) {
   SizeEstimator sizes;
   for (int run = 0; run < 5; ++run) {
@@ -114,7 +116,9 @@
   }
 }
 
-TEST(WorkerHealthTest, QuarantineNeedsCrossEvidenceAndEndsByProbing) {
+// Failures of one kind may be the fault of the tasks, unless the kind succeeds
+// on another worker.
+TEST(WorkerHealthTest, QuarantineNeedsSuccessElsewhereAndEndsByProbing) {
   WorkerHealthTracker health;
   base::ManualClock clock;
   health.RecordEnd("w1", "k", true, clock.Now());
