--- a/include/cassiastile/config/fleet.hpp
+++ b/include/cassiastile/config/fleet.hpp
@@ -57,7 +57,7 @@
 };
 
 // The disruption budget of a pool: how many of its hosts may be unavailable at
-// once, whatever the cause.
+// once, for any cause.
 struct Budget {
   std::uint32_t max_out = 1;
 };
--- a/include/cassiastile/entry/credit_account.hpp
+++ b/include/cassiastile/entry/credit_account.hpp
@@ -59,7 +59,7 @@
                 work::HolderName holder,
                 std::uint64_t seed);
 
-  // Returns those of the given holders that are gone for good.
+  // Returns those of the given holders that are gone; see HolderWatch.
   using GoneHolderFinder = std::function<std::set<work::HolderName>(
       const std::set<work::HolderName>&)>;
 
--- a/include/cassiastile/entry/holder_watch.hpp
+++ b/include/cassiastile/entry/holder_watch.hpp
@@ -26,9 +26,10 @@
 work::HolderName MakeHolderName(const std::string& host,
                                 std::uint64_t incarnation);
 
-// Finds the holders of credits that are gone for good: those whose process was
-// replaced by a newer incarnation, and those whose host has long been missing
-// from the host list while this host is listed.
+// Finds the holders of credits that are gone, so that nothing of theirs can run
+// any more: those whose process was replaced by a newer incarnation, and those
+// whose host has long been missing from the host list while this host is
+// listed.
 class HolderWatch {
  public:
   HolderWatch(std::string own_name, HolderWatchOptions options);
@@ -42,8 +43,8 @@
                           std::uint64_t incarnation,
                           base::TimePoint now);
 
-  // Whether the holder is known to have nothing running any more. The first
-  // question about a host that was never listed starts its absence.
+  // Whether the holder is known to have nothing running any more. A host that
+  // was never listed counts as absent since the first call about it.
   bool IsGone(const work::HolderName& holder, base::TimePoint now);
 
   // Returns those of the given holders that are gone.
--- a/include/cassiastile/fleet/host_view.hpp
+++ b/include/cassiastile/fleet/host_view.hpp
@@ -50,8 +50,8 @@
   base::Duration longest_remaining{};
 };
 
-// Tells waves what runs on a host, and requests checkpoints before the host is
-// stopped. Thread-safe.
+// Reports to waves what runs on a host, and requests checkpoints before the
+// host is stopped. Thread-safe.
 class HostWorkSource {
  public:
   virtual ~HostWorkSource() = default;
--- a/include/cassiastile/host/ports.hpp
+++ b/include/cassiastile/host/ports.hpp
@@ -117,7 +117,7 @@
   std::optional<std::chrono::milliseconds> until;
   // How long the worker may delay its answer; it answers early when a run ends.
   std::chrono::milliseconds wait{0};
-  // Uses a new connection, since one that was kept open may have gone silent.
+  // Uses a new connection, since a reused one may have stopped carrying data.
   bool fresh_connection = false;
 };
 
--- a/include/cassiastile/jobs/admission.hpp
+++ b/include/cassiastile/jobs/admission.hpp
@@ -30,7 +30,8 @@
 // The state of a pool and of a job that asks to be admitted to it.
 struct AdmissionInput {
   Work backlog;  // Accepted work that is not done yet.
-  // Capacity usable by finite tasks, including machines that are on their way.
+  // Capacity usable by finite tasks, including machines being moved
+  // into the pool.
   Resources pool;
   // Whether its customer submits more jobs per second than its weight.
   bool beyond_share = false;
--- a/include/cassiastile/jobs/scheduler.hpp
+++ b/include/cassiastile/jobs/scheduler.hpp
@@ -237,7 +237,7 @@
     Resources used;
     Resources long_running_used;  // Used by long-running tasks.
     Resources unplaced;           // Needed by tasks that could not be placed.
-    Work backlog;                 // Left of jobs whose result still has value.
+    Work backlog;                 // Remaining, of jobs not yet worthless.
     Work arriving_work;           // Submitted per millisecond.
     std::size_t workers = 0;
     // Distinct workers that long-running steps need, plus one to move a task
@@ -271,10 +271,12 @@
   // The state of a pool that admission checks a new job against.
   struct PoolView {
     base::TimePoint taken_at{};
-    Work backlog;  // Left of jobs whose result still has value.
-    // Capacity usable by finite tasks, including machines on their way.
+    // Remaining work of jobs whose result still has value.
+    Work backlog;
+    // Capacity usable by finite tasks, including machines being moved
+    // into the pool.
     Resources pool;
-    Resources free;  // Now, less the need of unplaced tasks.
+    Resources free;  // Free now, minus the need of unplaced tasks.
   };
 
   // The answer of a placement advisor about one step.
--- a/include/cassiastile/member/shard_owner.hpp
+++ b/include/cassiastile/member/shard_owner.hpp
@@ -18,7 +18,7 @@
   platform::Precondition fence;  // The lease row is unchanged.
 };
 
-// Tells which shards this host owns. There is one shard for each pool: its
+// Reports which shards this host owns. There is one shard for each pool: its
 // hosts, waves, queues and tasks. Implementations are thread-safe.
 class ShardOwner {
  public:
--- a/include/cassiastile/sim/invariant_checker.hpp
+++ b/include/cassiastile/sim/invariant_checker.hpp
@@ -15,7 +15,7 @@
  public:
   // A caller is about to submit a job; its tasks may run from now on.
   void JobSubmitted(const std::string& job, jobs::JobSpec spec);
-  // The caller has got nothing but refusals for the job so far.
+  // Every answer that the caller received for the job so far was a refusal.
   void Refused(const std::string& job);
   // The caller was told that the job is accepted.
   void Accepted(const std::string& job);
--- a/include/cassiastile/sim/table_model.hpp
+++ b/include/cassiastile/sim/table_model.hpp
@@ -28,7 +28,8 @@
   // The changes after a version; no rows if there are none. `forgotten` is set
   // if the history does not reach back to it.
   host::FeedPage Feed(const std::string& table, std::uint64_t after) const;
-  // Drops the history: who follows an older version must read the table anew.
+  // Drops the history: a client that follows the feed from an older version
+  // must read the table again.
   void ForgetHistory();
   // The row, or null.
   const host::Row* Find(const std::string& table,
--- a/include/cassiastile/sim/worker_timer.hpp
+++ b/include/cassiastile/sim/worker_timer.hpp
@@ -15,7 +15,7 @@
   WorkerTimer(host::Loop& loop, std::function<void()> due);
 
   // Requests a call at a time, if there is one. If a call is due sooner, it is
-  // kept, and its callback must set the timer anew.
+  // kept, and its callback must set the timer again.
   void Set(std::optional<base::TimePoint> at);
 
  private:
--- a/include/cassiastile/work/claim.hpp
+++ b/include/cassiastile/work/claim.hpp
@@ -28,7 +28,7 @@
 struct Claim {
   std::string fingerprint;  // Digest of the request's content.
   std::string holder;       // The host that sends it to a runner.
-  std::string nonce;        // Tells this claim from others for the same key.
+  std::string nonce;        // Distinguishes claims for the same key.
   ClaimState state = ClaimState::kClaimed;
   base::WallTime claimed_at{};
   wire::HttpResponse answer;  // Only in state kAnswered.
--- a/include/cassiastile/work/share_account.hpp
+++ b/include/cassiastile/work/share_account.hpp
@@ -16,7 +16,7 @@
 };
 
 // Tracks each team's resource usage in a pool for weighted dominant-share
-// fairness. Usage is counted per team, whatever its queues, kinds and task
+// fairness. Usage is counted per team, regardless of its queues, kinds and task
 // sizes.
 //
 // Teams that fall behind are raised to the least-served waiting team. Idle
--- a/include/cassiastile/work/task_store.hpp
+++ b/include/cassiastile/work/task_store.hpp
@@ -36,8 +36,8 @@
 using TeamGrants = std::map<std::string, std::uint32_t>;
 
 // A pool's task rows in the table. Every write is fenced by the shard's
-// precondition. A write whose answer was lost stays pending until its fate is
-// known; nothing else is written before.
+// precondition. A write whose answer was lost stays pending until its outcome
+// is known; nothing else is written before.
 class TaskStore {
  public:
   TaskStore(platform::Table& table, std::string pool, base::Random random);
@@ -48,7 +48,7 @@
 
   bool IsPending() const;
   // Applies the pending transaction again; it takes effect at most once.
-  // kConflict: it did not and will not apply. kUnknown: its fate is still
+  // kConflict: it did not and will not apply. kUnknown: its outcome is still
   // unknown.
   base::Result<void> Resolve();
 
--- a/src/bin/cassia_backend.cpp
+++ b/src/bin/cassia_backend.cpp
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-// cassia-backend: a stand-in for a service's backend server (runner), which
-// fails as it is told to.
+// cassia-backend: a stand-in for a service's backend server (runner), with
+// faults that are set over HTTP.
 int main(int argc, char** argv) {
   const daemon::Program program{
       "cassia-backend", "stands in for a runner and fails as it is told to"};
--- a/src/bin/measure_tasks.cpp
+++ b/src/bin/measure_tasks.cpp
@@ -19,7 +19,7 @@
   std::cout << line.dump() << std::endl;
 }
 
-// Today's fleet: six teams, two of them large, on ten workers.
+// A fleet of the present size: six teams, two of them large, on ten workers.
 Scenario MakeToday() {
   Scenario scenario;
   const std::vector<std::uint32_t> weights{4, 4, 1, 1, 1, 1};
--- a/src/bin/measure_tasks_run.hpp
+++ b/src/bin/measure_tasks_run.hpp
@@ -153,7 +153,7 @@
 
 // Measures the shares that teams get if tasks start in the order of submission,
 // or if each team has its own partition of the pool. Declared sizes are
-// trusted.
+// used as they are.
 inline ShareResult RunBaseline(const Scenario& scenario, Baseline kind) {
   struct Running {
     double end = 0;
--- a/src/cassiastile/entry/entry_threads.cpp
+++ b/src/cassiastile/entry/entry_threads.cpp
@@ -146,7 +146,7 @@
   m_services.emplace(service.name, std::move(slots));
 }
 
-// Refuses waiting requests whose key was withdrawn since they arrived, or can
+// Refuses waiting requests whose key was revoked since they arrived, or can
 // no longer be checked because the configuration is stale.
 void EntryService::RecheckKeys() {
   const auto accepted = m_dependencies.fleet.Current();
--- a/src/cassiastile/fleet/change.cpp
+++ b/src/cassiastile/fleet/change.cpp
@@ -27,7 +27,7 @@
   return host;
 }
 
-// Puts a host in service and clears what its time out of service left behind.
+// Puts a host in service and clears the fields about its time out of service.
 Stored<HostRecord> NextInService(const ChangeContext& context,
                                  Stored<HostRecord> host,
                                  std::string detail) {
--- a/src/cassiastile/host/host_node_test.cpp
+++ b/src/cassiastile/host/host_node_test.cpp
@@ -159,7 +159,8 @@
 }
 
 // After an outage no host has recently reached the store, so gossip can't tell
-// whether a stronger host can; a weak host must still let it go first.
+// whether a stronger host can; a weak host must still wait for
+// it to try first.
 TEST(HostNodeTest, StrongHostBecomesLeaderAfterAnOutage) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     VirtualWorld world(
--- a/src/cassiastile/jobs/admission.cpp
+++ b/src/cassiastile/jobs/admission.cpp
@@ -21,8 +21,7 @@
 
 AdmissionVerdict Admit(const AdmissionInput& input) {
   if (input.fits_now || input.pool.cpu <= 0 || input.pool.memory <= 0) {
-    // When the pool has no capacity, workers may be on their way; the job waits
-    // for them.
+    // A pool without capacity may be getting machines; the job waits for them.
     return {};
   }
   // The scarcer resource decides.
--- a/src/cassiastile/jobs/admission_test.cpp
+++ b/src/cassiastile/jobs/admission_test.cpp
@@ -18,31 +18,31 @@
   return input;
 }
 
-TEST(AdmissionTest, TakesWhatCanBeDoneInTime) {
+TEST(AdmissionTest, AcceptsJobThatMeetsItsObjective) {
   EXPECT_TRUE(Admit(MakeInput(90)).admitted);
 }
 
 // Demand of five times the pool: each job accepted beyond the slack would be
 // late and make those behind it late.
-TEST(AdmissionTest, TurnsAwayWhatCouldNotBeDoneInTime) {
+TEST(AdmissionTest, RefusesJobThatWouldMissItsObjective) {
   const AdmissionVerdict verdict = Admit(MakeInput(400));
   EXPECT_FALSE(verdict.admitted);
   EXPECT_GE(verdict.retry_after, milliseconds(2000));
 }
 
-TEST(AdmissionTest, MemoryBindsAsWell) {
+TEST(AdmissionTest, RefusesJobWhenMemoryIsScarce) {
   AdmissionInput input = MakeInput(0);
   input.backlog.memory = 5e9;
   EXPECT_FALSE(Admit(input).admitted);
 }
 
-TEST(AdmissionTest, RoomAtOnceAdmits) {
+TEST(AdmissionTest, AcceptsJobThatFitsNow) {
   AdmissionInput input = MakeInput(400);
   input.fits_now = true;
   EXPECT_TRUE(Admit(input).admitted);
 }
 
-TEST(AdmissionTest, CustomerBeyondItsShareGetsOnlyWhatIsFree) {
+TEST(AdmissionTest, CustomerBeyondItsShareGetsOnlyFreeCapacity) {
   AdmissionInput input = MakeInput(10);
   input.beyond_share = true;
   EXPECT_FALSE(Admit(input).admitted);
@@ -50,7 +50,7 @@
   EXPECT_TRUE(Admit(input).admitted);
 }
 
-TEST(DurationModelTest, TrustsEstimatesOnlyWhereTheyAreGood) {
+TEST(DurationModelTest, UsesEstimatesOnlyWhereTheyAreAccurate) {
   DurationModel model;
   for (int i = 0; i < 200; ++i) {
     const milliseconds good(500 + 10 * (i % 50));
@@ -74,7 +74,7 @@
   EXPECT_FALSE(Admit(input).admitted);
 }
 
-TEST(AdmissionTest, VerdictSaysWhatWasWeighed) {
+TEST(AdmissionTest, VerdictHasTheComparedValues) {
   const AdmissionVerdict verdict = Admit(MakeInput(400));
   EXPECT_EQ(verdict.wait, milliseconds(4000));
   EXPECT_EQ(verdict.slack, milliseconds(1000));
--- a/src/cassiastile/jobs/arrival_meter_test.cpp
+++ b/src/cassiastile/jobs/arrival_meter_test.cpp
@@ -17,7 +17,7 @@
             kBegin + milliseconds(4000));
 }
 
-TEST(FirstArrivalsTest, ForgetsJobsThatNobodyAsksForAnyMore) {
+TEST(FirstArrivalsTest, ForgetsJobsNotSubmittedForLong) {
   FirstArrivals arrivals;
   arrivals.Note("job", kBegin);
   const base::TimePoint later = kBegin + std::chrono::seconds(31);
--- a/src/cassiastile/jobs/duration_model_test.cpp
+++ b/src/cassiastile/jobs/duration_model_test.cpp
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using testing::ElementsAre;
 
-TEST(DurationModelTest, LearnsWhatEstimatesAreWorth) {
+TEST(DurationModelTest, LearnsTheRatioOfActualToEstimated) {
   DurationModel model;
   for (int i = 0; i < 50; ++i) {
     const milliseconds estimate(100 * (1 + i % 10));
@@ -46,7 +46,7 @@
   EXPECT_EQ(read->Expect("queue", milliseconds(100)), milliseconds(700));
 }
 
-TEST(DurationModelTest, BytesThatCannotBeReadAreAnError) {
+TEST(DurationModelTest, InvalidBytesAreAnError) {
   EXPECT_FALSE(DurationModel::Decode("").has_value());
   EXPECT_FALSE(DurationModel::Decode("nonsense").has_value());
 }
--- a/src/cassiastile/jobs/pool_plan_test.cpp
+++ b/src/cassiastile/jobs/pool_plan_test.cpp
@@ -44,7 +44,7 @@
   EXPECT_THAT(Plan(), SizeIs(6));
 }
 
-TEST_F(PoolPlanTest, MachinesOnTheirWayCount) {
+TEST_F(PoolPlanTest, ArrivingMachinesCountAsCapacity) {
   m_pools["busy"].arriving = {.cpu = 100, .memory = 0};
   Add("busy", 8, milliseconds(0));
   for (PoolMachine& machine : m_machines) {
@@ -55,7 +55,7 @@
   EXPECT_THAT(Plan(), IsEmpty());
 }
 
-TEST_F(PoolPlanTest, IdlePoolLendsBeforeTheSparePool) {
+TEST_F(PoolPlanTest, IdlePoolGivesMachinesBeforeTheSparePool) {
   m_pools["busy"].arriving = {.cpu = 40, .memory = 0};
   m_pools["idle"] = {};
   Add("busy", 2, milliseconds(0));
@@ -66,7 +66,7 @@
   EXPECT_EQ(moves.front().from, "idle");
 }
 
-TEST_F(PoolPlanTest, MemoryAloneIsADemandToo) {
+TEST_F(PoolPlanTest, MemoryDemandAloneFetchesMachines) {
   m_pools["busy"].unplaced = {0, 200000, 0};
   Add("busy", 2, milliseconds(0));
   for (PoolMachine& machine : m_machines) {
@@ -77,13 +77,13 @@
   EXPECT_THAT(Plan(), SizeIs(2));
 }
 
-TEST_F(PoolPlanTest, IdleMachinesLeaveDownToTheLeast) {
+TEST_F(PoolPlanTest, IdleMachinesLeaveDownToTheMinimum) {
   m_pools["idle"].min_machines = 3;
   Add("idle", 8, milliseconds(5000));
   EXPECT_THAT(Plan(), SizeIs(5));
 }
 
-TEST_F(PoolPlanTest, ShortIdlenessIsNoReasonToLeave) {
+TEST_F(PoolPlanTest, BrieflyIdleMachinesStay) {
   m_pools["idle"] = {};
   Add("idle", 8, milliseconds(1000));
   EXPECT_THAT(Plan(), IsEmpty());
--- a/src/cassiastile/jobs/scheduler_place.cpp
+++ b/src/cassiastile/jobs/scheduler_place.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-// Costs of choosing a worker, in thousandths of a core: another worker is
-// chosen instead unless it has more free CPU by that much.
+// Penalties of a worker, in thousandths of a core. The worker with the least
+// free CPU is chosen, and a penalty counts as that much additional free CPU.
 constexpr std::int64_t kFailedHereCost = 1000000;
 constexpr std::int64_t kRemoteCost = 100000;
 // For more tasks of a step on one worker than may be unavailable at once.
--- a/src/cassiastile/jobs/scheduler_test.cpp
+++ b/src/cassiastile/jobs/scheduler_test.cpp
@@ -134,7 +134,7 @@
   EXPECT_EQ(successor.Get().FindJob(kJob)->stored_phase, JobPhase::kDone);
 }
 
-TEST(SchedulerTest, SuccessorKnowsHowOldAJobIs) {
+TEST(SchedulerTest, SuccessorKeepsTheObjectiveOfAJob) {
   SchedulerBench bench;
   bench.AddWorker("a");
   bench.Submit(kJob, SchedulerBench::OneTask());
@@ -290,7 +290,7 @@
 
 // When a queue has several times the load of its pool, jobs that can no longer
 // meet their objective go behind those that can. Otherwise all would be late.
-TEST(SchedulerTest, WorkThatCanBeInTimeGoesBeforeWorkThatCannot) {
+TEST(SchedulerTest, JobsThatCanMeetTheirObjectiveGoFirst) {
   SchedulerBench bench;
   bench.AddWorker("a");
   const auto whole_worker = SchedulerBench::OneTask(16000);
@@ -318,20 +318,20 @@
     ASSERT_LT(++taken, 100);
     bench.StepAndStart();
   }
-  const std::string turned_away = std::to_string(taken);
+  const std::string refused_job = std::to_string(taken);
   const base::TimePoint first_request = bench.Now();
-  // All accepted jobs are cancelled, so that there is room again.
+  // All accepted jobs are cancelled, so that there is free capacity again.
   for (int i = 0; i < taken; ++i) {
     bench.Get().Cancel(std::to_string(i), bench.Now());
   }
   bench.Advance(milliseconds(1000));
-  ASSERT_EQ(bench.Submit(turned_away, whole_worker).verdict,
+  ASSERT_EQ(bench.Submit(refused_job, whole_worker).verdict,
             Submission::Verdict::kNew);
-  EXPECT_EQ(bench.Get().FindJob(turned_away)->objective,
+  EXPECT_EQ(bench.Get().FindJob(refused_job)->objective,
             first_request + milliseconds(1600));
 }
 
-TEST(SchedulerTest, CallersAtTheSameMomentDoNotAllFindTheSameRoom) {
+TEST(SchedulerTest, SimultaneousJobsDoNotAllGetTheSameFreeCapacity) {
   SchedulerBench bench;
   bench.AddWorker("a");
   int taken = 0;
@@ -395,7 +395,7 @@
   std::uint64_t m_ends = 0;
 };
 
-TEST_F(FullPoolTest, LongRunningTaskGetsTheRoomThatBecomesFree) {
+TEST_F(FullPoolTest, LongRunningTaskGetsTheCapacityThatBecomesFree) {
   Fill();
   JobSpec lasting = SchedulerBench::LongRunning(1, 1);
   lasting.steps.front().need.cpu = 6000;
--- a/src/cassiastile/jobs/wave_plan_test.cpp
+++ b/src/cassiastile/jobs/wave_plan_test.cpp
@@ -26,7 +26,7 @@
   return machine;
 }
 
-TEST(WavePlanTest, NeverTakesMoreThanTheWaveAllows) {
+TEST(WavePlanTest, NeverExceedsMaxDown) {
   WaveMachine down = MakeMachine("down");
   down.down = true;
   const WavePlan plan =
@@ -43,7 +43,7 @@
   EXPECT_THAT(plan.maintain, IsEmpty());
 }
 
-TEST(WavePlanTest, WaitsForFiniteTasksForAMoment) {
+TEST(WavePlanTest, WaitsForFiniteTasksForALimitedTime) {
   WaveMachine busy = MakeDraining("a");
   busy.finite_cpu = 1000;
   const WaveLimits limits{.max_down = 1, .left = milliseconds(60000)};
@@ -61,7 +61,7 @@
       IsEmpty());
 }
 
-TEST(WavePlanTest, NeededMachinesGoOnlyWhenTimeRunsShort) {
+TEST(WavePlanTest, NeededMachinesAreDrainedOnlyWhenTimeRunsShort) {
   WaveMachine needed = MakeMachine("a");
   needed.idle = false;
   needed.needed = true;
--- a/src/cassiastile/member/audit_chain_test.cpp
+++ b/src/cassiastile/member/audit_chain_test.cpp
@@ -62,7 +62,7 @@
   EXPECT_EQ(Break(), 2U);
 }
 
-TEST_F(AuditChainTest, CutEndIsFound) {
+TEST_F(AuditChainTest, TruncatedEndIsFound) {
   Overwrite(AuditKey(3), std::nullopt);
   EXPECT_EQ(Break(), 3U);
 }
--- a/src/cassiastile/member/membership_test.cpp
+++ b/src/cassiastile/member/membership_test.cpp
@@ -126,8 +126,8 @@
   EXPECT_EQ(CountFresh(), 8U);
 }
 
-// Guards against a majority that goes on with an old version because it can't
-// learn of a commit that it promised.
+// Guards against a majority that keeps acting on an old version because it
+// can't learn of the commit of the version that it promised.
 TEST_F(FleetTest, PreparedVersionStopsAMajorityThatMissesTheCommit) {
   ASSERT_TRUE(PrepareAt("h06-1", 2));
   // Only the proposer reaches the table; it commits and is never heard again.
--- a/src/cassiastile/operator/edit_commands.cpp
+++ b/src/cassiastile/operator/edit_commands.cpp
@@ -43,9 +43,9 @@
 };
 
 // Finds the version that a whole document replaces: --base, or 0 if there is no
-// document yet. Until there is a document, nobody is an operator, so reading it
-// is denied with 403; the server refuses version 0 if there is a document after
-// all.
+// document yet. Until there is a document, there are no operators, so reading
+// it is denied with 403; the server refuses version 0 if there is a document
+// after all.
 tl::expected<PutBase, ExitCode> FindBaseVersion(const Invocation& invocation,
                                                 const std::string& text) {
   if (const auto base = invocation.Option<std::uint64_t>("base")) {
--- a/src/cassiastile/soak/soak.cpp
+++ b/src/cassiastile/soak/soak.cpp
@@ -15,7 +15,7 @@
 // The first host becomes the leader and reads the workers in this time.
 constexpr milliseconds kWarmUp{1500};
 constexpr milliseconds kCheckInterval{100};
-// The hosts' stop_grace_s, 6 s, and a moment to be reaped.
+// The hosts' stop_grace_s, 6 s, plus a second for the exit to be noticed.
 constexpr milliseconds kExitTimeout{7000};
 
 FaultPlan ChoosePlan(const SoakOptions& options) {
