--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -36,7 +36,7 @@
   RequestLimits limits;
   HolderWatchOptions watch;
   ClaimStoreOptions claims;
-  work::DispatcherOptions dispatcher;
+  work::RequestDispatcherOptions dispatcher;
   std::size_t max_answer_bytes = 4U << 20U;
   std::size_t connections_per_runner = 8;  // Of this host, idle ones included.
   std::chrono::milliseconds tick{20};
--- a/include/cassiastile/entry/service_shard.hpp
+++ b/include/cassiastile/entry/service_shard.hpp
@@ -16,7 +16,7 @@
 
 // Settings of a service's shard.
 struct ServiceShardOptions {
-  work::DispatcherOptions dispatcher;
+  work::RequestDispatcherOptions dispatcher;
   work::HolderName holder;
   std::uint32_t slots_per_runner = 8;
   // How long a demand peak is remembered.
--- a/include/cassiastile/member/audit_chain.hpp
+++ b/include/cassiastile/member/audit_chain.hpp
@@ -60,7 +60,7 @@
 std::string ToText(const AuditRow& row);
 // Parses what ToText wrote. Fails with kInvalid if a field is missing or has
 // the wrong type. Doesn't check the hash.
-base::Result<AuditRow> ReadAuditRow(const std::string& text);
+base::Result<AuditRow> ParseAuditRow(const std::string& text);
 
 // Reads the end of the chain; a default AuditHead if the chain is empty. Fails
 // with kInternal if the row is not a JSON object, or with the table's error.
--- a/include/cassiastile/platform/http_platform.hpp
+++ b/include/cassiastile/platform/http_platform.hpp
@@ -14,7 +14,7 @@
 
 // Connection settings of the platform's HTTP services. docs/PLATFORM.md
 // describes the calls.
-struct HttpPlatformLink {
+struct HttpPlatformOptions {
   // Not owned; must outlive all users of the link.
   wire::HttpClient* client = nullptr;
   std::string address;  // IP:PORT
@@ -24,7 +24,7 @@
 // The platform's table over HTTP.
 class HttpTable final : public Table {
  public:
-  explicit HttpTable(HttpPlatformLink link);
+  explicit HttpTable(HttpPlatformOptions link);
 
   base::Result<std::optional<Row>> Get(const std::string& key) override;
   base::Result<std::vector<Row>> Scan(const std::string& prefix,
@@ -35,13 +35,13 @@
       const std::string& nonce) override;
 
  private:
-  HttpPlatformLink m_link;
+  HttpPlatformOptions m_link;
 };
 
 // The platform's object store over HTTP.
 class HttpObjects final : public ObjectStore {
  public:
-  explicit HttpObjects(HttpPlatformLink link);
+  explicit HttpObjects(HttpPlatformOptions link);
 
   base::Result<void> Put(const std::string& name,
                          const std::string& content) override;
@@ -50,24 +50,24 @@
       const std::string& prefix) override;
 
  private:
-  HttpPlatformLink m_link;
+  HttpPlatformOptions m_link;
 };
 
 // The platform's host list over HTTP.
 class HttpHostList final : public HostList {
  public:
-  explicit HttpHostList(HttpPlatformLink link);
+  explicit HttpHostList(HttpPlatformOptions link);
 
   base::Result<std::vector<ListedHost>> List() override;
 
  private:
-  HttpPlatformLink m_link;
+  HttpPlatformOptions m_link;
 };
 
 // The platform's machine service over HTTP.
 class HttpMachines final : public Machines {
  public:
-  explicit HttpMachines(HttpPlatformLink link);
+  explicit HttpMachines(HttpPlatformOptions link);
 
   base::Result<void> SetDraining(const std::string& host,
                                  bool draining) override;
@@ -76,7 +76,7 @@
   base::Result<MachineStatus> Status(const std::string& host) override;
 
  private:
-  HttpPlatformLink m_link;
+  HttpPlatformOptions m_link;
 };
 
 }  // namespace cassiastile::platform
--- a/include/cassiastile/work/request_dispatcher.hpp
+++ b/include/cassiastile/work/request_dispatcher.hpp
@@ -47,7 +47,7 @@
 using RequestActions = std::vector<RequestAction>;
 
 // Settings of a RequestDispatcher.
-struct DispatcherOptions {
+struct RequestDispatcherOptions {
   RoutingOptions routing;
   AdmissionOptions admission;
   std::uint32_t max_tries = 3;
@@ -74,7 +74,7 @@
 };
 
 // The highest demand since the last call of TakeDemand.
-struct Demand {
+struct PeakDemand {
   std::uint32_t requests = 0;                    // Running and queued.
   std::map<std::string, std::uint32_t> by_team;  // Running and queued, by team.
 };
@@ -84,7 +84,7 @@
 // I/O and reads no clock: events come in with the time, and actions go out.
 class RequestDispatcher {
  public:
-  RequestDispatcher(DispatcherOptions options, std::uint64_t seed);
+  RequestDispatcher(RequestDispatcherOptions options, std::uint64_t seed);
 
   RequestActions Arrive(const RequestTicket& ticket, base::TimePoint now);
   RequestActions EndTry(TryId try_id, TryResult result, base::TimePoint now);
@@ -118,8 +118,10 @@
     return m_queue.CountOf(team).running;
   }
   std::size_t Waiting() const { return m_queue.Size() + m_retries.size(); }
-  std::size_t Unfinished() const { return m_queue.Size() + m_flights.size(); }
-  Demand TakeDemand();
+  std::size_t Unfinished() const {
+    return m_queue.Size() + m_open_requests.size();
+  }
+  PeakDemand TakeDemand();
   bool Paused() const { return m_paused; }
 
  private:
@@ -134,7 +136,7 @@
   };
 
   // A request that was dequeued and is not yet answered.
-  struct Flight {
+  struct OpenRequest {
     RequestTicket ticket;
     std::vector<std::string> tried;
     std::uint32_t active = 0;  // Tries in progress.
@@ -150,15 +152,15 @@
     base::TimePoint until{};
   };
 
-  using Flights = std::map<RequestId, Flight>;
+  using OpenRequests = std::map<RequestId, OpenRequest>;
 
   Runner* FindRunner(const std::string& name);
   ServiceRate Rate() const;
   bool HasFreeSlot() const;
   void Dispatch(base::TimePoint now, RequestActions& actions);
   void DispatchRetries(base::TimePoint now, RequestActions& actions);
-  bool HasUntriedRunner(const Flight& flight) const;
-  void Send(Flight& flight,
+  bool HasUntriedRunner(const OpenRequest& open_request) const;
+  void Send(OpenRequest& open_request,
             std::size_t runner,
             base::TimePoint now,
             RequestActions& actions);
@@ -173,12 +175,13 @@
                   const TryLost& loss,
                   base::TimePoint now,
                   RequestActions& actions);
-  bool CanRetry(const Flight& flight, base::TimePoint now);
-  void Retry(Flight& flight);
-  void Finish(Flights::iterator flight,
+  bool CanRetry(const OpenRequest& open_request, base::TimePoint now);
+  void Retry(OpenRequest& open_request);
+  void Finish(OpenRequests::iterator open_request,
               Outcome outcome,
               RequestActions& actions);
-  void FinishFailed(Flights::iterator flight, RequestActions& actions);
+  void FinishFailed(OpenRequests::iterator open_request,
+                    RequestActions& actions);
   void FinishOverdue(base::TimePoint now, RequestActions& actions);
   void Hedge(base::TimePoint now);
   void ReleaseHeld(base::TimePoint now);
@@ -190,12 +193,12 @@
   void DetectPause(base::TimePoint now);
   static void Refuse(std::vector<Refusal> refusals, RequestActions& actions);
 
-  DispatcherOptions m_options;
+  RequestDispatcherOptions m_options;
   base::Random m_random;
   Runners m_runners;
   AdmissionQueue m_queue;
   RetryBudget m_budget;
-  Flights m_flights;
+  OpenRequests m_open_requests;
   std::map<TryId, Try> m_tries;
   std::deque<RequestId> m_retries;
   std::vector<HeldSlot> m_held_slots;
@@ -204,7 +207,7 @@
   base::TimePoint m_last_seen{};  // Time of the latest event.
   bool m_paused = false;          // Slots may have been revoked since.
   base::TimePoint m_paused_at{};  // When the pause was detected.
-  Demand m_demand;
+  PeakDemand m_demand;
 };
 
 }  // namespace cassiastile::work
--- a/include/cassiastile/work/share_account.hpp
+++ b/include/cassiastile/work/share_account.hpp
@@ -9,7 +9,7 @@
 namespace cassiastile::work {
 
 // Whether a team could use more resources than it has.
-enum class Demand : std::uint8_t {
+enum class TeamDemand : std::uint8_t {
   kNone,     // Nothing runs or waits.
   kMet,      // All its tasks run, or its own limit holds them back.
   kWaiting,  // It waits for resources.
@@ -31,7 +31,7 @@
   void SetWeight(const std::string& team, double weight);
 
   // Sets the resources that a team uses from now on.
-  void SetUse(const std::string& team, const Resources& use, Demand demand);
+  void SetUse(const std::string& team, const Resources& use, TeamDemand demand);
 
   // Accounts for the time since the last call.
   void Advance(base::TimePoint now);
@@ -53,7 +53,7 @@
   struct Account {
     double weight = 1;
     Resources use;
-    Demand demand = Demand::kNone;
+    TeamDemand demand = TeamDemand::kNone;
     // Dominant share times seconds, divided by weight, up to settled_at.
     double settled_usage = 0;
     Resources unsettled;  // Resources times seconds since settled_at.
--- a/include/cassiastile/work/task_shard.hpp
+++ b/include/cassiastile/work/task_shard.hpp
@@ -253,7 +253,7 @@
   void RequestCheckpoint(const std::string& key);
   void ReserveEmptiestHost(const std::string& team, const Resources& size);
   void SyncShares();
-  Demand DemandOf(const std::string& team) const;
+  TeamDemand DemandOf(const std::string& team) const;
   std::vector<std::string> WaitingTeams(bool urgent) const;
 
   base::Decision& Decide(base::DecisionKind kind,
--- a/src/cassiastile/daemon/platform_access.cpp
+++ b/src/cassiastile/daemon/platform_access.cpp
@@ -10,8 +10,8 @@
 
 constexpr std::int64_t kMaxCallsPerSecond = 10000;
 
-platform::HttpPlatformLink MakeLink(wire::HttpClient& client,
-                                    const PlatformAccessOptions& options) {
+platform::HttpPlatformOptions MakeLink(wire::HttpClient& client,
+                                       const PlatformAccessOptions& options) {
   return {&client, options.address, options.timeout};
 }
 
--- a/src/cassiastile/entry/service_shard.cpp
+++ b/src/cassiastile/entry/service_shard.cpp
@@ -154,7 +154,7 @@
 }
 
 void ServiceShard::NoteDemand(base::TimePoint now) {
-  const work::Demand demand = m_dispatcher.TakeDemand();
+  const work::PeakDemand demand = m_dispatcher.TakeDemand();
   m_peak.Add(demand.requests, now);
   for (const auto& [team, wanted] : demand.by_team) {
     m_team_peaks.try_emplace(team, PeakWindow(m_options.demand_window));
--- a/src/cassiastile/member/audit_chain.cpp
+++ b/src/cassiastile/member/audit_chain.cpp
@@ -41,7 +41,7 @@
   return json.dump();
 }
 
-base::Result<AuditRow> ReadAuditRow(const std::string& text) {
+base::Result<AuditRow> ParseAuditRow(const std::string& text) {
   try {
     const nlohmann::json json = nlohmann::json::parse(text);
     AuditRow row;
@@ -114,7 +114,7 @@
       if (row.key == kHeadKey) {
         continue;
       }
-      auto read = ReadAuditRow(row.value);
+      auto read = ParseAuditRow(row.value);
       // A row that can't be parsed keeps its position, but has no valid hash.
       rows.push_back(read ? std::move(*read) : AuditRow{});
     }
--- a/src/cassiastile/platform/http_platform.cpp
+++ b/src/cassiastile/platform/http_platform.cpp
@@ -56,7 +56,7 @@
 // The HTTP library may resend a call by itself when a kept-alive connection
 // turns out to be closed. All of these calls are idempotent: a transaction by
 // its nonce, a reboot by the boot count.
-base::Result<wire::HttpResponse> CallPlatform(const HttpPlatformLink& link,
+base::Result<wire::HttpResponse> CallPlatform(const HttpPlatformOptions& link,
                                               CallEffect effect,
                                               const std::string& method,
                                               const std::string& path,
@@ -111,7 +111,7 @@
 
 }  // namespace
 
-HttpTable::HttpTable(HttpPlatformLink link) : m_link(std::move(link)) {}
+HttpTable::HttpTable(HttpPlatformOptions link) : m_link(std::move(link)) {}
 
 base::Result<std::optional<Row>> HttpTable::Get(const std::string& key) {
   const auto answer =
@@ -161,7 +161,7 @@
       });
 }
 
-HttpObjects::HttpObjects(HttpPlatformLink link) : m_link(std::move(link)) {}
+HttpObjects::HttpObjects(HttpPlatformOptions link) : m_link(std::move(link)) {}
 
 base::Result<void> HttpObjects::Put(const std::string& name,
                                     const std::string& content) {
@@ -189,7 +189,8 @@
       });
 }
 
-HttpHostList::HttpHostList(HttpPlatformLink link) : m_link(std::move(link)) {}
+HttpHostList::HttpHostList(HttpPlatformOptions link)
+    : m_link(std::move(link)) {}
 
 base::Result<std::vector<ListedHost>> HttpHostList::List() {
   const auto answer =
@@ -200,7 +201,8 @@
       });
 }
 
-HttpMachines::HttpMachines(HttpPlatformLink link) : m_link(std::move(link)) {}
+HttpMachines::HttpMachines(HttpPlatformOptions link)
+    : m_link(std::move(link)) {}
 
 base::Result<void> HttpMachines::SetDraining(const std::string& host,
                                              bool draining) {
--- a/src/cassiastile/standin/platform_server_test.cpp
+++ b/src/cassiastile/standin/platform_server_test.cpp
@@ -30,7 +30,7 @@
   base::ManualClock m_clock;
   std::unique_ptr<PlatformServer> m_server;
   std::unique_ptr<wire::HttpClient> m_client;
-  platform::HttpPlatformLink m_link;
+  platform::HttpPlatformOptions m_link;
 };
 
 TEST_F(PlatformServerTest, TableBehavesLikeTheMemoryTable) {
--- a/src/cassiastile/work/request_dispatcher.cpp
+++ b/src/cassiastile/work/request_dispatcher.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-RequestDispatcher::RequestDispatcher(DispatcherOptions options,
+RequestDispatcher::RequestDispatcher(RequestDispatcherOptions options,
                                      std::uint64_t seed)
     : m_options(std::move(options)),
       m_random(seed),
@@ -58,9 +58,9 @@
   }
   const Try ended = std::move(found->second);
   m_tries.erase(found);
-  const auto flight = m_flights.find(ended.request_id);
-  if (flight != m_flights.end()) {
-    --flight->second.active;
+  const auto open_request = m_open_requests.find(ended.request_id);
+  if (open_request != m_open_requests.end()) {
+    --open_request->second.active;
   }
   std::visit(Overloaded{
                  [&](TryAnswered& answer) {
@@ -162,8 +162,8 @@
   return actions;
 }
 
-Demand RequestDispatcher::TakeDemand() {
-  Demand demand = std::exchange(m_demand, Demand{});
+PeakDemand RequestDispatcher::TakeDemand() {
+  PeakDemand demand = std::exchange(m_demand, PeakDemand{});
   for (const auto& [team, count] : m_queue.Counts()) {
     if (count.queued + count.running > 0) {
       NoteDemand(team);
@@ -208,11 +208,11 @@
     if (!ticket) {
       return;
     }
-    Flight& flight = m_flights[ticket->id];
-    flight.ticket = *ticket;
+    OpenRequest& open_request = m_open_requests[ticket->id];
+    open_request.ticket = *ticket;
     const auto runner =
-        PickRunner(m_runners, flight.tried, m_options.routing, m_random);
-    Send(flight, *runner, now, actions);
+        PickRunner(m_runners, open_request.tried, m_options.routing, m_random);
+    Send(open_request, *runner, now, actions);
   }
 }
 
@@ -221,52 +221,54 @@
   std::deque<RequestId> waiting;
   waiting.swap(m_retries);
   for (const RequestId id : waiting) {
-    const auto found = m_flights.find(id);
-    if (found == m_flights.end()) {
+    const auto found = m_open_requests.find(id);
+    if (found == m_open_requests.end()) {
       continue;
     }
-    Flight& flight = found->second;
+    OpenRequest& open_request = found->second;
     auto runner =
-        PickRunner(m_runners, flight.tried, m_options.routing, m_random);
-    if (!runner && !HasUntriedRunner(flight)) {
+        PickRunner(m_runners, open_request.tried, m_options.routing, m_random);
+    if (!runner && !HasUntriedRunner(open_request)) {
       runner = PickRunner(m_runners, {}, m_options.routing, m_random);
     }
-    if (!runner || !m_queue.StartRetry(flight.ticket.team)) {
+    if (!runner || !m_queue.StartRetry(open_request.ticket.team)) {
       m_retries.push_back(id);
       continue;
     }
-    flight.waiting = false;
-    Send(flight, *runner, now, actions);
+    open_request.waiting = false;
+    Send(open_request, *runner, now, actions);
   }
 }
 
 // Whether a runner that was not tried yet may become free.
-bool RequestDispatcher::HasUntriedRunner(const Flight& flight) const {
+bool RequestDispatcher::HasUntriedRunner(
+    const OpenRequest& open_request) const {
   return std::any_of(
-      m_runners.begin(), m_runners.end(), [&flight](const Runner& runner) {
+      m_runners.begin(), m_runners.end(),
+      [&open_request](const Runner& runner) {
         return IsUsable(runner) && runner.granted > 0 &&
-               std::find(flight.tried.begin(), flight.tried.end(),
-                         runner.name) == flight.tried.end();
+               std::find(open_request.tried.begin(), open_request.tried.end(),
+                         runner.name) == open_request.tried.end();
       });
 }
 
-void RequestDispatcher::Finish(Flights::iterator flight,
+void RequestDispatcher::Finish(OpenRequests::iterator open_request,
                                Outcome outcome,
                                RequestActions& actions) {
-  actions.emplace_back(
-      FinishRequest{std::move(flight->second.ticket), std::move(outcome)});
-  m_flights.erase(flight);
+  actions.emplace_back(FinishRequest{std::move(open_request->second.ticket),
+                                     std::move(outcome)});
+  m_open_requests.erase(open_request);
 }
 
-void RequestDispatcher::FinishFailed(Flights::iterator flight,
+void RequestDispatcher::FinishFailed(OpenRequests::iterator open_request,
                                      RequestActions& actions) {
-  const Flight& failed = flight->second;
+  const OpenRequest& failed = open_request->second;
   if (failed.maybe_ran) {
-    Finish(flight, MaybeRan{failed.unknown_reason, failed.tried.back()},
+    Finish(open_request, MaybeRan{failed.unknown_reason, failed.tried.back()},
            actions);
     return;
   }
-  Finish(flight,
+  Finish(open_request,
          NotRun{RefusalReason::kUnreachable,
                 m_queue.DrawRetryAfter(Rate(), m_random), ""},
          actions);
@@ -276,9 +278,9 @@
 // waiting for a retry that can't be answered in time or have no runner left.
 void RequestDispatcher::FinishOverdue(base::TimePoint now,
                                       RequestActions& actions) {
-  for (auto next = m_flights.begin(); next != m_flights.end();) {
-    const auto flight = next++;
-    Flight& late = flight->second;
+  for (auto next = m_open_requests.begin(); next != m_open_requests.end();) {
+    const auto open_request = next++;
+    OpenRequest& late = open_request->second;
     const bool in_time =
         late.active > 0
             ? now < late.ticket.deadline + kOverdueMargin
@@ -290,7 +292,7 @@
       late.maybe_ran = true;
       late.unknown_reason = UnknownReason::kTimeout;
     }
-    FinishFailed(flight, actions);
+    FinishFailed(open_request, actions);
   }
 }
 
--- a/src/cassiastile/work/request_dispatcher_tries.cpp
+++ b/src/cassiastile/work/request_dispatcher_tries.cpp
@@ -12,28 +12,28 @@
 
 }  // namespace
 
-void RequestDispatcher::Send(Flight& flight,
+void RequestDispatcher::Send(OpenRequest& open_request,
                              std::size_t runner,
                              base::TimePoint now,
                              RequestActions& actions) {
   Runner& chosen = m_runners[runner];
   ++chosen.in_use;
-  ++flight.active;
-  const bool again = !flight.tried.empty();
-  flight.tried.push_back(chosen.name);
+  ++open_request.active;
+  const bool again = !open_request.tried.empty();
+  open_request.tried.push_back(chosen.name);
   Try& started = m_tries[m_next_try];
-  started.request_id = flight.ticket.id;
-  started.team = flight.ticket.team;
+  started.request_id = open_request.ticket.id;
+  started.team = open_request.ticket.team;
   started.runner = chosen.name;
   started.sent = now;
-  started.stop = flight.ticket.deadline;
+  started.stop = open_request.ticket.deadline;
   SendTry send;
   send.try_id = m_next_try++;
-  send.request_id = flight.ticket.id;
+  send.request_id = open_request.ticket.id;
   send.runner = chosen.name;
   send.address = chosen.address;
-  send.timeout = flight.ticket.deadline - now;
-  send.fresh_connection = !flight.ticket.idempotent || again ||
+  send.timeout = open_request.ticket.deadline - now;
+  send.fresh_connection = !open_request.ticket.idempotent || again ||
                           now < chosen.fresh_connections_until;
   actions.emplace_back(std::move(send));
 }
@@ -56,9 +56,10 @@
   } else if (Runner* runner = FindRunner(ended.runner)) {
     RecordAnswer(*runner, took, now);
   }
-  const auto flight = m_flights.find(ended.request_id);
-  if (flight != m_flights.end()) {
-    Finish(flight, Answered{std::move(answer.response), ended.runner}, actions);
+  const auto open_request = m_open_requests.find(ended.request_id);
+  if (open_request != m_open_requests.end()) {
+    Finish(open_request, Answered{std::move(answer.response), ended.runner},
+           actions);
   }
 }
 
@@ -67,15 +68,15 @@
                                       RequestActions& actions) {
   ReleaseSlot(ended.runner, ended.team, 0);
   RecordFailureAt(ended.runner, now);
-  const auto flight = m_flights.find(ended.request_id);
-  if (flight == m_flights.end() || flight->second.active > 0 ||
-      flight->second.waiting) {
+  const auto open_request = m_open_requests.find(ended.request_id);
+  if (open_request == m_open_requests.end() ||
+      open_request->second.active > 0 || open_request->second.waiting) {
     return;
   }
-  if (CanRetry(flight->second, now)) {
-    Retry(flight->second);
+  if (CanRetry(open_request->second, now)) {
+    Retry(open_request->second);
   } else {
-    FinishFailed(flight, actions);
+    FinishFailed(open_request, actions);
   }
 }
 
@@ -86,32 +87,34 @@
   m_held_slots.push_back(
       {ended.runner, ended.team, ended.stop + m_options.stop_margin});
   RecordFailureAt(ended.runner, now);
-  const auto found = m_flights.find(ended.request_id);
-  if (found == m_flights.end()) {
+  const auto found = m_open_requests.find(ended.request_id);
+  if (found == m_open_requests.end()) {
     return;
   }
-  Flight& flight = found->second;
-  flight.maybe_ran = true;
-  flight.unknown_reason = loss.reason;
-  if (flight.active > 0 || flight.waiting) {
+  OpenRequest& open_request = found->second;
+  open_request.maybe_ran = true;
+  open_request.unknown_reason = loss.reason;
+  if (open_request.active > 0 || open_request.waiting) {
     return;
   }
-  if (flight.ticket.idempotent && CanRetry(flight, now)) {
-    Retry(flight);
+  if (open_request.ticket.idempotent && CanRetry(open_request, now)) {
+    Retry(open_request);
   } else {
     FinishFailed(found, actions);
   }
 }
 
 // Whether another try is allowed and can still succeed. Spends a retry token.
-bool RequestDispatcher::CanRetry(const Flight& flight, base::TimePoint now) {
-  return flight.tried.size() < m_options.max_tries &&
-         now + m_service_time < flight.ticket.deadline && m_budget.Spend();
+bool RequestDispatcher::CanRetry(const OpenRequest& open_request,
+                                 base::TimePoint now) {
+  return open_request.tried.size() < m_options.max_tries &&
+         now + m_service_time < open_request.ticket.deadline &&
+         m_budget.Spend();
 }
 
-void RequestDispatcher::Retry(Flight& flight) {
-  flight.waiting = true;
-  m_retries.push_back(flight.ticket.id);
+void RequestDispatcher::Retry(OpenRequest& open_request) {
+  open_request.waiting = true;
+  m_retries.push_back(open_request.ticket.id);
 }
 
 // Handles overdue tries: connections to their runners are not reused for a
@@ -130,8 +133,8 @@
       const auto index = static_cast<std::size_t>(runner - m_runners.data());
       Eject(m_runners, index, m_options.routing, now);
     }
-    const auto found = m_flights.find(pending.request_id);
-    if (found != m_flights.end() && found->second.ticket.idempotent &&
+    const auto found = m_open_requests.find(pending.request_id);
+    if (found != m_open_requests.end() && found->second.ticket.idempotent &&
         !found->second.waiting && CanRetry(found->second, now)) {
       Retry(found->second);
     }
--- a/src/cassiastile/work/share_account.cpp
+++ b/src/cassiastile/work/share_account.cpp
@@ -32,9 +32,9 @@
 
 void ShareAccount::SetUse(const std::string& team,
                           const Resources& use,
-                          Demand demand) {
+                          TeamDemand demand) {
   Account& account = m_accounts[team];
-  if (account.demand == Demand::kNone && demand != Demand::kNone) {
+  if (account.demand == TeamDemand::kNone && demand != TeamDemand::kNone) {
     account.settled_usage += std::max(0.0, m_floor - AccruedUsage(account));
   }
   account.use = use;
@@ -73,7 +73,7 @@
 double ShareAccount::Entitlement(const std::string& team) const {
   double weights = 0;
   for (const auto& [name, account] : m_accounts) {
-    weights += account.demand == Demand::kNone ? 0 : account.weight;
+    weights += account.demand == TeamDemand::kNone ? 0 : account.weight;
   }
   const auto found = m_accounts.find(team);
   return found == m_accounts.end() || weights <= 0
@@ -105,7 +105,7 @@
 void ShareAccount::RaiseToFloor() {
   double floor = std::numeric_limits<double>::infinity();
   for (const auto& [team, account] : m_accounts) {
-    if (account.demand == Demand::kWaiting) {
+    if (account.demand == TeamDemand::kWaiting) {
       floor = std::min(floor, AccruedUsage(account));
     }
   }
--- a/src/cassiastile/work/task_policy_test.cpp
+++ b/src/cassiastile/work/task_policy_test.cpp
@@ -48,14 +48,14 @@
   ShareAccount shares;
   base::ManualClock clock;
   shares.SetCapacity(kPool);
-  shares.SetUse("a", {100, 0, 0}, Demand::kWaiting);
+  shares.SetUse("a", {100, 0, 0}, TeamDemand::kWaiting);
   shares.Advance(clock.Now());
   clock.Advance(seconds(600));
   shares.Advance(clock.Now());
-  shares.SetUse("b", {}, Demand::kWaiting);
+  shares.SetUse("b", {}, TeamDemand::kWaiting);
   EXPECT_LT(shares.ProjectedUsage("b"), shares.ProjectedUsage("a"));
-  shares.SetUse("a", {50, 0, 0}, Demand::kWaiting);
-  shares.SetUse("b", {50, 0, 0}, Demand::kWaiting);
+  shares.SetUse("a", {50, 0, 0}, TeamDemand::kWaiting);
+  shares.SetUse("b", {50, 0, 0}, TeamDemand::kWaiting);
   EXPECT_NEAR(shares.ProjectedUsage("a"), shares.ProjectedUsage("b"), 1e-6);
   EXPECT_EQ(shares.Entitlement("a"), 0.5);
 }
@@ -64,8 +64,8 @@
   ShareAccount shares;
   shares.SetCapacity(kPool);
   shares.SetWeight("a", 4);
-  shares.SetUse("a", {40, 0, 0}, Demand::kWaiting);
-  shares.SetUse("b", {1, 40, 0}, Demand::kWaiting);
+  shares.SetUse("a", {40, 0, 0}, TeamDemand::kWaiting);
+  shares.SetUse("b", {1, 40, 0}, TeamDemand::kWaiting);
   EXPECT_NEAR(shares.ProjectedUsage("a"), shares.ProjectedUsage("b"), 1e-9);
 }
 
--- a/src/cassiastile/work/task_shard_dispatch.cpp
+++ b/src/cassiastile/work/task_shard_dispatch.cpp
@@ -389,13 +389,13 @@
   }
 }
 
-Demand TaskShard::DemandOf(const std::string& team) const {
+TeamDemand TaskShard::DemandOf(const std::string& team) const {
   const TeamTasks& tasks = m_tasks.TeamOf(team);
   const bool waits = !tasks.urgent.empty() || !tasks.normal.empty();
   if (waits && !AtLimit(team)) {
-    return Demand::kWaiting;
+    return TeamDemand::kWaiting;
   }
-  return tasks.in_use > 0 || waits ? Demand::kMet : Demand::kNone;
+  return tasks.in_use > 0 || waits ? TeamDemand::kMet : TeamDemand::kNone;
 }
 
 std::vector<std::string> TaskShard::WaitingTeams(bool urgent) const {
