--- a/include/cassiastile/host/job_frontend.hpp
+++ b/include/cassiastile/host/job_frontend.hpp
@@ -27,7 +27,7 @@
 class JobFrontend {
  public:
   // Forwards a request to the leader; answers kNotLeader if no leader is known
-  // or reachable.
+  // or it refuses the connection, and kOutcomeUnknown after the timeout.
   using ForwardJob = std::function<void(JobRequest,
                                         std::chrono::milliseconds timeout,
                                         std::function<void(JobAnswer)>)>;
--- a/include/cassiastile/host/peer_message.hpp
+++ b/include/cassiastile/host/peer_message.hpp
@@ -63,7 +63,7 @@
 struct JobRequest {
   JobVerb verb = JobVerb::kState;
   std::string queue;
-  std::string customer;  // Empty on open queues.
+  std::string customer;  // Empty for requests to open queues without a key.
   std::string job;
   // The text that the caller sent; the leader decodes it.
   std::string spec;
--- a/include/cassiastile/host/ports.hpp
+++ b/include/cassiastile/host/ports.hpp
@@ -112,6 +112,7 @@
 // Extends a worker's lease and asks for its report.
 struct LeaseExtension {
   std::uint64_t fence = 0;
+  // Ends up to this sequence number are stored, so the worker can drop them.
   std::uint64_t acknowledged_end = 0;
   // The lease's new end on the worker's clock; empty to get the report only.
   std::optional<std::chrono::milliseconds> until;
@@ -151,7 +152,7 @@
                     const jobs::StopOrder& order,
                     std::uint64_t fence,
                     std::function<void(bool)> done) = 0;
-  // Throttles a run to a percentage of its full pace. `done` gets whether the
+  // Throttles a run to a percentage of its full speed. `done` gets whether the
   // worker answered.
   virtual void Pace(const WorkerAddress& worker,
                     const jobs::PaceOrder& order,
@@ -202,13 +203,13 @@
                         std::function<void(MachineOrderResult)> done) = 0;
 };
 
-// Placements that the advice service allows, and how long they are valid.
+// Placements that the placement advisor allows, and how long they are valid.
 struct AdviceReply {
   std::vector<std::pair<std::string, std::string>> allowed;  // Id, ticket.
   std::chrono::milliseconds validity{0};
 };
 
-// The placement advice service.
+// The placement advisor of a queue.
 class AdvicePort {
  public:
   virtual ~AdvicePort() = default;
--- a/include/cassiastile/jobs/admission.hpp
+++ b/include/cassiastile/jobs/admission.hpp
@@ -48,7 +48,8 @@
   bool admitted = true;
   std::chrono::milliseconds retry_after{0};
   // The values compared: the expected wait behind the backlog, and the longest
-  // wait with which the job still meets its objective.
+  // wait with which the job still meets its objective, but at least a small
+  // minimum that every job gets.
   std::chrono::milliseconds wait{0};
   std::chrono::milliseconds slack{0};
 };
--- a/include/cassiastile/jobs/duration_model.hpp
+++ b/include/cassiastile/jobs/duration_model.hpp
@@ -52,8 +52,8 @@
     double mean_ms = 0;
     // Actual over estimated duration, as a geometric mean.
     double ratio = 1;
-    // Mean squared relative error of a prediction by mean_ms; ratio_error is
-    // that of a prediction by ratio.
+    // Mean squared logarithm of actual over predicted duration, for predictions
+    // by mean_ms; ratio_error is the same for predictions by ratio.
     double mean_error = 1;
     double ratio_error = 1;
     int samples = 0;
--- a/include/cassiastile/jobs/job.hpp
+++ b/include/cassiastile/jobs/job.hpp
@@ -50,8 +50,8 @@
   RunPhase phase = RunPhase::kPlanned;
   StopReason stop_reason = StopReason::kUnknown;  // Valid in phase kStopping.
   base::TimePoint ordered_at{};
-  // When the last start or stop order was answered, or the outcome of a start
-  // became unknown.
+  // When the worker last confirmed the run or a stop order, or the outcome of
+  // a start became unknown; zero while a start or stop order is unanswered.
   base::TimePoint confirmed_at{};
   base::TimePoint progressed_at{};  // When `percent` last changed.
   // Since when a long-running task serves users; zero while it does not.
@@ -71,7 +71,7 @@
   std::vector<std::uint32_t> failed_runs;
   std::uint32_t last_run = 0;
   std::string checkpoint;
-  // Runs that may be alive; more than one only in speculative steps.
+  // Runs that may be alive. A task is placed again only when it has none.
   std::vector<Run> runs;
   std::string avoided_worker;  // Where the last run failed or was stuck.
   // Since when a long-running task has stopped serving; zero otherwise.
@@ -103,8 +103,9 @@
   JobSpec spec;
   base::TimePoint arrived_at{};  // When it was first submitted.
   // The same by the wall clock of the leader that accepted it, from which the
-  // next leader derives the job's age. Wall clocks may jump; only the order of
-  // jobs depends on this value.
+  // next leader derives the job's age. Wall clocks may jump; a wrong age only
+  // affects the order of jobs, the backlog that admission sees and reported
+  // ages.
   std::chrono::milliseconds arrived_wall{0};
   base::TimePoint objective{};  // Time by which it should be done.
   // Time after which its result has no value.
--- a/include/cassiastile/jobs/job_spec.hpp
+++ b/include/cassiastile/jobs/job_spec.hpp
@@ -19,17 +19,20 @@
   std::chrono::milliseconds estimate{0};
   std::vector<std::uint32_t> after;  // Earlier steps that must be done first.
   bool checkpointing = false;
-  bool gang = false;         // Makes progress only while all tasks run.
-  bool single_rack = false;  // Slower when spread over racks.
-  // Several runs of a task may be alive at once; the first success counts.
+  bool gang = false;  // Makes progress only while all tasks run.
+  // Slower when spread over racks; not used in placement.
+  bool single_rack = false;
+  // Several runs of a task may be alive at once; the first success counts. The
+  // scheduler stores this, but starts no additional runs.
   bool speculative = false;
   bool long_running = false;  // Runs until the job is cancelled.
   // A filler: uses CPU that other tasks leave idle, and reserves none.
   bool fills = false;
   std::string required_label;
-  std::string data_rack;              // The rack of its data; slower elsewhere.
-  std::uint32_t max_per_worker = 0;   // 0 for no limit.
-  std::uint32_t max_unavailable = 0;  // At once; 0 for no limit.
+  std::string data_rack;             // The rack of its data; slower elsewhere.
+  std::uint32_t max_per_worker = 0;  // 0 for no limit.
+  // Tasks that may be unavailable at the same time; 0 for no limit.
+  std::uint32_t max_unavailable = 0;
   std::string image;
   // Bound of the tail latency; 0 for none.
   std::chrono::milliseconds target{0};
--- a/include/cassiastile/jobs/worker_view.hpp
+++ b/include/cassiastile/jobs/worker_view.hpp
@@ -85,6 +85,7 @@
   TaskId task;
   std::uint32_t run = 0;
   std::string checkpoint;
+  // Progress; a long-running task serves users at 100.
   int percent = 0;
   // Tail latency in milliseconds for a task with a target, otherwise CPU use in
   // thousandths of a core. Approximate, over the last half second.
--- a/include/cassiastile/sim/table_model.hpp
+++ b/include/cassiastile/sim/table_model.hpp
@@ -25,8 +25,8 @@
                      const std::string& from,
                      std::size_t limit,
                      std::chrono::milliseconds now) const;
-  // The changes after a version; no rows if there are none. `forgotten` is set
-  // if the history does not reach back to it.
+  // The changes after a version; no rows if there are none.
+  // `history_compacted` is set if the history does not reach back to it.
   host::FeedPage Feed(const std::string& table, std::uint64_t after) const;
   // Drops the history: a client that follows the feed from an older version
   // must read the table again.
--- a/include/cassiastile/sim/worker_model.hpp
+++ b/include/cassiastile/sim/worker_model.hpp
@@ -55,7 +55,7 @@
   jobs::WorkerReport Report(base::TimePoint now) const;
   // Ends the runs that are done, or whose lease has expired, by `now`.
   void Advance(base::TimePoint now);
-  // When the next run ends, or nothing.
+  // When the next run is done or the lease expires; nothing without runs.
   std::optional<base::TimePoint> NextEvent() const;
   // Ends all runs without listing them, as in a crash.
   void Die();
@@ -84,7 +84,7 @@
   std::chrono::milliseconds m_lease_until{0};
   jobs::Resources m_used;
   std::map<jobs::TaskId, Run> m_running;
-  // Highest run of each task that is refused.
+  // For each task, the number up to which its runs are refused.
   std::map<jobs::TaskId, std::uint32_t> m_closed;
   std::vector<jobs::ListedEnd> m_ended;
   std::uint64_t m_sequence = 0;
--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -25,7 +25,8 @@
 // Commits that fail for longer than this count as an outage of the store.
 constexpr std::chrono::milliseconds kOutageAfter{400};
 // A leader that can't confirm its term keeps extending worker leases for this
-// long. A new leader waits as long before it gives up silent workers.
+// long. A new leader waits this long, and then for one lease, before it gives
+// up silent workers.
 constexpr std::chrono::milliseconds kUnconfirmedTerm{8000};
 constexpr std::chrono::milliseconds kReadRetry{200};
 constexpr std::chrono::milliseconds kWorkerFeedWait{1000};
