--- a/include/cassiastile/host/machine_controller.hpp
+++ b/include/cassiastile/host/machine_controller.hpp
@@ -68,9 +68,9 @@
     bool listed = false;
     jobs::WorkerId incarnation;  // Of the worker at the time of the order.
     Pending pending = Pending::kNone;  // Order whose outcome is open.
-    bool answered = false;             // The order was accepted.
+    bool accepted = false;
     base::TimePoint ordered_at{};
-    base::TimePoint answered_at{};
+    base::TimePoint accepted_at{};
     std::string destination;
     bool cordoned = false;
     base::TimePoint cordoned_at{};
@@ -101,13 +101,13 @@
   static Row MakeWaveRow(const Wave& wave);
   void Maintain(Wave& wave, TrackedMachine& known);
   void SendMaintain(std::uint64_t wave, const std::string& name, bool first);
-  // Reports workers as terminated whose machine is gone, down or runs another
-  // worker.
-  void TerminateLostWorkers(base::TimePoint asked_at);
+  // Tells the scheduler which silent workers are gone, since their machine is
+  // removed, down or runs another worker.
+  void ReportLostWorkers(base::TimePoint asked_at);
   void Move(TrackedMachine& known, const jobs::MachineMove& move);
   void SetCordoned(TrackedMachine& known, bool cordoned, base::TimePoint now);
   bool MayOrder(const std::string& machine) const;
-  // Stores the time of an order, then sends it.
+  // Stores the time of an order together with `rows`, then sends it.
   void RecordOrder(const std::string& machine,
                    std::vector<Row> rows,
                    std::function<void()> order);
--- a/include/cassiastile/jobs/scheduler.hpp
+++ b/include/cassiastile/jobs/scheduler.hpp
@@ -123,7 +123,7 @@
   std::uint64_t acked_end = 0;
   WorkerHealth health;
   bool terminated = false;  // This incarnation was ended by our order.
-  bool silent = false;      // Did not answer the last call.
+  bool silent = false;      // Did not answer the last call, or was terminated.
   // Gets no new tasks, since it is about to be moved or maintained.
   bool cordoned = false;
   bool wants_report = false;  // A report is needed to settle a run.
@@ -221,10 +221,11 @@
   // max_unavailable of a step. Includes workers that are not listed, since
   // their runs may be alive.
   bool CanDrainMachine(const std::string& machine) const;
-  // Stops those long-running tasks of a cordoned worker that may become
-  // unavailable now; they are restarted elsewhere.
+  // Stops those long-running tasks of a cordoned worker that their step's
+  // max_unavailable allows to become unavailable now; they are restarted
+  // elsewhere. Tasks without such a limit run until the worker ends.
   void Evacuate(const std::string& worker, base::TimePoint now);
-  // A task that prevents this, or nothing.
+  // A task because of which CanDrainMachine is false, or nothing.
   std::optional<TaskId> DrainBlocker(const std::string& machine) const;
   // Cordons a worker whose runs are about to be ended on purpose, and counts
   // its long-running tasks as unavailable.
@@ -248,7 +249,7 @@
   PoolLoads GetPoolLoads(base::TimePoint now);
   // Sets the capacity that is being moved into each pool.
   void SetArrivingCapacity(std::map<std::string, Resources> arriving) {
-    m_arriving = std::move(arriving);
+    m_arriving_capacity = std::move(arriving);
   }
 
   const std::map<std::string, WorkerState>& Workers() const {
@@ -389,10 +390,10 @@
   std::map<std::string, Resources> m_used_by_customer;
   FirstArrivals m_first_arrivals;
   std::map<std::string, ArrivalMeter> m_customer_arrivals;
-  std::map<std::string, ArrivalMeter> m_arrivals;  // By service.
-  std::map<std::string, Resources> m_arriving;     // By service.
-  std::map<std::string, Resources> m_unplaced;     // By service.
-  std::map<std::string, PoolView> m_views;         // By service.
+  std::map<std::string, ArrivalMeter> m_arrivals;        // By service.
+  std::map<std::string, Resources> m_arriving_capacity;  // By service.
+  std::map<std::string, Resources> m_unplaced;           // By service.
+  std::map<std::string, PoolView> m_views;               // By service.
   // Needs found to fit nowhere in the current planning round of a service.
   std::vector<Resources> m_unplaceable;
   std::size_t m_reserved_for_finite = 0;  // In the same round.
--- a/src/cassiastile/host/host_node_test.cpp
+++ b/src/cassiastile/host/host_node_test.cpp
@@ -104,21 +104,21 @@
 TEST(HostNodeTest, StoppedLeaderHandsOverAtOnce) {
   VirtualWorld world;
   world.RunFor(kSettled);
-  const std::size_t holder = *world.LeaderIndex();
-  world.StopHost(holder);
+  const std::size_t leader = *world.LeaderIndex();
+  world.StopHost(leader);
   world.RunFor(milliseconds(150));
   ASSERT_TRUE(world.LeaderIndex().has_value());
-  EXPECT_NE(*world.LeaderIndex(), holder);
+  EXPECT_NE(*world.LeaderIndex(), leader);
 }
 
 TEST(HostNodeTest, LeaderWithoutStoreAccessIsReplaced) {
   VirtualWorld world;
   world.RunFor(kSettled);
-  const std::size_t holder = *world.LeaderIndex();
-  world.Faults().hosts_without_store.insert("host-" + std::to_string(holder));
+  const std::size_t leader = *world.LeaderIndex();
+  world.Faults().hosts_without_store.insert("host-" + std::to_string(leader));
   world.RunFor(milliseconds(1500));
   ASSERT_TRUE(world.LeaderIndex().has_value());
-  EXPECT_NE(*world.LeaderIndex(), holder);
+  EXPECT_NE(*world.LeaderIndex(), leader);
   const std::string job = world.Submit(0, 1, 2, milliseconds(300));
   world.RunFor(milliseconds(1000));
   EXPECT_EQ(world.Answers().at(job), 200);
@@ -159,8 +159,7 @@
 }
 
 // After an outage no host has recently reached the store, so gossip can't tell
-// whether a stronger host can; a weak host must still wait for
-// it to try first.
+// whether a stronger host can. A weak host must still wait for it to try first.
 TEST(HostNodeTest, StrongHostBecomesLeaderAfterAnOutage) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     VirtualWorld world(
@@ -181,6 +180,8 @@
   }
 }
 
+// A read that still hangs when the outage ends must not delay the leader. The
+// outages differ in length so that they end at different points of a read.
 TEST(HostNodeTest, LeaderServesSoonAfterASilentOutage) {
   VirtualWorld world;
   world.RunFor(kSettled);
--- a/src/cassiastile/host/machine_controller.cpp
+++ b/src/cassiastile/host/machine_controller.cpp
@@ -208,7 +208,7 @@
     ClearSettledOrder(known, asked_at);
   }
   m_has_list = true;
-  TerminateLostWorkers(asked_at);
+  ReportLostWorkers(asked_at);
 }
 
 void MachineController::ClearSettledOrder(TrackedMachine& known,
@@ -217,16 +217,16 @@
     return;
   }
   const bool up = known.machine.state == MachineState::kUp;
-  const bool answered = known.answered && asked_at > known.answered_at;
+  const bool accepted = known.accepted && asked_at > known.accepted_at;
   const bool given_up = asked_at > known.ordered_at + kUnknownOrderTimeout;
-  if (up && (answered || given_up)) {
+  if (up && (accepted || given_up)) {
     known.pending = Pending::kNone;
     known.destination.clear();
     SetCordoned(known, false, asked_at);
   }
 }
 
-void MachineController::TerminateLostWorkers(base::TimePoint asked_at) {
+void MachineController::ReportLostWorkers(base::TimePoint asked_at) {
   std::vector<jobs::WorkerId> lost;
   for (const auto& [id, worker] : m_scheduler.Workers()) {
     // A worker that answers is alive, even if the list says otherwise.
@@ -361,7 +361,7 @@
   const std::uint64_t number = wave.request.wave;
   const std::string name = known.machine.name;
   known.pending = Pending::kMaintain;
-  known.answered = false;
+  known.accepted = false;
   known.ordered_at = m_loop.GetClock().Now();
   const jobs::WorkerState* worker = WorkerOf(known);
   known.incarnation = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
@@ -392,8 +392,8 @@
         if (result == MachineOrderResult::kDone) {
           m_waves[number].begun[name] = true;
           m_store_row(MakeWaveRow(m_waves[number]), [] {});
-          machine.answered = true;
-          machine.answered_at = now;
+          machine.accepted = true;
+          machine.accepted_at = now;
           // After a repeated order the worker may be a newer incarnation: the
           // machine may have been maintained long ago.
           if (first && !machine.incarnation.id.empty()) {
@@ -500,7 +500,7 @@
 void MachineController::Move(TrackedMachine& known,
                              const jobs::MachineMove& move) {
   known.pending = Pending::kMove;
-  known.answered = false;
+  known.accepted = false;
   known.ordered_at = m_loop.GetClock().Now();
   known.destination = move.to;
   const jobs::WorkerState* worker = WorkerOf(known);
@@ -521,8 +521,8 @@
                              {"fence", m_fencing_token},
                              {"result", static_cast<int>(result)}});
                 if (result == MachineOrderResult::kDone) {
-                  machine.answered = true;
-                  machine.answered_at = now;
+                  machine.accepted = true;
+                  machine.accepted_at = now;
                   machine.idle_since = {};
                   m_scheduler.WorkerTerminated(machine.incarnation, now);
                 } else if (result == MachineOrderResult::kRefused) {
--- a/src/cassiastile/jobs/scheduler.cpp
+++ b/src/cassiastile/jobs/scheduler.cpp
@@ -203,8 +203,8 @@
       view.pool += worker.entry.capacity - worker.long_running_used;
     }
   }
-  if (const auto arriving = m_arriving.find(service);
-      arriving != m_arriving.end()) {
+  if (const auto arriving = m_arriving_capacity.find(service);
+      arriving != m_arriving_capacity.end()) {
     view.pool += arriving->second;
   }
   if (const auto unplaced = m_unplaced.find(service);
--- a/src/cassiastile/jobs/scheduler_test.cpp
+++ b/src/cassiastile/jobs/scheduler_test.cpp
@@ -397,9 +397,9 @@
 
 TEST_F(FullPoolTest, LongRunningTaskGetsTheCapacityThatBecomesFree) {
   Fill();
-  JobSpec lasting = SchedulerBench::LongRunning(1, 1);
-  lasting.steps.front().need.cpu = 6000;
-  m_bench.Submit(kJob, lasting);
+  JobSpec long_running = SchedulerBench::LongRunning(1, 1);
+  long_running.steps.front().need.cpu = 6000;
+  m_bench.Submit(kJob, long_running);
   EXPECT_EQ(EndsUntilStarted(kJob, 30), 6);
 }
 
--- a/src/cassiastile/sim/invariant_checker.cpp
+++ b/src/cassiastile/sim/invariant_checker.cpp
@@ -73,7 +73,7 @@
   const auto found = m_job_states.find(task.job);
   if (found == m_job_states.end() ||
       found->second.spec.payload != order.payload) {
-    Violate(fmt::format("task {} was never handed in", Name(task)));
+    Violate(fmt::format("task {} was never submitted", Name(task)));
     return;
   }
   JobState& state = found->second;
