--- a/include/cassiastile/host/dispatcher.hpp
+++ b/include/cassiastile/host/dispatcher.hpp
@@ -80,11 +80,11 @@
   // The calls to one worker.
   struct Link {
     WorkerAddress address;
-    bool busy = false;     // A lease extension with a long poll is in flight.
+    bool polling = false;  // A lease extension with a long poll is in flight.
     bool probing = false;  // An extension without waiting is in flight.
     bool silent = false;   // Was logged as silent.
     std::uint32_t failures = 0;  // Consecutive, of extensions with a long poll.
-    base::TimePoint due{};       // When to send the next such extension.
+    base::TimePoint next_poll_at{};
     // The worker's clock, and our time when it was received.
     bool clock_known = false;
     std::chrono::milliseconds clock{0};
@@ -152,7 +152,7 @@
   jobs::Scheduler m_scheduler;
   MachineController m_machines;
   bool m_serving = false;
-  bool m_resigned = false;
+  bool m_term_over = false;
   bool m_plan_requested = false;
   std::map<std::string, StoredJob> m_recovered;
   std::uint64_t m_stored_revision = 0;  // Of the durations last stored.
--- a/include/cassiastile/host/host_node.hpp
+++ b/include/cassiastile/host/host_node.hpp
@@ -100,9 +100,9 @@
   void AcquireLeadership(const ObservedLeaderRecord& view);
   // Which peers HasStrongerPeer counts: those that recently reached the store,
   // or all.
-  enum class StoreView : std::uint8_t { kReachable, kAny };
+  enum class PeerFilter : std::uint8_t { kReachesStore, kAll };
   // Whether a live peer has a much larger processor share than this host.
-  bool HasStrongerPeer(StoreView view) const;
+  bool HasStrongerPeer(PeerFilter filter) const;
   void YieldToStrongerPeer();
   void ResignLeadership();
   void BecomeLeader();
--- a/include/cassiastile/host/machine_controller.hpp
+++ b/include/cassiastile/host/machine_controller.hpp
@@ -84,6 +84,7 @@
     // Machines for which an order may have been sent, also by an earlier
     // leader.
     std::set<std::string> ordered;
+    // When this leader first saw the request, from which `due` is counted.
     base::TimePoint seen_at{};
     bool done = false;
     bool running_stored = false;
--- a/include/cassiastile/host/ports.hpp
+++ b/include/cassiastile/host/ports.hpp
@@ -209,7 +209,7 @@
   std::chrono::milliseconds validity{0};
 };
 
-// The placement advisor of a queue.
+// The placement advisor.
 class AdvicePort {
  public:
   virtual ~AdvicePort() = default;
--- a/include/cassiastile/jobs/scheduler.hpp
+++ b/include/cassiastile/jobs/scheduler.hpp
@@ -152,6 +152,8 @@
                base::TimePoint latest_lease_end);
 
   // Requests of callers.
+
+  // Accepts or refuses a job, or says that it was accepted before.
   Submission Submit(const std::string& id,
                     const QueueConfig& queue,
                     const std::string& customer,
@@ -167,6 +169,7 @@
   std::size_t QueuedJobs(const std::string& queue) const;
 
   // Observations of workers, and answers to orders.
+
   // `entries` is the platform's whole list.
   void WorkersListed(const std::vector<WorkerEntry>& entries,
                      base::TimePoint now);
@@ -382,7 +385,7 @@
   SchedulerOptions m_options;
   std::shared_ptr<const FleetConfig> m_config;
   std::map<std::string, std::unique_ptr<Job>> m_jobs;
-  std::map<std::string, Job*> m_open;  // The unfinished ones.
+  std::map<std::string, Job*> m_unfinished;
   std::map<std::string, WorkerState> m_workers;
   // Ids of the workers known on each machine, listed or not.
   std::unordered_map<std::string, std::vector<std::string>>
--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -286,7 +286,7 @@
 }
 
 bool Dispatcher::MayGiveOrders() const {
-  return !m_resigned &&
+  return !m_term_over &&
          m_loop.GetClock().Now() - m_transactions->ConfirmedAt() <
              kUnconfirmedTerm;
 }
@@ -303,7 +303,7 @@
 }
 
 void Dispatcher::Plan() {
-  if (m_resigned) {
+  if (m_term_over) {
     return;
   }
   const base::Clock& clock = m_loop.GetClock();
@@ -313,7 +313,7 @@
 }
 
 void Dispatcher::Tick() {
-  if (m_resigned) {
+  if (m_term_over) {
     return;
   }
   PollWorkers();
@@ -324,7 +324,7 @@
 }
 
 void Dispatcher::CommitPending() {
-  if (m_transactions->IsBusy() || m_resigned || !m_serving) {
+  if (m_transactions->IsBusy() || m_term_over || !m_serving) {
     return;
   }
   const base::TimePoint now = m_loop.GetClock().Now();
@@ -435,14 +435,14 @@
 }
 
 void Dispatcher::LoseLeadership() {
-  m_resigned = true;
+  m_term_over = true;
   m_log.Write("office.lost", {{"fence", FencingToken()}});
   m_on_leadership_lost();
 }
 
 void Dispatcher::Resign(std::function<void()> done) {
   const auto resign = [this, done = std::move(done)] {
-    m_resigned = true;
+    m_term_over = true;
     m_log.Write("office.resigned", {{"fence", FencingToken()}});
     m_transactions->Resign([done](bool) { done(); });
   };
--- a/src/cassiastile/host/dispatcher_jobs.cpp
+++ b/src/cassiastile/host/dispatcher_jobs.cpp
@@ -25,7 +25,7 @@
 
 void Dispatcher::Answer(const JobRequest& request,
                         const std::function<void(JobAnswer)>& respond) {
-  if (!m_serving || m_resigned) {
+  if (!m_serving || m_term_over) {
     respond({.kind = JobAnswerKind::kNotLeader});
     return;
   }
--- a/src/cassiastile/host/dispatcher_workers.cpp
+++ b/src/cassiastile/host/dispatcher_workers.cpp
@@ -57,20 +57,20 @@
       link.address = {worker.entry.id, worker.entry.endpoint};
       link.clock_known = false;
       link.failures = 0;
-      link.due = now;
+      link.next_poll_at = now;
     }
     if (!MayGiveOrders()) {
       continue;
     }
-    if (worker.wants_report && link.busy && !link.probing) {
+    if (worker.wants_report && link.polling && !link.probing) {
       Extend(link, true);
     }
-    if (!link.busy && now >= link.due) {
+    if (!link.polling && now >= link.next_poll_at) {
       Extend(link, false);
     }
   }
   std::erase_if(m_links, [this](const auto& row) {
-    return !row.second.busy && !row.second.probing &&
+    return !row.second.polling && !row.second.probing &&
            !m_scheduler.Workers().contains(row.first);
   });
 }
@@ -91,7 +91,7 @@
     extension.wait = probe ? std::chrono::milliseconds(0) : kPollWait;
     m_scheduler.LeaseSent(link.address.id.id, LeaseEnd(now));
   }
-  (probe ? link.probing : link.busy) = true;
+  (probe ? link.probing : link.polling) = true;
   const std::string id = link.address.id.id;
   m_ports.workers.Extend(
       link.address, extension,
@@ -109,17 +109,18 @@
     tl::expected<jobs::WorkerReport, WorkerCallFailure> result) {
   const base::TimePoint now = m_loop.GetClock().Now();
   const auto found = m_links.find(id);
-  if (found == m_links.end() || m_resigned) {
+  if (found == m_links.end() || m_term_over) {
     return;
   }
   Link& link = found->second;
-  (probe ? link.probing : link.busy) = false;
+  (probe ? link.probing : link.polling) = false;
   if (!result) {
     if (probe) {
       return;
     }
     ++link.failures;
-    link.due = now + std::min(kMaxFailurePause, kPollPause * link.failures * 4);
+    link.next_poll_at =
+        now + std::min(kMaxFailurePause, kPollPause * link.failures * 4);
     if (link.failures == kSilentAfter) {
       link.silent = true;
       m_log.Write("worker.silent", {{"worker", id},
@@ -159,7 +160,7 @@
   const auto worker = m_scheduler.Workers().find(id);
   if (!probe && worker != m_scheduler.Workers().end()) {
     const bool unstored = worker->second.last_end > worker->second.acked_end;
-    link.due = now + (unstored ? kUnstoredEndsPause : PollPause());
+    link.next_poll_at = now + (unstored ? kUnstoredEndsPause : PollPause());
   }
   RequestPlan();
 }
--- a/src/cassiastile/host/host_node.cpp
+++ b/src/cassiastile/host/host_node.cpp
@@ -340,7 +340,7 @@
     m_vacant_since = now;
   }
   // Counts all peers: after an outage none has recently reached the store.
-  if (HasStrongerPeer(StoreView::kAny) &&
+  if (HasStrongerPeer(PeerFilter::kAll) &&
       now - m_vacant_since < kStrongerPeerHeadStart) {
     m_replaceable_leader = gone;
     m_loop.After(kStrongerPeerHeadStart / 2,
@@ -350,19 +350,21 @@
   AcquireLeadership(view);
 }
 
-bool HostNode::HasStrongerPeer(StoreView view) const {
+bool HostNode::HasStrongerPeer(PeerFilter filter) const {
   const base::TimePoint now = m_loop.GetClock().Now();
-  return std::ranges::any_of(m_known_peers, [this, now, view](const auto& row) {
+  return std::ranges::any_of(m_known_peers, [this, now,
+                                             filter](const auto& row) {
     const Peer& peer = row.second;
     return now - peer.heard < kPeerTimeout &&
-           (peer.store_answers || view == StoreView::kAny) &&
+           (peer.store_answers || filter == PeerFilter::kAll) &&
            peer.processor_share > kStrongerFactor * m_settings.processor_share;
   });
 }
 
 void HostNode::YieldToStrongerPeer() {
   const base::TimePoint now = m_loop.GetClock().Now();
-  if (!IsLeader() || m_resigning || !HasStrongerPeer(StoreView::kReachable)) {
+  if (!IsLeader() || m_resigning ||
+      !HasStrongerPeer(PeerFilter::kReachesStore)) {
     m_weaker_since = now;
     return;
   }
--- a/src/cassiastile/host/virtual_world_bench.hpp
+++ b/src/cassiastile/host/virtual_world_bench.hpp
@@ -18,7 +18,7 @@
 // Simulates hosts, a table, workers and machines in one process and in virtual
 // time, reproducibly from one seed. The hosts run the production code;
 // everything around them is a fake that injects faults and checks the
-// scheduler's guarantees.
+// scheduler's invariants.
 namespace cassiastile::host {
 
 // Event loop in virtual time; events at the same time run in the order in which
@@ -106,7 +106,7 @@
   WorldFaults& Faults() { return m_faults; }
   base::Random& Engine() { return m_random; }
 
-  // Descriptions of violated guarantees; empty if all held.
+  // Descriptions of violated invariants; empty if all held.
   const std::vector<std::string>& Violations() const {
     return m_checker.Violations();
   }
--- a/src/cassiastile/jobs/scheduler.cpp
+++ b/src/cassiastile/jobs/scheduler.cpp
@@ -170,7 +170,7 @@
       }
     }
     if (!IsFinished(job.phase)) {
-      m_open.emplace(job.id, &job);
+      m_unfinished.emplace(job.id, &job);
     }
     m_jobs.emplace(job.id, std::move(owned));
   }
@@ -192,7 +192,7 @@
   }
   view = {};
   view.taken_at = now;
-  for (const auto& [id, job] : m_open) {
+  for (const auto& [id, job] : m_unfinished) {
     if (job->worthless_after > now && ServiceOf(*job) == service) {
       view.backlog += RemainingWork(*job, m_durations);
     }
@@ -287,7 +287,7 @@
     view.backlog += work;
     view.free -= CapacityNeed(first) * first.count;
   }
-  m_open.emplace(id, &job);
+  m_unfinished.emplace(id, &job);
   m_jobs.emplace(id, std::move(owned));
   MarkDirty(job, true);
   return {.verdict = Submission::Verdict::kNew};
@@ -311,7 +311,7 @@
 
 std::size_t Scheduler::QueuedJobs(const std::string& queue) const {
   std::size_t count = 0;
-  for (const auto& [id, job] : m_open) {
+  for (const auto& [id, job] : m_unfinished) {
     count += job->queue == queue && job->accepted && !job->started ? 1 : 0;
   }
   return count;
@@ -356,7 +356,7 @@
 void Scheduler::Finish(Job& job, JobPhase phase, base::TimePoint now) {
   job.phase = phase;
   job.finished_at = now;
-  m_open.erase(job.id);
+  m_unfinished.erase(job.id);
   StopAllRuns(job, now);
   m_finished.push_back(&job);
   MarkDirty(job, true);
@@ -497,7 +497,7 @@
   for (auto& [service, meter] : m_arrivals) {
     pools[service].arriving_work = meter.Rate(now);
   }
-  for (const auto& [id, job] : m_open) {
+  for (const auto& [id, job] : m_unfinished) {
     PoolLoad& load = pools[ServiceOf(*job)];
     for (const StepSpec& step : job->spec.steps) {
       load.min_workers = std::max(load.min_workers, DistinctWorkers(step));
--- a/src/cassiastile/jobs/scheduler_place.cpp
+++ b/src/cassiastile/jobs/scheduler_place.cpp
@@ -137,7 +137,7 @@
 void Scheduler::BeginDueOccurrences(base::WallTime wall) {
   const auto wall_ms = std::chrono::duration_cast<std::chrono::milliseconds>(
       wall.time_since_epoch());
-  for (const auto& [id, job] : m_open) {
+  for (const auto& [id, job] : m_unfinished) {
     if (job->spec.repeats == 0 || !job->accepted) {
       continue;
     }
@@ -158,7 +158,7 @@
   }
   BeginDueOccurrences(wall);
   std::map<std::string, std::vector<Job*>> waiting;
-  for (const auto& [id, job] : m_open) {
+  for (const auto& [id, job] : m_unfinished) {
     if (HasWaiting(*job)) {
       waiting[ServiceOf(*job)].push_back(job);
     }
