--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -25,7 +25,8 @@
 // Commits that fail for longer than this count as an outage of the store.
 constexpr std::chrono::milliseconds kOutageAfter{400};
 // A leader that can't confirm its term keeps extending worker leases for this
-// long. A new leader waits as long before it gives up silent workers.
+// long. A new leader waits this long, and then for one lease, before it gives
+// up silent workers.
 constexpr std::chrono::milliseconds kUnconfirmedTerm{8000};
 constexpr std::chrono::milliseconds kReadRetry{200};
 constexpr std::chrono::milliseconds kWorkerFeedWait{1000};
@@ -285,7 +286,7 @@
 }
 
 bool Dispatcher::MayGiveOrders() const {
-  return !m_resigned &&
+  return !m_term_over &&
          m_loop.GetClock().Now() - m_transactions->ConfirmedAt() <
              kUnconfirmedTerm;
 }
@@ -302,7 +303,7 @@
 }
 
 void Dispatcher::Plan() {
-  if (m_resigned) {
+  if (m_term_over) {
     return;
   }
   const base::Clock& clock = m_loop.GetClock();
@@ -312,7 +313,7 @@
 }
 
 void Dispatcher::Tick() {
-  if (m_resigned) {
+  if (m_term_over) {
     return;
   }
   PollWorkers();
@@ -323,7 +324,7 @@
 }
 
 void Dispatcher::CommitPending() {
-  if (m_transactions->IsBusy() || m_resigned || !m_serving) {
+  if (m_transactions->IsBusy() || m_term_over || !m_serving) {
     return;
   }
   const base::TimePoint now = m_loop.GetClock().Now();
@@ -434,14 +435,14 @@
 }
 
 void Dispatcher::LoseLeadership() {
-  m_resigned = true;
+  m_term_over = true;
   m_log.Write("office.lost", {{"fence", FencingToken()}});
   m_on_leadership_lost();
 }
 
 void Dispatcher::Resign(std::function<void()> done) {
   const auto resign = [this, done = std::move(done)] {
-    m_resigned = true;
+    m_term_over = true;
     m_log.Write("office.resigned", {{"fence", FencingToken()}});
     m_transactions->Resign([done](bool) { done(); });
   };
