--- a/include/cassiastile/fleet/audit_appender.hpp
+++ b/include/cassiastile/fleet/audit_appender.hpp
@@ -30,9 +30,9 @@
  public:
   virtual ~AuditAppender() = default;
 
-  // Returns what appends the entry; it writes nothing itself. Fails if the end
-  // of the chain can't be read. The transaction conflicts if another entry is
-  // appended first; the caller then calls Append again.
+  // Prepares the addition that appends the entry, and writes nothing itself.
+  // Fails if the end of the chain can't be read. The transaction conflicts if
+  // another entry is appended first; the caller then calls Append again.
   virtual base::Result<AuditAddition> Append(const AuditEntry& entry) = 0;
 };
 
--- a/include/cassiastile/fleet/change.hpp
+++ b/include/cassiastile/fleet/change.hpp
@@ -44,9 +44,9 @@
 // Builds the table transaction that commits the change.
 platform::Transaction MakeTransaction(const Change& change, std::string nonce);
 
-// Updates a state as the committed change does. The version of a row that the
-// change creates is unknown, so the state must be read again before that row is
-// changed.
+// Updates a state as the committed change does. The version that the state then
+// holds for a row created by the change may differ from the table's, so the
+// state must be read again before that row is changed.
 void ApplyChange(const Change& change, FleetState& state);
 
 // Why a host is taken out of service, and what the drain depends on.
@@ -73,15 +73,15 @@
                                     const Stored<PoolRecord>& pool_record,
                                     const Stored<HostRecord>& host,
                                     const std::set<std::string>& unresponsive,
-                                    const DrainRequest& order);
+                                    const DrainRequest& request);
 
 // Creates the row of a host that the document declares and that has no row yet.
 Change RegisterHost(const ChangeContext& context,
                     const Stored<PoolRecord>& pool_record,
                     const std::string& host);
 
-// What was observed of a failed host. The failure is added to the row of
-// `wave`, if any, and halts the wave if `halt` is set.
+// The evidence of a host's failure. The failure is added to the row of `wave`,
+// if any, and halts the wave if `halt` is set.
 struct HostFailure {
   std::string evidence;
   std::optional<Stored<WaveRecord>> wave;
@@ -91,7 +91,7 @@
 Change FailHost(const ChangeContext& context,
                 const Stored<PoolRecord>& pool_record,
                 const Stored<HostRecord>& host,
-                const HostFailure& order);
+                const HostFailure& failure);
 
 // Marks a drained host as rebooting. The reboot is complete once the machine's
 // boot count exceeds `boots`. The change names the version of the wave's row,
--- a/include/cassiastile/fleet/demand.hpp
+++ b/include/cassiastile/fleet/demand.hpp
@@ -17,8 +17,8 @@
   // The pool grows if demand exceeds this fraction of its size in every bucket.
   double grow_above = 0.9;
   double target_utilization = 0.8;  // Utilization to reach by a size change.
-  // The pool shrinks if demand is below this fraction of its size minus one
-  // host in every bucket.
+  // The pool shrinks if demand in every bucket is below this fraction of a pool
+  // that is one host smaller.
   double shrink_below = 0.6;
 };
 
--- a/include/cassiastile/fleet/host_observer.hpp
+++ b/include/cassiastile/fleet/host_observer.hpp
@@ -38,7 +38,7 @@
     std::string pool;
     base::TimePoint state_since;
     base::TimePoint out_since;
-    base::TimePoint asked;
+    base::TimePoint polled_at;
     bool known = false;
     HostObservation last;
   };
--- a/include/cassiastile/fleet/host_view.hpp
+++ b/include/cassiastile/fleet/host_view.hpp
@@ -46,7 +46,8 @@
   // Of the running tasks, those that can't be checkpointed and so should not be
   // stopped.
   std::uint32_t without_checkpoint = 0;
-  // Estimated from past runs, not declared.
+  // An upper estimate, learned from past runs. While there are too few of them,
+  // it is derived from the declared run time.
   base::Duration longest_remaining{};
 };
 
--- a/include/cassiastile/fleet/reconciler.hpp
+++ b/include/cassiastile/fleet/reconciler.hpp
@@ -155,13 +155,13 @@
   bool FinishWaveIfDone(Round& round, const config::Wave& wave);
   bool MoveFromSparePool(Round& round);
   bool MoveSpareHostsTo(Round& round, const config::Pool& pool);
-  bool MoveSpareHost(Round& round, const DrainRequest& order);
+  bool MoveSpareHost(Round& round, const DrainRequest& request);
   bool ReturnHostsToSparePool(Round& round);
   void SetDraining(const Round& round);
 
   base::Result<Change> PlanDrain(const Round& round,
                                  const std::string& host,
-                                 const DrainRequest& order) const;
+                                 const DrainRequest& request) const;
   std::optional<Stored<WaveRecord>> CurrentWaveOf(const HostRecord& host) const;
   std::optional<Stored<WaveRecord>> WaveForFailure(
       const HostRecord& host,
--- a/include/cassiastile/fleet/schedule.hpp
+++ b/include/cassiastile/fleet/schedule.hpp
@@ -39,14 +39,15 @@
 // Plans one maintenance of every host within the cycle. Each pool has as few
 // hosts out at once as finish in time, and pools are spread over the cycle to
 // lower the peak. A pool whose window, budget and parallelism don't suffice
-// gets `in_cycle` = false and the date by which it would finish.
+// gets `in_cycle` = false and the date by which it would finish, or a note that
+// its budget allows no host out.
 Schedule PlanSchedule(const config::Fleet& fleet,
                       base::WallTime start,
                       const ScheduleOptions& options);
 
 // Describes the pools that the wave can't finish within the cycle with its
-// window and budgets, each with the date by which it would finish. Shown to
-// operators before they start the wave.
+// window and budgets, each with its note from PoolSchedule. Shown to operators
+// before they start the wave.
 std::vector<std::string> FindWaveObstacles(const config::Fleet& fleet,
                                            const config::Wave& wave,
                                            base::WallTime start,
--- a/include/cassiastile/fleet/wave_plan.hpp
+++ b/include/cassiastile/fleet/wave_plan.hpp
@@ -54,20 +54,20 @@
 // Whether the wave's current run has maintained the host.
 bool IsDone(const WaveRecord& wave, const HostRecord& host);
 
-// The hosts that the wave has yet to maintain, in the order to drain them:
-// those with the fewest tasks that can't be checkpointed, then with the fewest
-// running tasks, then with the shortest remaining run time, then in the zone
-// and rack with the fewest hosts out. With WaveOrder::kAsListed, in the
-// document's order.
+// The hosts that the wave could drain now, in the order to drain them: those in
+// service, known to be up and not yet maintained. First come the hosts with the
+// fewest tasks that can't be checkpointed, then with the fewest running tasks,
+// then with the shortest remaining run time, then in the zone and rack with the
+// fewest hosts out. With WaveOrder::kAsListed, in the document's order.
 std::vector<const WaveHost*> OrderHosts(const WaveInput& input);
 
 // Decides which hosts the wave drains now: never more than the budget, the
 // wave's parallelism and its limit per rack allow, and canaries one at a time.
 WaveStep PlanWaveStep(const WaveInput& input);
 
-// Whether the failure of `host` halts a running wave: that of a canary always
-// does; any other does if with it `halt_after` failures have not been accepted
-// by an operator.
+// Whether the failure of `host` halts a running wave. The failure of the canary
+// that is out always does. Any other failure does if it brings the number of
+// failures that no operator has accepted to `halt_after`.
 bool HaltsOnFailure(const config::Wave& wave,
                     const WaveRecord& record,
                     const std::string& host);
--- a/src/cassiastile/fleet/buffer.cpp
+++ b/src/cassiastile/fleet/buffer.cpp
@@ -52,8 +52,8 @@
     // Work arrives evenly over the sample. What can't be done within the
     // deadline after the sample's end is late.
     const double end = backlog + work - hosts * seconds;
-    const double room = hosts * deadline;
-    const double late = std::clamp(end - room, 0.0, work);
+    const double done_by_deadline = hosts * deadline;
+    const double late = std::clamp(end - done_by_deadline, 0.0, work);
     missed += late;
     arrived += work;
     backlog = std::max(end, 0.0);
--- a/src/cassiastile/fleet/change.cpp
+++ b/src/cassiastile/fleet/change.cpp
@@ -65,17 +65,17 @@
 }
 
 void AddWave(Change& change,
-             const DrainRequest& order,
+             const DrainRequest& request,
              const std::string& host) {
-  if (!order.wave) {
+  if (!request.wave) {
     return;
   }
-  if (!order.canary) {
+  if (!request.canary) {
     change.preconditions.push_back(
-        {WaveKey(order.wave->record.wave), order.wave->version});
+        {WaveKey(request.wave->record.wave), request.wave->version});
     return;
   }
-  Stored<WaveRecord> wave = *order.wave;
+  Stored<WaveRecord> wave = *request.wave;
   wave.record.canary = host;
   change.waves.push_back(std::move(wave));
 }
@@ -105,7 +105,7 @@
                                     const Stored<PoolRecord>& pool_record,
                                     const Stored<HostRecord>& host,
                                     const std::set<std::string>& unresponsive,
-                                    const DrainRequest& order) {
+                                    const DrainRequest& request) {
   const std::string& name = host.record.host;
   if (host.record.pool != pool_record.record.pool ||
       host.record.state != HostState::kInService) {
@@ -116,7 +116,7 @@
   // Counts with the host already out: draining a replacement makes the failed
   // host that it replaces count against the budget again.
   PoolRecord after = pool_record.record;
-  after.out[name] = {order.reason, {}};
+  after.out[name] = {request.reason, {}};
   if (CountBudget(pool, after, unresponsive).Excess() > 0) {
     return base::Fail(base::ErrorCode::kOverloaded,
                       "The budget of the pool " + host.record.pool +
@@ -126,20 +126,21 @@
   Change change = StartChange(context, name, "draining");
   change.preconditions.push_back(context.head);
   change.preconditions.insert(change.preconditions.end(),
-                              order.rack_rows.begin(), order.rack_rows.end());
+                              request.rack_rows.begin(),
+                              request.rack_rows.end());
   AddReason(change, context, "budget", "pools", Describe(count));
-  AddReason(change, context, std::string(NameOf(order.reason)), "waves",
-            order.detail);
+  AddReason(change, context, std::string(NameOf(request.reason)), "waves",
+            request.detail);
   Stored<PoolRecord> next_pool = NextPool(context, pool_record, name);
-  next_pool.record.out[name] = {order.reason, {}};
+  next_pool.record.out[name] = {request.reason, {}};
   Stored<HostRecord> next =
-      NextHost(context, host, HostState::kDraining, order.detail);
-  next.record.reason = order.reason;
-  next.record.bound_for = order.bound_for;
-  next.record.stands_in_for = order.stands_in_for;
-  next.record.wave = order.wave ? order.wave->record.wave : "";
-  next.record.wave_run = order.wave ? order.wave->record.run : 0;
-  AddWave(change, order, name);
+      NextHost(context, host, HostState::kDraining, request.detail);
+  next.record.reason = request.reason;
+  next.record.bound_for = request.bound_for;
+  next.record.stands_in_for = request.stands_in_for;
+  next.record.wave = request.wave ? request.wave->record.wave : "";
+  next.record.wave_run = request.wave ? request.wave->record.run : 0;
+  AddWave(change, request, name);
   change.pools.push_back(std::move(next_pool));
   change.hosts.push_back(std::move(next));
   return change;
@@ -165,26 +166,26 @@
 Change FailHost(const ChangeContext& context,
                 const Stored<PoolRecord>& pool_record,
                 const Stored<HostRecord>& host,
-                const HostFailure& order) {
+                const HostFailure& failure) {
   const std::string& name = host.record.host;
   Change change = StartChange(context, name, "failed");
-  AddReason(change, context, "failure", "", order.evidence);
+  AddReason(change, context, "failure", "", failure.evidence);
   Stored<PoolRecord> next_pool = NextPool(context, pool_record, name);
   next_pool.record.out[name].reason = OutReason::kFailed;
   Stored<HostRecord> next =
-      NextHost(context, host, HostState::kFailed, order.evidence);
+      NextHost(context, host, HostState::kFailed, failure.evidence);
   next.record.reason = OutReason::kFailed;
   next.record.bound_for.clear();
   if (!next.record.boots) {
     next.record.wave.clear();
   }
-  if (order.wave) {
-    Stored<WaveRecord> wave = *order.wave;
-    wave.record.failures.push_back({name, order.evidence});
+  if (failure.wave) {
+    Stored<WaveRecord> wave = *failure.wave;
+    wave.record.failures.push_back({name, failure.evidence});
     if (wave.record.canary == name) {
       wave.record.canary.clear();
     }
-    if (order.halt) {
+    if (failure.halt) {
       wave.record.state = WaveState::kHalted;
       wave.record.detail = "halted by failures; the last is " + name;
       wave.record.changed_by = context.actor;
--- a/src/cassiastile/fleet/fake_race.hpp
+++ b/src/cassiastile/fleet/fake_race.hpp
@@ -38,8 +38,8 @@
 
 inline constexpr int kEvents = static_cast<int>(Event::kWorkEnds) + 1;
 
-// An event, as its number, and a number that selects the host or pool
-// concerned.
+// The number of an event, and a number that selects the host or pool that it
+// affects.
 using Step = std::tuple<int, std::uint32_t>;
 
 // Two control processes that change the same fleet concurrently, without
--- a/src/cassiastile/fleet/host_observer.cpp
+++ b/src/cassiastile/fleet/host_observer.cpp
@@ -26,7 +26,7 @@
     watched.known = false;
   }
   const bool due = !watched.known || host.state != HostState::kInService ||
-                   now - watched.asked >= m_interval;
+                   now - watched.polled_at >= m_interval;
   if (due) {
     QueryMachine(host.host, watched, now);
   }
@@ -57,7 +57,7 @@
                                 base::TimePoint now) {
   const auto status = m_machines.Status(host);
   watched.last = {};
-  watched.asked = now;
+  watched.polled_at = now;
   watched.known = status.has_value();
   if (status) {
     watched.last.status = *status;
--- a/src/cassiastile/fleet/reconciler.cpp
+++ b/src/cassiastile/fleet/reconciler.cpp
@@ -61,12 +61,12 @@
 void Reconciler::Tick(const std::string& pool,
                       const std::optional<platform::Precondition>& fence) {
   Round round = StartRound(pool, fence);
-  const bool whole = AdvanceHosts(round) && UndrainExcessHosts(round) &&
-                     RegisterHosts(round) && DrainDepartingHosts(round) &&
-                     MoveFromSparePool(round) &&
-                     ReturnHostsToSparePool(round) && DrainForWaves(round);
-  // If the round stopped early, the state may not match the rows.
-  if (whole) {
+  const bool completed = AdvanceHosts(round) && UndrainExcessHosts(round) &&
+                         RegisterHosts(round) && DrainDepartingHosts(round) &&
+                         MoveFromSparePool(round) &&
+                         ReturnHostsToSparePool(round) && DrainForWaves(round);
+  // After a round that stopped early, the state may not match the rows.
+  if (completed) {
     SetDraining(round);
   }
 }
--- a/src/cassiastile/fleet/reconciler_hosts.cpp
+++ b/src/cassiastile/fleet/reconciler_hosts.cpp
@@ -14,49 +14,50 @@
                  const Stored<HostRecord>& host)
       : m_reconciler(reconciler), m_round(round), m_host(host) {}
 
-  bool operator()(const NoAction& /*step*/) const { return true; }
+  bool operator()(const NoAction& /*action*/) const { return true; }
 
-  bool operator()(const ReportOverdue& step) const {
-    m_reconciler.m_overdue_drains[m_host.record.host] = step.evidence;
+  bool operator()(const ReportOverdue& action) const {
+    m_reconciler.m_overdue_drains[m_host.record.host] = action.evidence;
     return true;
   }
 
-  bool operator()(const BeginReboot& step) const {
+  bool operator()(const BeginReboot& action) const {
     Change change =
-        StartReboot(m_round.context, Pool(), m_host, Wave(), step.boots);
-    if (!step.cut.empty()) {
+        StartReboot(m_round.context, Pool(), m_host, Wave(), action.boots);
+    if (!action.cut.empty()) {
       change.decision.reasons.push_back({"cut at the drain deadline", "waves",
                                          m_round.context.document_version,
-                                         step.cut});
+                                         action.cut});
     }
     if (!m_reconciler.CommitInRound(m_round, std::move(change))) {
       return false;
     }
-    return (*this)(RetryReboot{step.boots});
+    return (*this)(RetryReboot{action.boots});
   }
 
-  bool operator()(const RetryReboot& step) const {
+  bool operator()(const RetryReboot& action) const {
     // A conflict means that the machine has booted since, which the next
     // observation shows. Any other error is retried in the next round.
     static_cast<void>(
-        m_reconciler.m_ports.machines.Reboot(m_host.record.host, step.boots));
+        m_reconciler.m_ports.machines.Reboot(m_host.record.host, action.boots));
     return true;
   }
 
-  bool operator()(const BeginProbe& /*step*/) const {
+  bool operator()(const BeginProbe& /*action*/) const {
     m_reconciler.RecordRebootTime(m_host.record,
                                   m_round.seen[m_host.record.host].in_state);
     return m_reconciler.CommitInRound(
         m_round, StartProbe(m_round.context, Pool(), m_host));
   }
 
-  bool operator()(const ReturnToService& step) const {
+  bool operator()(const ReturnToService& action) const {
     m_reconciler.RecordMaintenanceTime(m_host.record);
     return m_reconciler.CommitInRound(
-        m_round, ReturnHost(m_round.context, Pool(), m_host, Wave(), step.why));
+        m_round,
+        ReturnHost(m_round.context, Pool(), m_host, Wave(), action.why));
   }
 
-  bool operator()(const MoveToPool& /*step*/) const {
+  bool operator()(const MoveToPool& /*action*/) const {
     const HostRecord& host = m_host.record;
     const Stored<PoolRecord> to =
         FindPoolRecord(m_reconciler.m_state, host.bound_for);
@@ -73,7 +74,7 @@
         m_round, MoveHost(m_round.context, Pool(), to, m_host));
   }
 
-  bool operator()(const RemoveFromFleet& /*step*/) const {
+  bool operator()(const RemoveFromFleet& /*action*/) const {
     if (FindHost(m_reconciler.m_index, m_host.record.host) != nullptr) {
       return (*this)(ReturnToService{"the document has it again"});
     }
@@ -82,19 +83,20 @@
                m_round, RemoveHost(m_round.context, Pool(), m_host));
   }
 
-  bool operator()(const MarkFailed& step) const {
-    HostFailure order;
-    order.evidence = step.evidence;
-    order.wave = m_reconciler.WaveForFailure(
+  bool operator()(const MarkFailed& action) const {
+    HostFailure failure;
+    failure.evidence = action.evidence;
+    failure.wave = m_reconciler.WaveForFailure(
         m_host.record, m_round.seen[m_host.record.host].in_state);
-    if (order.wave) {
+    if (failure.wave) {
       const config::Wave* wave = config::FindWave(
-          m_reconciler.m_document->fleet, order.wave->record.wave);
-      order.halt = wave != nullptr && HaltsOnFailure(*wave, order.wave->record,
-                                                     m_host.record.host);
+          m_reconciler.m_document->fleet, failure.wave->record.wave);
+      failure.halt =
+          wave != nullptr &&
+          HaltsOnFailure(*wave, failure.wave->record, m_host.record.host);
     }
     return m_reconciler.CommitInRound(
-        m_round, FailHost(m_round.context, Pool(), m_host, order));
+        m_round, FailHost(m_round.context, Pool(), m_host, failure));
   }
 
  private:
@@ -136,9 +138,9 @@
           config::FindWave(m_document->fleet, stored.record.wave)) {
     drain = {declared->drain_deadline, declared->cut_at_deadline};
   }
-  const HostAction step =
+  const HostAction action =
       NextAction(stored.record, round.seen[host], drain, m_options.progress);
-  return std::visit(ActionExecutor(*this, round, stored), step);
+  return std::visit(ActionExecutor(*this, round, stored), action);
 }
 
 bool Reconciler::UndrainFromEndedWave(Round& round,
@@ -206,23 +208,23 @@
   if (host.record.state != HostState::kInService) {
     return true;
   }
-  DrainRequest order;
-  order.reason =
+  DrainRequest request;
+  request.reason =
       declared != nullptr ? OutReason::kMoving : OutReason::kRemoving;
-  order.bound_for = declared != nullptr ? declared->pool->name : "";
-  order.detail = declared != nullptr
-                     ? "the document places it in " + order.bound_for
-                     : "the document no longer has it";
-  base::Result<Change> change = PlanDrain(round, host.record.host, order);
+  request.bound_for = declared != nullptr ? declared->pool->name : "";
+  request.detail = declared != nullptr
+                       ? "the document places it in " + request.bound_for
+                       : "the document no longer has it";
+  base::Result<Change> change = PlanDrain(round, host.record.host, request);
   return !change || CommitInRound(round, std::move(*change));
 }
 
 base::Result<Change> Reconciler::PlanDrain(const Round& round,
                                            const std::string& host,
-                                           const DrainRequest& order) const {
+                                           const DrainRequest& request) const {
   return StartHostDrain(
       round.context, round.declared, FindPoolRecord(m_state, round.pool),
-      m_state.hosts.at(host), round.UnresponsiveHosts(m_state), order);
+      m_state.hosts.at(host), round.UnresponsiveHosts(m_state), request);
 }
 
 }  // namespace cassiastile::fleet
--- a/src/cassiastile/fleet/reconciler_moves.cpp
+++ b/src/cassiastile/fleet/reconciler_moves.cpp
@@ -107,12 +107,12 @@
 
 bool Reconciler::MoveSpareHostsTo(Round& round, const config::Pool& pool) {
   for (const std::string& failed : HostsToReplace(pool)) {
-    DrainRequest order;
-    order.reason = OutReason::kMoving;
-    order.bound_for = pool.name;
-    order.stands_in_for = failed;
-    order.detail = fmt::format("stands in for {} in {}", failed, pool.name);
-    if (!MoveSpareHost(round, order)) {
+    DrainRequest request;
+    request.reason = OutReason::kMoving;
+    request.bound_for = pool.name;
+    request.stands_in_for = failed;
+    request.detail = fmt::format("stands in for {} in {}", failed, pool.name);
+    if (!MoveSpareHost(round, request)) {
       return false;
     }
   }
@@ -120,25 +120,26 @@
   const std::int32_t moving_in =
       CountSpareHostsMovingIn(m_state, m_index, pool.name);
   for (std::int32_t i = moving_in; i < shift; ++i) {
-    DrainRequest order;
-    order.reason = OutReason::kMoving;
-    order.bound_for = pool.name;
-    order.detail = fmt::format("the demand on {} has grown to stay", pool.name);
-    if (!MoveSpareHost(round, order)) {
+    DrainRequest request;
+    request.reason = OutReason::kMoving;
+    request.bound_for = pool.name;
+    request.detail =
+        fmt::format("the demand on {} has grown to stay", pool.name);
+    if (!MoveSpareHost(round, request)) {
       return false;
     }
   }
   return true;
 }
 
-bool Reconciler::MoveSpareHost(Round& round, const DrainRequest& order) {
+bool Reconciler::MoveSpareHost(Round& round, const DrainRequest& request) {
   const std::vector<std::string> members = round.Members(m_state);
   for (const std::string& host : members) {
     if (m_state.hosts.at(host).record.state != HostState::kInService ||
         !IsKnownUp(round.seen[host])) {
       continue;
     }
-    base::Result<Change> change = PlanDrain(round, host, order);
+    base::Result<Change> change = PlanDrain(round, host, request);
     return !change || CommitInRound(round, std::move(*change));
   }
   return true;
@@ -169,11 +170,11 @@
       continue;
     }
     surplus -= ended ? 0 : 1;
-    DrainRequest order;
-    order.reason = OutReason::kMoving;
-    order.bound_for = declared->pool->name;
-    order.detail = "no longer needed here; it goes back to the spare";
-    base::Result<Change> change = PlanDrain(round, host, order);
+    DrainRequest request;
+    request.reason = OutReason::kMoving;
+    request.bound_for = declared->pool->name;
+    request.detail = "no longer needed here; it goes back to the spare";
+    base::Result<Change> change = PlanDrain(round, host, request);
     if (change && !CommitInRound(round, std::move(*change))) {
       return false;
     }
--- a/src/cassiastile/fleet/reconciler_operator_actions.cpp
+++ b/src/cassiastile/fleet/reconciler_operator_actions.cpp
@@ -28,10 +28,10 @@
   }
   Round round = StartRound(found->second.record.pool, std::nullopt);
   round.context.actor = actor;
-  DrainRequest order;
-  order.reason = OutReason::kOperator;
-  order.detail = "drained by " + actor;
-  base::Result<Change> change = PlanDrain(round, host, order);
+  DrainRequest request;
+  request.reason = OutReason::kOperator;
+  request.detail = "drained by " + actor;
+  base::Result<Change> change = PlanDrain(round, host, request);
   if (!change) {
     return tl::unexpected(change.error());
   }
--- a/src/cassiastile/fleet/reconciler_waves.cpp
+++ b/src/cassiastile/fleet/reconciler_waves.cpp
@@ -131,12 +131,13 @@
   const WaveStep step = PlanWaveStep(input);
   m_limiting_rules[wave.name][round.pool] = step.why;
   for (const std::string& host : step.take) {
-    DrainRequest order;
-    order.wave = m_state.waves.at(wave.name);
-    order.canary = step.canary;
-    order.rack_rows = RackRows(host);
-    order.detail = fmt::format("next of the wave {}; {}", wave.name, step.why);
-    base::Result<Change> change = PlanDrain(round, host, order);
+    DrainRequest request;
+    request.wave = m_state.waves.at(wave.name);
+    request.canary = step.canary;
+    request.rack_rows = RackRows(host);
+    request.detail =
+        fmt::format("next of the wave {}; {}", wave.name, step.why);
+    base::Result<Change> change = PlanDrain(round, host, request);
     if (!change) {
       continue;
     }
@@ -241,8 +242,9 @@
       std::max(times.longest, std::chrono::ceil<std::chrono::seconds>(took));
 }
 
-// After a few reboots of a wave, a reboot that takes much longer than the
-// longest of them is given up before the configured timeout.
+// Time limits under which, after a few reboots of a wave, a reboot that takes
+// much longer than the longest of them is given up before the configured
+// timeout. Not in use: AdvanceHost applies the configured limits.
 ProgressOptions Reconciler::ProgressOptionsFor(const HostRecord& host) const {
   ProgressOptions options = m_options.progress;
   const auto found = m_reboot_times.find(host.wave);
--- a/src/cassiastile/fleet/state.cpp
+++ b/src/cassiastile/fleet/state.cpp
@@ -148,8 +148,9 @@
   return {};
 }
 
-// Returns false if a pool changed more than once since the last read, because
-// its row names only the host of the last change.
+// Returns false if all hosts must be read: a pool is new, or it changed more
+// than once since the last read while its row names only the host of the last
+// change.
 base::Result<bool> StateReader::ReadChangedHosts(FleetState& next,
                                                  const FleetState& last) {
   std::set<std::string> changed;
--- a/src/cassiastile/fleet/wave_plan.cpp
+++ b/src/cassiastile/fleet/wave_plan.cpp
@@ -148,9 +148,9 @@
     forecast.done += pool.done;
     forecast.left_out += pool.left_out;
     const std::uint32_t left = pool.total - pool.done - pool.left_out;
-    const std::uint32_t room =
+    const std::uint32_t allowed_out =
         pool.max_out > pool.failed ? pool.max_out - pool.failed : 0;
-    const std::uint32_t concurrent_hosts = std::min(wave.parallel, room);
+    const std::uint32_t concurrent_hosts = std::min(wave.parallel, allowed_out);
     if (left > 0 && concurrent_hosts == 0) {
       forecast.finish.reset();
       shortage = "; failed hosts use up a pool's budget";
