--- a/include/cassiastile/work/admission.hpp
+++ b/include/cassiastile/work/admission.hpp
@@ -87,8 +87,8 @@
   // the average service time; its team is charged for it.
   void Release(const std::string& team, double cost);
 
-  // Removes and refuses queued requests that can no longer be answered before
-  // their deadline.
+  // Removes and refuses queued requests that are not expected to be answered
+  // before their deadline, or that have waited too long for any slot or grant.
   std::vector<Refusal> RefuseLate(const ServiceRate& rate,
                                   base::TimePoint now,
                                   base::Random& random);
@@ -140,7 +140,7 @@
                                                  const RequestTicket& ticket,
                                                  const ServiceRate& rate,
                                                  base::TimePoint now,
-                                                 double part) const;
+                                                 double wait_fraction) const;
   Refusal Refuse(const RequestTicket& ticket,
                  RefusalReason reason,
                  const ServiceRate& rate,
@@ -159,9 +159,9 @@
 // Token bucket that limits retries to a fraction of the answers.
 class RetryBudget {
  public:
-  // Each answer adds `part` of a token, up to `most` tokens. The bucket starts
+  // Each answer adds `tokens_per_answer`, up to `max_tokens`. The bucket starts
   // full.
-  RetryBudget(double part, double most);
+  RetryBudget(double tokens_per_answer, double max_tokens);
 
   void Earn();
   bool HasToken() const { return m_tokens >= 1; }
--- a/include/cassiastile/work/claim.hpp
+++ b/include/cassiastile/work/claim.hpp
@@ -17,7 +17,7 @@
 enum class ClaimState : std::uint8_t {
   kClaimed,   // It may be running.
   kAnswered,  // Its answer is stored.
-  kRan,       // It ran to completion; its answer was too large to store.
+  kRan,       // It ran to completion; its answer could not be stored.
   kUnknown,   // It may have run; no host works on it any more.
 };
 
@@ -34,7 +34,8 @@
   wire::HttpResponse answer;  // Only in state kAnswered.
 };
 
-// The largest answer body, in bytes, that is stored for retries.
+// The largest answer body, in bytes, that is stored for retries. Bodies that
+// are not UTF-8 are not stored either.
 inline constexpr std::size_t kMaxKeptAnswerBytes = 64U << 10U;
 
 // Whether a caller's idempotency key is valid: 1 to 128 characters, each a
--- a/include/cassiastile/work/credit_ledger.hpp
+++ b/include/cassiastile/work/credit_ledger.hpp
@@ -29,11 +29,11 @@
 // lowered, until the holders have returned the excess.
 std::uint32_t TotalGranted(const Ledger& ledger);
 
-// Updates the holder's entry from its current use and demand. The holder first
-// returns what it neither uses nor is entitled to, then takes free credits up
-// to its fair share. Its grant never drops below what it has in use. The
-// returned ledger must be written with the version it was computed from as the
-// precondition.
+// Updates the holder's entry from its current use and demand. A holder with
+// more than its fair share returns the excess that it does not use; any other
+// takes free credits up to its fair share. Its grant never drops below what it
+// has in use. The returned ledger must be written with the version it was
+// computed from as the precondition.
 Ledger Rebalance(const Ledger& ledger,
                  const HolderName& holder,
                  std::uint32_t in_use,
--- a/include/cassiastile/work/request.hpp
+++ b/include/cassiastile/work/request.hpp
@@ -17,7 +17,7 @@
 struct RequestTicket {
   RequestId id = 0;
   std::string team;         // Empty when the request has no API key.
-  std::string key_id;       // Its API key; empty when it has none.
+  std::string key_id;       // Id of its API key; empty when it has none.
   bool urgent = false;      // Served before others, within bounds.
   bool idempotent = false;  // May be sent again although it may have run.
   base::TimePoint arrived{};
--- a/include/cassiastile/work/size_estimate.hpp
+++ b/include/cassiastile/work/size_estimate.hpp
@@ -24,7 +24,7 @@
   Resources size;
   double seconds = 0;        // Expected run time.
   double seconds_upper = 0;  // Rarely exceeded.
-  bool learned = false;      // False when only the declaration is known.
+  bool learned = false;      // Whether size.cores is not the declared one.
 };
 
 // Observations of one quantity: its amount, and its ratio to the declared
--- a/include/cassiastile/work/task_owner.hpp
+++ b/include/cassiastile/work/task_owner.hpp
@@ -21,8 +21,8 @@
 // Settings of a TaskOwner.
 struct TaskOwnerOptions {
   TaskShardOptions shard;
-  // How often credits are exchanged while a team waits for some, and otherwise,
-  // to return unused ones.
+  // How often credits are exchanged: while a team waits for more, and
+  // otherwise, to return unused ones.
   base::Duration credit_fetch = std::chrono::milliseconds(500);
   base::Duration credit_return = std::chrono::seconds(3);
   // Waits between attempts while the table fails.
--- a/include/cassiastile/work/task_shard.hpp
+++ b/include/cassiastile/work/task_shard.hpp
@@ -76,7 +76,7 @@
 enum class Verdict : std::uint8_t {
   kDone,      // Takes effect once the batch's rows are written.
   kSame,      // It had already been done.
-  kConflict,  // The id has another body, or the state forbids it.
+  kConflict,  // The id was used with another body, or the state forbids it.
   kRefused,   // It can never run; see the reason.
   kFull,      // The shard holds its maximum of tasks.
   kNotFound,
@@ -140,7 +140,8 @@
   // Asks the runs on a host that can be checkpointed to stop at a checkpoint,
   // and places no new tasks on it for a while.
   void RequestEvacuation(const std::string& host, base::TimePoint now);
-  // The runs on a host, and the time that the longest is expected to take.
+  // The runs on a host, and an upper estimate of the time until the last of
+  // them ends.
   fleet::HostWork WorkOn(const std::string& host, base::TimePoint now) const;
 
   const TaskEntry* Find(const std::string& key) const;
@@ -229,7 +230,7 @@
   void Dispatch();
   void RefreshHosts();
   void RefreshHost(PlacementHost& host) const;
-  void DispatchUrgency(bool urgent);
+  void DispatchWaiting(bool urgent);
   PlaceResult PlaceNext(const std::string& team, bool urgent);
   bool PlaceOne(const TaskEntry& entry, const TeamSpread& spread);
   void Lease(TaskEntry entry, PlacementHost& host, const SizeEstimate& size);
@@ -277,7 +278,7 @@
   std::map<std::string, std::size_t> m_racks;
   Resources m_largest;  // The most of each resource that one host has.
   std::map<std::string, TeamWait> m_waits;
-  // Hosts reserved for urgent tasks.
+  // Hosts reserved for urgent tasks, and until when.
   std::map<std::string, base::TimePoint> m_reserved_until;
   std::map<std::string, base::TimePoint> m_evacuating_until;
   TaskIndex m_tasks;
--- a/include/cassiastile/work/worker_health.hpp
+++ b/include/cassiastile/work/worker_health.hpp
@@ -35,7 +35,9 @@
  public:
   explicit WorkerHealthTracker(WorkerHealthOptions options = {});
 
-  // Records how a run ended. Returns true when this quarantines the worker.
+  // Records how a run ended. Returns true when this quarantines the worker. A
+  // worker that fails again before its first success after a quarantine is
+  // quarantined for twice as long, up to longest_quarantine.
   bool RecordEnd(const std::string& worker,
                  const std::string& kind,
                  bool succeeded,
--- a/src/cassiastile/work/admission.cpp
+++ b/src/cassiastile/work/admission.cpp
@@ -59,11 +59,12 @@
   std::vector<Refusal> refusals;
   if (m_size >= m_options.queue_limit) {
     TeamQueue* largest = FindLargest();
-    const double part = (static_cast<double>(team.Queued()) + 1) /
-                        std::max(1U, team.quota.weight);
-    const bool may_evict = largest != nullptr && !largest->normal.empty() &&
-                           part < static_cast<double>(largest->Queued()) /
-                                      std::max(1U, largest->quota.weight);
+    const double queued_per_weight = (static_cast<double>(team.Queued()) + 1) /
+                                     std::max(1U, team.quota.weight);
+    const bool may_evict =
+        largest != nullptr && !largest->normal.empty() &&
+        queued_per_weight < static_cast<double>(largest->Queued()) /
+                                std::max(1U, largest->quota.weight);
     if (!may_evict) {
       return {Refuse(ticket, RefusalReason::kQueueFull, rate, random)};
     }
@@ -237,13 +238,13 @@
 
 AdmissionQueue::TeamQueue* AdmissionQueue::FindLargest() {
   TeamQueue* largest = nullptr;
-  double largest_part = 0;
+  double most_per_weight = 0;
   for (auto& [name, team] : m_teams) {
-    const double part =
+    const double queued_per_weight =
         static_cast<double>(team.Queued()) / std::max(1U, team.quota.weight);
-    if (part > largest_part) {
+    if (queued_per_weight > most_per_weight) {
       largest = &team;
-      largest_part = part;
+      most_per_weight = queued_per_weight;
     }
   }
   return largest;
@@ -277,7 +278,7 @@
     const RequestTicket& ticket,
     const ServiceRate& rate,
     base::TimePoint now,
-    double part) const {
+    double wait_fraction) const {
   if (now >= ticket.deadline) {
     return RefusalReason::kWaitTooLong;
   }
@@ -289,7 +290,7 @@
     return patient ? std::nullopt : std::optional(RefusalReason::kTeamLimit);
   }
   const double left =
-      SecondsOf(ticket.deadline - now - rate.service_time) * part;
+      SecondsOf(ticket.deadline - now - rate.service_time) * wait_fraction;
   if (ExpectedWait(team, ahead, rate) <= left) {
     return std::nullopt;
   }
@@ -313,8 +314,10 @@
   return Refuse(ticket, RefusalReason::kQueueFull, rate, random);
 }
 
-RetryBudget::RetryBudget(double part, double most)
-    : m_tokens_per_answer(part), m_max_tokens(most), m_tokens(most) {}
+RetryBudget::RetryBudget(double tokens_per_answer, double max_tokens)
+    : m_tokens_per_answer(tokens_per_answer),
+      m_max_tokens(max_tokens),
+      m_tokens(max_tokens) {}
 
 void RetryBudget::Earn() {
   m_tokens = std::min(m_max_tokens, m_tokens + m_tokens_per_answer);
--- a/src/cassiastile/work/placement.cpp
+++ b/src/cassiastile/work/placement.cpp
@@ -28,12 +28,12 @@
 
 Score ScoreOf(const PlacementHost& host, const PlacementRequest& request) {
   const Resources left = host.capacity - host.placed - request.size;
-  const double room = DominantShare(left, host.capacity);
+  const double free_share = DominantShare(left, host.capacity);
   if (request.spread == nullptr) {
-    return {0, 0, room};
+    return {0, 0, free_share};
   }
   return {CountIn(request.spread->zones, host.zone),
-          CountIn(request.spread->racks, host.rack), room};
+          CountIn(request.spread->racks, host.rack), free_share};
 }
 
 }  // namespace
--- a/src/cassiastile/work/request_dispatcher.cpp
+++ b/src/cassiastile/work/request_dispatcher.cpp
@@ -154,11 +154,12 @@
 RequestActions RequestDispatcher::RefuseInvalidKeys(
     const std::set<std::string>& valid_keys,
     RefusalReason reason) {
-  const auto withdrawn = [&valid_keys](const RequestTicket& ticket) {
+  const auto has_invalid_key = [&valid_keys](const RequestTicket& ticket) {
     return !ticket.key_id.empty() && !valid_keys.contains(ticket.key_id);
   };
   RequestActions actions;
-  Refuse(m_queue.RefuseMatching(withdrawn, reason, Rate(), m_random), actions);
+  Refuse(m_queue.RefuseMatching(has_invalid_key, reason, Rate(), m_random),
+         actions);
   return actions;
 }
 
--- a/src/cassiastile/work/request_dispatcher_tries.cpp
+++ b/src/cassiastile/work/request_dispatcher_tries.cpp
@@ -118,8 +118,9 @@
 }
 
 // Handles overdue tries: connections to their runners are not reused for a
-// while, runners that answer no request are ejected, and idempotent requests
-// are also tried on another runner.
+// while, runners that have answered nothing since the try was sent are ejected,
+// and idempotent requests are tried once more, on another runner if there is
+// one.
 void RequestDispatcher::Hedge(base::TimePoint now) {
   for (auto& [id, pending] : m_tries) {
     Runner* runner = FindRunner(pending.runner);
--- a/src/cassiastile/work/share_account.cpp
+++ b/src/cassiastile/work/share_account.cpp
@@ -89,8 +89,8 @@
 }
 
 double ShareAccount::AccruedUsage(const Account& account) const {
-  const double part = DominantShare(account.unsettled, m_capacity);
-  return account.settled_usage + part / account.weight;
+  const double dominant_share = DominantShare(account.unsettled, m_capacity);
+  return account.settled_usage + dominant_share / account.weight;
 }
 
 void ShareAccount::Settle(Account& account, base::TimePoint now) const {
--- a/src/cassiastile/work/size_estimate.cpp
+++ b/src/cassiastile/work/size_estimate.cpp
@@ -14,7 +14,8 @@
 // median.
 constexpr double kMemoryDeviations = 1.3;
 constexpr double kSecondsDeviations = 2;
-// Factor on the declared run time while no run times were observed.
+// The upper estimate of a run time is this many times the declared one while
+// too few run times were observed.
 constexpr double kUnobservedSecondsFactor = 4;
 
 double Median(const LogMoments& moments) {
--- a/src/cassiastile/work/task_shard.cpp
+++ b/src/cassiastile/work/task_shard.cpp
@@ -164,7 +164,7 @@
   m_tasks.Confirm();
   m_decisions.clear();
   for (const Observation& observation : m_observations) {
-    std::visit([this](const auto& learnt) { Learn(learnt); }, observation);
+    std::visit([this](const auto& observed) { Learn(observed); }, observation);
   }
   m_observations.clear();
   return std::move(m_decisions);
--- a/src/cassiastile/work/task_shard_dispatch.cpp
+++ b/src/cassiastile/work/task_shard_dispatch.cpp
@@ -55,9 +55,9 @@
   RequestEvacuations();
   RefreshHosts();
   SyncShares();
-  DispatchUrgency(true);
+  DispatchWaiting(true);
   PreemptForUrgent();
-  DispatchUrgency(false);
+  DispatchWaiting(false);
   PreemptForShares();
 }
 
@@ -97,7 +97,7 @@
   }
 }
 
-void TaskShard::DispatchUrgency(bool urgent) {
+void TaskShard::DispatchWaiting(bool urgent) {
   std::vector<std::string> teams = WaitingTeams(urgent);
   bool first_blocked = true;
   while (!teams.empty()) {
@@ -268,11 +268,12 @@
 void TaskShard::PreemptForShares() {
   for (const std::string& team : WaitingTeams(false)) {
     const base::TimePoint since = m_waits[team].waiting_since;
-    const bool patient = since == base::TimePoint{} ||
-                         m_moment.now - since < m_options.preemption_delay;
-    const bool near = m_shares.CurrentShare(team) >=
-                      kPreemptionThreshold * m_shares.Entitlement(team);
-    if (patient || near || AtLimit(team)) {
+    const bool within_delay = since == base::TimePoint{} ||
+                              m_moment.now - since < m_options.preemption_delay;
+    const bool near_entitlement =
+        m_shares.CurrentShare(team) >=
+        kPreemptionThreshold * m_shares.Entitlement(team);
+    if (within_delay || near_entitlement || AtLimit(team)) {
       continue;
     }
     const std::string key = m_tasks.TeamOf(team).normal.begin()->second;
--- a/src/cassiastile/work/task_shard_poll.cpp
+++ b/src/cassiastile/work/task_shard_poll.cpp
@@ -12,9 +12,10 @@
 
 namespace {
 
-// Usage may exceed a host's cores by this factor before runs are throttled.
+// Runs are throttled when they would use more than this many times the host's
+// cores.
 constexpr double kThrottleSlack = 1.05;
-constexpr double kLeastThrottle = 0.25;
+constexpr double kMinThrottle = 0.25;
 
 double Seconds(base::Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -257,9 +258,10 @@
         entry->task.lease.incarnation != poll.incarnation) {
       continue;
     }
-    // A worker lists every run that it started as held or ended, so a run that
-    // is in neither list was not started. The worker ignores answers to older
-    // polls, so it will not start it later.
+    // A worker lists every run that it started as held or ended until the end
+    // is acknowledged. So a run in neither list has stopped if it was reported
+    // before; otherwise it was not started, and as the worker ignores answers
+    // to older polls, only the next answer can still start it.
     if (entry->task.state == TaskState::kRunning) {
       OnRunStopped(*entry, true,
                    fmt::format("worker {} no longer runs it", poll.worker));
@@ -294,7 +296,7 @@
   const double cores = m_hosts[host->second].capacity.cores;
   const bool over = unthrottled > cores * kThrottleSlack;
   const double fraction =
-      over ? std::max(kLeastThrottle, cores / unthrottled) : 1;
+      over ? std::max(kMinThrottle, cores / unthrottled) : 1;
   for (const HeldTask& held : poll.held) {
     const TaskEntry* found = m_tasks.Find(held.key);
     if (found == nullptr || found->task.spec.urgent ||
