--- a/include/cassiastile/fleet/wave_plan.hpp
+++ b/include/cassiastile/fleet/wave_plan.hpp
@@ -92,10 +92,11 @@
 };
 
 // Estimates when the wave finishes if nothing changes and each host takes
-// `service`. `measured` says whether that time was measured or assumed.
+// `maintenance_time`. `measured` says whether that time was measured or
+// assumed.
 WaveForecast ForecastWave(const config::Wave& wave,
                           const std::vector<PoolWaveProgress>& pools,
-                          std::chrono::seconds service,
+                          std::chrono::seconds maintenance_time,
                           bool measured,
                           base::WallTime now);
 
--- a/include/cassiastile/fleet/window.hpp
+++ b/include/cassiastile/fleet/window.hpp
@@ -20,12 +20,12 @@
 // How long the window is open each day.
 std::chrono::minutes OpenTimePerDay(const config::Window& window);
 
-// When the last of `batches` consecutive batches ends, if each takes `service`
-// and starts while the window is open.
+// When the last of `batches` consecutive batches ends, if each takes
+// `batch_time` and starts while the window is open.
 base::WallTime FinishOfBatches(const config::Window& window,
                                base::WallTime start,
                                std::uint64_t batches,
-                               std::chrono::seconds service);
+                               std::chrono::seconds batch_time);
 
 // "22:00-04:00 UTC", or "at all hours".
 std::string Describe(const config::Window& window);
--- a/src/cassiastile/fleet/fake_fleet.hpp
+++ b/src/cassiastile/fleet/fake_fleet.hpp
@@ -166,18 +166,18 @@
     return commit;
   }
 
-  // A planned drain, one of a host that was in service and has not failed, must
-  // leave the pool within its budget.
+  // When a pool's row newly names a host that is out for any reason but a
+  // failure, the pool must be within its budget.
   void CheckPool(const PoolRecord& now) {
     PoolRecord& before = m_pools[now.pool];
-    bool taken = false;
+    bool drained = false;
     for (const auto& [host, entry] : now.out) {
-      taken = taken || (!before.out.contains(host) &&
-                        entry.reason != OutReason::kFailed);
+      drained = drained || (!before.out.contains(host) &&
+                            entry.reason != OutReason::kFailed);
     }
     const config::Pool* pool = config::FindPool(m_document->fleet, now.pool);
     const BudgetCount count = CountBudget(pool, now, {});
-    if (taken) {
+    if (drained) {
       ++planned_takes;
       if (count.Excess() > 0) {
         ++budget_violations;
--- a/src/cassiastile/fleet/race_test.cpp
+++ b/src/cassiastile/fleet/race_test.cpp
@@ -60,8 +60,9 @@
 };
 
 TEST_F(RaceTest, TwoOwnersDrainNoMoreThanOneHost) {
-  // Makes the second process choose another host.
   m_first.Tick("p0", std::nullopt);
+  // Work on the host that the first process drains makes the second process,
+  // which has not read that drain, choose another host.
   m_world.work.work["p0-h0"].running = 1;
   m_second.Tick("p0", std::nullopt);
   EXPECT_EQ(CountOut("p0"), 1U);
@@ -181,6 +182,7 @@
 TEST_F(RaceTest, RepeatedRebootByAPausedOwnerDoesNothing) {
   m_world.RunWave(m_first, seconds(3000));
   ASSERT_EQ(m_world.machines.reboots["p0-h0"], 1U);
+  // The boot count that the owner knew before its pause.
   EXPECT_FALSE(m_world.machines.Reboot("p0-h0", 0));
   EXPECT_EQ(m_world.machines.reboots["p0-h0"], 1U);
 }
--- a/src/cassiastile/fleet/wave_plan.cpp
+++ b/src/cassiastile/fleet/wave_plan.cpp
@@ -137,7 +137,7 @@
 
 WaveForecast ForecastWave(const config::Wave& wave,
                           const std::vector<PoolWaveProgress>& pools,
-                          std::chrono::seconds service,
+                          std::chrono::seconds maintenance_time,
                           bool measured,
                           base::WallTime now) {
   WaveForecast forecast;
@@ -158,14 +158,15 @@
     if (left > 0 && forecast.finish && concurrent_hosts > 0) {
       const std::uint64_t batches =
           (left + concurrent_hosts - 1) / concurrent_hosts;
-      forecast.finish =
-          std::max(*forecast.finish,
-                   FinishOfBatches(wave.window, now, batches, service));
+      forecast.finish = std::max(
+          *forecast.finish,
+          FinishOfBatches(wave.window, now, batches, maintenance_time));
     }
   }
-  forecast.basis = fmt::format("{} s a host, {}; window {}{}", service.count(),
-                               measured ? "measured in this run" : "assumed",
-                               Describe(wave.window), shortage);
+  forecast.basis =
+      fmt::format("{} s a host, {}; window {}{}", maintenance_time.count(),
+                  measured ? "measured in this run" : "assumed",
+                  Describe(wave.window), shortage);
   return forecast;
 }
 
--- a/src/cassiastile/fleet/window.cpp
+++ b/src/cassiastile/fleet/window.cpp
@@ -23,13 +23,13 @@
 // closes.
 std::uint64_t BatchesUntilClose(const config::Window& window,
                                 base::WallTime start,
-                                std::chrono::seconds service) {
+                                std::chrono::seconds batch_time) {
   const std::uint32_t left =
       (window.end_minute + kMinutesPerDay - MinuteOfDay(start)) %
       kMinutesPerDay;
   const std::chrono::seconds open = std::chrono::minutes(left);
-  return static_cast<std::uint64_t>((open + service - std::chrono::seconds(1)) /
-                                    service);
+  return static_cast<std::uint64_t>(
+      (open + batch_time - std::chrono::seconds(1)) / batch_time);
 }
 
 }  // namespace
@@ -72,8 +72,8 @@
 base::WallTime FinishOfBatches(const config::Window& window,
                                base::WallTime start,
                                std::uint64_t batches,
-                               std::chrono::seconds service) {
-  const auto step = std::max(service, std::chrono::seconds(1));
+                               std::chrono::seconds batch_time) {
+  const auto step = std::max(batch_time, std::chrono::seconds(1));
   if (AlwaysOpen(window)) {
     return start + batches * step;
   }
