--- a/include/cassiastile/work/claim.hpp
+++ b/include/cassiastile/work/claim.hpp
@@ -59,7 +59,7 @@
 Outcome OutcomeOfRetry(const Claim& claim, const std::string& fingerprint);
 
 // The claim to store once its request has ended. Nothing when the request did
-// not run and the claim is to be deleted.
+// not run; the claim is then deleted, so that the key can be used again.
 std::optional<Claim> EndClaim(const Claim& claim, const Outcome& outcome);
 
 }  // namespace cassiastile::work
--- a/include/cassiastile/work/share_account.hpp
+++ b/include/cassiastile/work/share_account.hpp
@@ -19,10 +19,10 @@
 // fairness. Usage is counted per team, regardless of its queues, kinds and task
 // sizes.
 //
-// Teams that fall behind are raised to the least-served waiting team. Idle
-// capacity that other teams used is neither owed to a team without demand nor
-// held against the others, so each team's entitlement stays its weight's
-// fraction of the pool.
+// The recorded usage of every team is at least that of the waiting team with
+// the lowest usage. Idle capacity that other teams used is neither owed to a
+// team without demand nor held against the others, so each team's entitlement
+// stays its weight's fraction of the pool.
 class ShareAccount {
  public:
   explicit ShareAccount(base::Duration horizon = std::chrono::seconds(5));
--- a/src/cassiastile/work/admission_test.cpp
+++ b/src/cassiastile/work/admission_test.cpp
@@ -104,19 +104,19 @@
   }
   // The runners become ten times slower.
   const ServiceRate slow{1, std::chrono::seconds(1)};
-  const auto given_up = m_queue.RefuseLate(slow, kStart, m_random);
-  EXPECT_GE(given_up.size(), 30U);
-  EXPECT_EQ(given_up.size() + m_queue.Size(), 50U);
+  const auto refusals = m_queue.RefuseLate(slow, kStart, m_random);
+  EXPECT_GE(refusals.size(), 30U);
+  EXPECT_EQ(refusals.size() + m_queue.Size(), 50U);
 }
 
 TEST_F(AdmissionTest, FullQueueEvictsFromTheTeamWithMost) {
   for (int i = 0; i < 100; ++i) {
     EXPECT_TRUE(Offer(MakeTicket("large")).empty());
   }
-  const auto pushed = Offer(MakeTicket("small"));
-  ASSERT_EQ(pushed.size(), 1U);
-  EXPECT_EQ(pushed[0].ticket.team, "large");
-  EXPECT_EQ(pushed[0].not_run.reason, RefusalReason::kQueueFull);
+  const auto evicted = Offer(MakeTicket("small"));
+  ASSERT_EQ(evicted.size(), 1U);
+  EXPECT_EQ(evicted[0].ticket.team, "large");
+  EXPECT_EQ(evicted[0].not_run.reason, RefusalReason::kQueueFull);
   const auto refused = Offer(MakeTicket("large"));
   ASSERT_EQ(refused.size(), 1U);
   EXPECT_EQ(refused[0].ticket.id, m_last_id);
--- a/src/cassiastile/work/credit_ledger.cpp
+++ b/src/cassiastile/work/credit_ledger.cpp
@@ -42,7 +42,7 @@
   return count;
 }
 
-std::uint32_t FindDue(const Ledger& ledger, const HolderName& holder) {
+std::uint32_t FindFairShare(const Ledger& ledger, const HolderName& holder) {
   const std::uint32_t wanted = ledger.holdings.at(holder).wanted;
   const FairLevel fair = FindFairLevel(ledger);
   const bool one_more = CountAbove(ledger, holder, fair.level) < fair.remainder;
@@ -71,11 +71,11 @@
   Ledger next = ledger;
   Holding& holding = next.holdings[holder];
   holding.wanted = std::max(wanted, in_use);
-  const std::uint32_t due = FindDue(next, holder);
-  if (due < holding.granted) {
-    holding.granted = std::max(due, std::min(in_use, holding.granted));
+  const std::uint32_t fair_share = FindFairShare(next, holder);
+  if (fair_share < holding.granted) {
+    holding.granted = std::max(fair_share, std::min(in_use, holding.granted));
   } else {
-    holding.granted += std::min(due - holding.granted, FindFree(next));
+    holding.granted += std::min(fair_share - holding.granted, FindFree(next));
   }
   if (holding.granted == 0 && holding.wanted == 0) {
     next.holdings.erase(holder);
