--- a/src/cassiastile/fleet/wave_plan.cpp
+++ b/src/cassiastile/fleet/wave_plan.cpp
@@ -137,7 +137,7 @@
 
 WaveForecast ForecastWave(const config::Wave& wave,
                           const std::vector<PoolWaveProgress>& pools,
-                          std::chrono::seconds service,
+                          std::chrono::seconds maintenance_time,
                           bool measured,
                           base::WallTime now) {
   WaveForecast forecast;
@@ -148,9 +148,9 @@
     forecast.done += pool.done;
     forecast.left_out += pool.left_out;
     const std::uint32_t left = pool.total - pool.done - pool.left_out;
-    const std::uint32_t room =
+    const std::uint32_t allowed_out =
         pool.max_out > pool.failed ? pool.max_out - pool.failed : 0;
-    const std::uint32_t concurrent_hosts = std::min(wave.parallel, room);
+    const std::uint32_t concurrent_hosts = std::min(wave.parallel, allowed_out);
     if (left > 0 && concurrent_hosts == 0) {
       forecast.finish.reset();
       shortage = "; failed hosts use up a pool's budget";
@@ -158,14 +158,15 @@
     if (left > 0 && forecast.finish && concurrent_hosts > 0) {
       const std::uint64_t batches =
           (left + concurrent_hosts - 1) / concurrent_hosts;
-      forecast.finish =
-          std::max(*forecast.finish,
-                   FinishOfBatches(wave.window, now, batches, service));
+      forecast.finish = std::max(
+          *forecast.finish,
+          FinishOfBatches(wave.window, now, batches, maintenance_time));
     }
   }
-  forecast.basis = fmt::format("{} s a host, {}; window {}{}", service.count(),
-                               measured ? "measured in this run" : "assumed",
-                               Describe(wave.window), shortage);
+  forecast.basis =
+      fmt::format("{} s a host, {}; window {}{}", maintenance_time.count(),
+                  measured ? "measured in this run" : "assumed",
+                  Describe(wave.window), shortage);
   return forecast;
 }
 
