--- a/include/cassiastile/config/fleet_source.hpp
+++ b/include/cassiastile/config/fleet_source.hpp
@@ -17,7 +17,7 @@
   virtual std::shared_ptr<const AcceptedFleet> Current() const = 0;
 
   // Whether this host may still authorize callers by team keys. False once it
-  // has heard neither from the store nor from enough peers for so long that a
+  // has heard neither from the table nor from enough peers for so long that a
   // key could have been revoked without its knowledge.
   virtual bool IsFresh(base::TimePoint now) const = 0;
 };
--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -73,8 +73,8 @@
   // router.
   void AddRoutes(wire::Router& router);
 
-  // Whether this host can serve requests: it has a configuration and knows
-  // runners.
+  // Whether this host should get requests: it has applied a configuration and
+  // is not draining. Says nothing about runners.
   bool Ready() const;
   // Makes Ready false, so that the load balancer sends requests elsewhere.
   // Requests are still accepted and finished.
--- a/include/cassiastile/entry/holder_watch.hpp
+++ b/include/cassiastile/entry/holder_watch.hpp
@@ -52,10 +52,11 @@
       const std::set<work::HolderName>& holders,
       base::TimePoint now);
 
-  // Whether other hosts may soon forfeit this host's credits: for most of the
-  // time after which they do, this host was neither listed nor reached the
-  // store.
-  bool MayBeForfeited(base::TimePoint last_store_answer,
+  // Whether other hosts may soon forfeit this host's credits: it has neither
+  // been listed nor reached the table for `max_absence` minus twice
+  // `longest_request`. So it can stop using the credits before others take
+  // them.
+  bool MayBeForfeited(base::TimePoint last_table_answer,
                       base::TimePoint now) const;
 
  private:
--- a/include/cassiastile/entry/team_credits.hpp
+++ b/include/cassiastile/entry/team_credits.hpp
@@ -43,8 +43,8 @@
   const config::FleetSource& m_source;
   ShardFinder m_shards;
   std::mutex m_mutex;
-  std::map<std::string, work::Ledger> m_split;  // By team, among services.
-  std::map<std::string, std::uint32_t> m_running;
+  std::map<std::string, work::Ledger> m_split;     // By team, among services.
+  std::map<std::string, std::uint32_t> m_running;  // Requests, by team.
   Grants m_granted;   // The grants of the last Allow.
   Demands m_demands;  // By team and service.
 };
--- a/include/cassiastile/member/config_store.hpp
+++ b/include/cassiastile/member/config_store.hpp
@@ -34,18 +34,23 @@
 
 // The result of an accepted edit or of a dry run.
 struct EditOutcome {
-  std::uint64_t version = 0;  // The accepted version; zero for a dry run.
-  std::uint64_t audit = 0;    // The sequence of the edit's audit row.
+  // The accepted version, or the newest one if the edit changes nothing; zero
+  // for a dry run.
+  std::uint64_t version = 0;
+  // The sequence of the edit's audit row; zero if nothing was committed.
+  std::uint64_t audit = 0;
   std::vector<std::string> sections;
   config::FleetChange change;
   std::string diff;
 };
 
-// The edit's base is out of date, and a newer version changed the same
-// sections.
+// The edit can't be applied to the newest version. Either a version after its
+// base changed the same sections, or the edit changes text outside the sections
+// of an older version, or its base was never accepted.
 struct EditConflict {
   std::uint64_t version = 0;  // The newest version.
-  std::string diff;           // From the edit's base to the newest version.
+  // From the edit's base to the newest version; empty without a valid base.
+  std::string diff;
 };
 
 // The edited document violates a rule; the findings say which.
--- a/src/cassiastile/config/section_edit.cpp
+++ b/src/cassiastile/config/section_edit.cpp
@@ -76,8 +76,8 @@
   return text.substr(span.begin, span.end - span.begin);
 }
 
-// Returns the document's text with the value of each section replaced by a
-// mark.
+// Returns the document's text with the value of each section replaced by a NUL,
+// which no valid document contains.
 std::string TextOutside(std::string_view text, const std::vector<Span>& spans) {
   std::string outside;
   std::size_t from = 0;
--- a/src/cassiastile/entry/credit_account.cpp
+++ b/src/cassiastile/entry/credit_account.cpp
@@ -127,8 +127,9 @@
   }
 }
 
-// Applies a write whose answer was lost again, under its nonce, which makes the
-// table apply it at most once. Returns whether its outcome is known.
+// If the answer to the last write was lost, repeats the write under the same
+// nonce, so that the table applies it at most once. Returns whether the outcome
+// is known now.
 bool CreditAccount::Resolve() {
   if (!m_unresolved) {
     return true;
--- a/src/cassiastile/entry/entry_hosts_test.cpp
+++ b/src/cassiastile/entry/entry_hosts_test.cpp
@@ -112,7 +112,7 @@
 }
 
 // The limit is in force before the hosts start, because a limit that is edited
-// later takes effect with the document, a moment later.
+// while they run takes effect only some time after the edit.
 TEST_F(EntryHostsTest, TwoHostsNeverExceedATeamsLimit) {
   constexpr std::uint32_t kLimit = 3;
   TestPlatform limited;
--- a/src/cassiastile/entry/entry_service_test.cpp
+++ b/src/cassiastile/entry/entry_service_test.cpp
@@ -130,7 +130,8 @@
   EXPECT_EQ(m_client->Call(timeout)->status, 400);
 }
 
-// All faults that break an answer.
+// Faults that leave a request without a usable answer. kOverLong is not one of
+// them: its answer is complete before the surplus bytes.
 class BrokenAnswerTest : public EntryServiceTest,
                          public testing::WithParamInterface<BackendFault> {};
 
--- a/src/cassiastile/entry/holder_watch.cpp
+++ b/src/cassiastile/entry/holder_watch.cpp
@@ -97,9 +97,9 @@
   return gone;
 }
 
-bool HolderWatch::MayBeForfeited(base::TimePoint last_store_answer,
+bool HolderWatch::MayBeForfeited(base::TimePoint last_table_answer,
                                  base::TimePoint now) const {
-  const base::TimePoint last_contact = std::max(last_store_answer, m_self_seen);
+  const base::TimePoint last_contact = std::max(last_table_answer, m_self_seen);
   return now - last_contact >=
          m_options.max_absence - 2 * m_options.longest_request;
 }
--- a/src/cassiastile/entry/team_credits.cpp
+++ b/src/cassiastile/entry/team_credits.cpp
@@ -84,7 +84,8 @@
 }
 
 // Sets how many requests of the team each service may run. The second round
-// gives services what others released in the first. Returns the sum.
+// gives services what others released in the first. Returns the sum over the
+// services.
 std::uint32_t TeamCredits::SplitAmongShards(const std::string& team,
                                             std::uint32_t weight,
                                             std::uint32_t granted) {
--- a/src/cassiastile/member/membership_receive.cpp
+++ b/src/cassiastile/member/membership_receive.cpp
@@ -212,6 +212,9 @@
   return true;
 }
 
+// Removes an unanswered ping and returns when it was sent; nothing if there is
+// none. What the answer says was true at that time or later, so the time is a
+// safe lower bound.
 std::optional<base::TimePoint> Membership::TakePing(std::uint64_t sequence) {
   const auto found = m_pings.find(sequence);
   if (found == m_pings.end()) {
