--- a/include/cassiastile/entry/claim_store.hpp
+++ b/include/cassiastile/entry/claim_store.hpp
@@ -72,14 +72,14 @@
 
  private:
   // A claim that is not written yet.
-  struct Waiting {
+  struct PendingClaim {
     std::string key;
     work::Claim claim;
     ClaimCallback callback;
   };
 
   // The outcome of a claimed request that is not written yet.
-  struct Ended {
+  struct PendingOutcome {
     std::string key;
     std::string nonce;
     std::optional<work::Claim> claim;  // Nothing to delete the row.
@@ -88,14 +88,15 @@
   std::string NewNonce();
   void Run();
   bool WaitForWork(std::unique_lock<std::mutex>& lock);
-  std::vector<Waiting> NextClaims();
-  std::vector<Ended> NextEnded();
-  void CommitClaims(std::vector<Waiting> batch);
-  static std::vector<Waiting> ExtractDuplicates(std::vector<Waiting>& batch);
-  void Resolve(std::vector<Waiting>& batch);
-  void CommitEnded(const std::vector<Ended>& batch);
-  void WriteEnded(const Ended& ended);
-  void FailAll(std::vector<Waiting>& batch, bool may_be_written);
+  std::vector<PendingClaim> NextClaims();
+  std::vector<PendingOutcome> NextOutcomes();
+  void CommitClaims(std::vector<PendingClaim> batch);
+  static std::vector<PendingClaim> ExtractDuplicates(
+      std::vector<PendingClaim>& batch);
+  void Resolve(std::vector<PendingClaim>& batch);
+  void CommitOutcomes(const std::vector<PendingOutcome>& batch);
+  void WriteOutcome(const PendingOutcome& pending);
+  void FailAll(std::vector<PendingClaim>& batch, bool may_be_written);
 
   platform::Table& m_table;
   work::HolderName m_holder;
@@ -105,10 +106,10 @@
   std::mutex m_mutex;
   std::condition_variable m_wake;
   bool m_stopping = false;
-  std::deque<Waiting> m_waiting;
-  std::deque<Ended> m_ended;
-  std::chrono::steady_clock::time_point m_next_claims{};
-  std::chrono::steady_clock::time_point m_next_ended{};
+  std::deque<PendingClaim> m_pending_claims;
+  std::deque<PendingOutcome> m_pending_outcomes;
+  std::chrono::steady_clock::time_point m_next_claim_write{};
+  std::chrono::steady_clock::time_point m_next_outcome_write{};
   std::thread m_thread;
 };
 
--- a/include/cassiastile/member/virtual_network.hpp
+++ b/include/cassiastile/member/virtual_network.hpp
@@ -87,8 +87,8 @@
                const MemberActions& actions);
   void Pull(const std::string& name, Node& node, const BodyPull& pull);
   void Send(const std::string& from, Node& node, const Datagram& datagram);
-  void Deliver(const InFlightDatagram& flight);
-  bool InjectFault(double probability);
+  void Deliver(const InFlightDatagram& in_flight);
+  bool ShouldInjectFault(double probability);
   bool ArePartitioned(const std::string& left, const std::string& right) const;
   bool ReachesStore(const std::string& name) const;
 
@@ -99,7 +99,7 @@
   std::map<std::string, Node> m_nodes;
   std::map<std::string, std::string> m_names_by_address;
   std::map<std::string, int> m_groups;
-  std::multimap<base::TimePoint, InFlightDatagram> m_flights;
+  std::multimap<base::TimePoint, InFlightDatagram> m_in_flight_datagrams;
   std::vector<Datagram> m_captured;
   std::uint64_t m_messages = 0;
 };
--- a/src/cassiastile/config/positioned_json.cpp
+++ b/src/cassiastile/config/positioned_json.cpp
@@ -49,9 +49,9 @@
     return AddScalar(value);
   }
   bool string(std::string& value) {
-    PositionedValue placed = StartValue(std::move(value));
+    PositionedValue positioned = StartValue(std::move(value));
     m_cursor.SkipString();
-    return Finish(std::move(placed));
+    return Finish(std::move(positioned));
   }
   bool binary(nlohmann::json::binary_t& /*value*/) { return false; }
 
--- a/src/cassiastile/entry/claim_store.cpp
+++ b/src/cassiastile/entry/claim_store.cpp
@@ -39,7 +39,7 @@
 
 ClaimStore::~ClaimStore() {
   Stop();
-  CommitEnded({m_ended.begin(), m_ended.end()});
+  CommitOutcomes({m_pending_outcomes.begin(), m_pending_outcomes.end()});
 }
 
 void ClaimStore::Stop() {
@@ -52,10 +52,10 @@
     return;
   }
   m_thread.join();
-  for (Waiting& waiting : m_waiting) {
+  for (PendingClaim& waiting : m_pending_claims) {
     waiting.callback(ClaimFailed{});
   }
-  m_waiting.clear();
+  m_pending_claims.clear();
 }
 
 void ClaimStore::AcquireClaim(std::string key,
@@ -63,8 +63,8 @@
                               ClaimCallback callback) {
   {
     const std::lock_guard lock(m_mutex);
-    if (m_waiting.size() < m_options.max_waiting && !m_stopping) {
-      m_waiting.push_back(
+    if (m_pending_claims.size() < m_options.max_waiting && !m_stopping) {
+      m_pending_claims.push_back(
           {std::move(key), std::move(claim), std::move(callback)});
       m_wake.notify_all();
       return;
@@ -77,8 +77,9 @@
                                const work::Claim& claim,
                                const work::Outcome& outcome) {
   const std::lock_guard lock(m_mutex);
-  if (m_ended.size() < m_options.max_waiting) {
-    m_ended.push_back({std::move(key), claim.nonce, EndClaim(claim, outcome)});
+  if (m_pending_outcomes.size() < m_options.max_waiting) {
+    m_pending_outcomes.push_back(
+        {std::move(key), claim.nonce, EndClaim(claim, outcome)});
     m_wake.notify_all();
   }
 }
@@ -92,11 +93,11 @@
 void ClaimStore::Run() {
   std::unique_lock lock(m_mutex);
   while (WaitForWork(lock)) {
-    std::vector<Waiting> claims = NextClaims();
-    const std::vector<Ended> ended = NextEnded();
+    std::vector<PendingClaim> claims = NextClaims();
+    const std::vector<PendingOutcome> outcomes = NextOutcomes();
     lock.unlock();
     CommitClaims(std::move(claims));
-    CommitEnded(ended);
+    CommitOutcomes(outcomes);
     lock.lock();
   }
 }
@@ -105,14 +106,17 @@
 bool ClaimStore::WaitForWork(std::unique_lock<std::mutex>& lock) {
   while (!m_stopping) {
     const auto now = SteadyClock::now();
-    const bool claims = !m_waiting.empty() && now >= m_next_claims;
-    const bool ended = !m_ended.empty() && now >= m_next_ended;
-    if (claims || ended) {
+    const bool claims_due =
+        !m_pending_claims.empty() && now >= m_next_claim_write;
+    const bool outcomes_due =
+        !m_pending_outcomes.empty() && now >= m_next_outcome_write;
+    if (claims_due || outcomes_due) {
       return true;
     }
     auto due = SteadyClock::time_point::max();
-    due = m_waiting.empty() ? due : m_next_claims;
-    due = m_ended.empty() ? due : std::min(due, m_next_ended);
+    due = m_pending_claims.empty() ? due : m_next_claim_write;
+    due =
+        m_pending_outcomes.empty() ? due : std::min(due, m_next_outcome_write);
     if (due == SteadyClock::time_point::max()) {
       m_wake.wait(lock);
     } else {
@@ -122,40 +126,40 @@
   return false;
 }
 
-std::vector<ClaimStore::Waiting> ClaimStore::NextClaims() {
+std::vector<ClaimStore::PendingClaim> ClaimStore::NextClaims() {
   const auto now = SteadyClock::now();
-  if (m_waiting.empty() || now < m_next_claims) {
+  if (m_pending_claims.empty() || now < m_next_claim_write) {
     return {};
   }
-  m_next_claims = now + m_options.claim_write_interval;
-  return PopUpTo(m_waiting, m_options.max_batch);
+  m_next_claim_write = now + m_options.claim_write_interval;
+  return PopUpTo(m_pending_claims, m_options.max_batch);
 }
 
-std::vector<ClaimStore::Ended> ClaimStore::NextEnded() {
+std::vector<ClaimStore::PendingOutcome> ClaimStore::NextOutcomes() {
   const auto now = SteadyClock::now();
-  if (m_ended.empty() || now < m_next_ended) {
+  if (m_pending_outcomes.empty() || now < m_next_outcome_write) {
     return {};
   }
-  m_next_ended = now + m_options.outcome_write_interval;
-  return PopUpTo(m_ended, m_options.max_batch);
+  m_next_outcome_write = now + m_options.outcome_write_interval;
+  return PopUpTo(m_pending_outcomes, m_options.max_batch);
 }
 
 // Commits the claims as one transaction that requires that none of them has a
 // row yet. On a conflict the claims that do have a row are answered from it,
 // and the rest is retried.
-void ClaimStore::CommitClaims(std::vector<Waiting> batch) {
+void ClaimStore::CommitClaims(std::vector<PendingClaim> batch) {
   for (int round = 0; round < kMaxCommitRounds && !batch.empty(); ++round) {
     platform::Transaction transaction;
     transaction.nonce = NewNonce();
-    std::vector<Waiting> duplicates = ExtractDuplicates(batch);
-    for (const Waiting& waiting : batch) {
+    std::vector<PendingClaim> duplicates = ExtractDuplicates(batch);
+    for (const PendingClaim& waiting : batch) {
       transaction.preconditions.push_back({waiting.key, 0});
       transaction.writes.push_back(
           {waiting.key, work::FormatClaim(waiting.claim)});
     }
     const auto commit = m_table.Apply(transaction);
     if (commit) {
-      for (Waiting& waiting : batch) {
+      for (PendingClaim& waiting : batch) {
         waiting.callback(ClaimCommitted{});
       }
       batch = std::move(duplicates);
@@ -172,23 +176,24 @@
 }
 
 // Removes and returns the claims whose key an earlier claim of the batch has.
-std::vector<ClaimStore::Waiting> ClaimStore::ExtractDuplicates(
-    std::vector<Waiting>& batch) {
+// They are tried after it and then find its row.
+std::vector<ClaimStore::PendingClaim> ClaimStore::ExtractDuplicates(
+    std::vector<PendingClaim>& batch) {
   std::set<std::string> keys;
   const auto duplicates = std::stable_partition(
-      batch.begin(), batch.end(), [&keys](const Waiting& waiting) {
+      batch.begin(), batch.end(), [&keys](const PendingClaim& waiting) {
         return keys.insert(waiting.key).second;
       });
-  std::vector<Waiting> taken(std::make_move_iterator(duplicates),
-                             std::make_move_iterator(batch.end()));
+  std::vector<PendingClaim> taken(std::make_move_iterator(duplicates),
+                                  std::make_move_iterator(batch.end()));
   batch.erase(duplicates, batch.end());
   return taken;
 }
 
 // Answers the claims that already have a row and removes them from the batch.
-void ClaimStore::Resolve(std::vector<Waiting>& batch) {
-  std::vector<Waiting> free;
-  for (Waiting& waiting : batch) {
+void ClaimStore::Resolve(std::vector<PendingClaim>& batch) {
+  std::vector<PendingClaim> free;
+  for (PendingClaim& waiting : batch) {
     const auto row = m_table.Get(waiting.key);
     if (!row) {
       waiting.callback(ClaimFailed{});
@@ -210,8 +215,9 @@
 
 // Fails all claims; their requests are not sent. A claim that may be written
 // nevertheless is deleted later.
-void ClaimStore::FailAll(std::vector<Waiting>& batch, bool may_be_written) {
-  for (Waiting& waiting : batch) {
+void ClaimStore::FailAll(std::vector<PendingClaim>& batch,
+                         bool may_be_written) {
+  for (PendingClaim& waiting : batch) {
     if (may_be_written) {
       RecordOutcome(waiting.key, waiting.claim, work::NotRun{});
     }
@@ -223,44 +229,46 @@
 // Writes all outcomes in one transaction under version 1, since most rows were
 // written only once, by their claim. If a row is to be deleted or the write
 // fails, each row is looked up and written on its own.
-void ClaimStore::CommitEnded(const std::vector<Ended>& batch) {
+void ClaimStore::CommitOutcomes(const std::vector<PendingOutcome>& batch) {
   if (batch.empty()) {
     return;
   }
   platform::Transaction transaction;
   transaction.nonce = NewNonce();
   bool all_rows_kept = true;
-  for (const Ended& ended : batch) {
-    all_rows_kept = all_rows_kept && ended.claim.has_value();
-    transaction.preconditions.push_back({ended.key, 1});
+  for (const PendingOutcome& pending : batch) {
+    all_rows_kept = all_rows_kept && pending.claim.has_value();
+    transaction.preconditions.push_back({pending.key, 1});
     transaction.writes.push_back(
-        {ended.key, ended.claim ? std::optional(work::FormatClaim(*ended.claim))
-                                : std::nullopt});
+        {pending.key, pending.claim
+                          ? std::optional(work::FormatClaim(*pending.claim))
+                          : std::nullopt});
   }
   if (all_rows_kept && m_table.Apply(transaction)) {
     return;
   }
-  for (const Ended& ended : batch) {
-    WriteEnded(ended);
+  for (const PendingOutcome& pending : batch) {
+    WriteOutcome(pending);
   }
 }
 
 // Writes one outcome, unless the row now belongs to another claim.
-void ClaimStore::WriteEnded(const Ended& ended) {
-  const auto row = m_table.Get(ended.key);
+void ClaimStore::WriteOutcome(const PendingOutcome& pending) {
+  const auto row = m_table.Get(pending.key);
   if (!row || !row->has_value()) {
     return;
   }
   const auto claim = work::ParseClaim((*row)->value);
-  if (!claim || claim->nonce != ended.nonce) {
+  if (!claim || claim->nonce != pending.nonce) {
     return;
   }
   platform::Transaction transaction;
   transaction.nonce = NewNonce();
-  transaction.preconditions.push_back({ended.key, (*row)->version});
+  transaction.preconditions.push_back({pending.key, (*row)->version});
   transaction.writes.push_back(
-      {ended.key, ended.claim ? std::optional(work::FormatClaim(*ended.claim))
-                              : std::nullopt});
+      {pending.key, pending.claim
+                        ? std::optional(work::FormatClaim(*pending.claim))
+                        : std::nullopt});
   static_cast<void>(m_table.Apply(transaction));
 }
 
--- a/src/cassiastile/entry/entry_service.cpp
+++ b/src/cassiastile/entry/entry_service.cpp
@@ -181,10 +181,11 @@
   claim.nonce = m_holder + "/" + NewId();
   claim.claimed_at = m_dependencies.clock.WallNow();
   const std::string row = work::ClaimKey(validated.ticket.team, key);
-  auto take = [this, row, claim, gateway, request = std::move(request)](
-                  const ClaimResult& result) mutable {
-    if (const auto* found = std::get_if<ClaimExists>(&result)) {
-      request.done(work::OutcomeOfRetry(found->claim, claim.fingerprint));
+  auto on_claim_result = [this, row, claim, gateway,
+                          request = std::move(request)](
+                             const ClaimResult& result) mutable {
+    if (const auto* existing = std::get_if<ClaimExists>(&result)) {
+      request.done(work::OutcomeOfRetry(existing->claim, claim.fingerprint));
       return;
     }
     if (std::holds_alternative<ClaimFailed>(result)) {
@@ -200,7 +201,7 @@
     };
     gateway->Accept(std::move(request));
   };
-  m_claims->AcquireClaim(row, claim, std::move(take));
+  m_claims->AcquireClaim(row, claim, std::move(on_claim_result));
 }
 
 void EntryService::Answer(const std::string& service,
--- a/src/cassiastile/member/member.cpp
+++ b/src/cassiastile/member/member.cpp
@@ -134,7 +134,7 @@
   auto WithMembership(const Function& function) {
     const std::lock_guard lock(m_mutex);
     auto result = function(*m_membership);
-    Publish();
+    UpdateConfirmedTime();
     return result;
   }
 
@@ -209,7 +209,7 @@
  private:
   static constexpr base::Duration kNever = base::Duration::min();
 
-  void Publish() {
+  void UpdateConfirmedTime() {
     const base::TimePoint now = m_clock.Now();
     const auto confirmed = m_membership->ConfirmedAt(now);
     const bool valid = confirmed && !m_membership->IsSuperseded();
--- a/src/cassiastile/member/virtual_network.cpp
+++ b/src/cassiastile/member/virtual_network.cpp
@@ -91,10 +91,11 @@
 
 void VirtualNetwork::Step() {
   m_now += kStep;
-  while (!m_flights.empty() && m_flights.begin()->first <= m_now) {
-    const InFlightDatagram flight = m_flights.begin()->second;
-    m_flights.erase(m_flights.begin());
-    Deliver(flight);
+  while (!m_in_flight_datagrams.empty() &&
+         m_in_flight_datagrams.begin()->first <= m_now) {
+    const InFlightDatagram in_flight = m_in_flight_datagrams.begin()->second;
+    m_in_flight_datagrams.erase(m_in_flight_datagrams.begin());
+    Deliver(in_flight);
   }
   for (auto& [name, node] : m_nodes) {
     if (node.running && node.next_tick <= m_now) {
@@ -157,9 +158,9 @@
   if (m_captured.size() < kMaxCaptured) {
     m_captured.push_back(datagram);
   }
-  const int copies = InjectFault(m_faults.duplication) ? 2 : 1;
+  const int copies = ShouldInjectFault(m_faults.duplication) ? 2 : 1;
   for (int i = 0; i < copies; ++i) {
-    if (InjectFault(m_faults.loss)) {
+    if (ShouldInjectFault(m_faults.loss)) {
       continue;
     }
     const auto range = static_cast<std::uint64_t>(
@@ -167,31 +168,33 @@
     const base::Duration delay =
         m_faults.min_delay +
         base::Duration(static_cast<std::int64_t>(m_random() % (range + 1)));
-    m_flights.emplace(m_now + delay, InFlightDatagram{from, datagram});
+    m_in_flight_datagrams.emplace(m_now + delay,
+                                  InFlightDatagram{from, datagram});
   }
 }
 
-void VirtualNetwork::Deliver(const InFlightDatagram& flight) {
-  const auto found = m_names_by_address.find(flight.datagram.to);
+void VirtualNetwork::Deliver(const InFlightDatagram& in_flight) {
+  const auto found = m_names_by_address.find(in_flight.datagram.to);
   if (found == m_names_by_address.end()) {
     return;
   }
   Node& node = m_nodes.at(found->second);
   const bool partitioned =
-      !flight.from.empty() && ArePartitioned(flight.from, found->second);
+      !in_flight.from.empty() && ArePartitioned(in_flight.from, found->second);
   if (!node.running || partitioned) {
     return;
   }
   const std::string from =
-      flight.from.empty() ? "" : m_nodes.at(flight.from).options.self.address;
+      in_flight.from.empty() ? ""
+                             : m_nodes.at(in_flight.from).options.self.address;
   const auto answers =
-      node.membership->Receive(flight.datagram.bytes, from, m_now, m_random);
+      node.membership->Receive(in_flight.datagram.bytes, from, m_now, m_random);
   for (const Datagram& answer : answers) {
     Send(found->second, node, answer);
   }
 }
 
-bool VirtualNetwork::InjectFault(double probability) {
+bool VirtualNetwork::ShouldInjectFault(double probability) {
   return probability > 0 && std::bernoulli_distribution(probability)(m_random);
 }
 
