--- a/include/cassiastile/config/field_reader.hpp
+++ b/include/cassiastile/config/field_reader.hpp
@@ -41,7 +41,8 @@
   std::string Text(std::string_view name);
   std::string Text(std::string_view name, std::string_view default_value);
   // Reads a required name: up to 63 letters, digits, dots, dashes and
-  // underscores, starting with a letter or digit.
+  // underscores, starting with a letter or digit. Another text is reported, but
+  // returned as it is.
   std::string Name(std::string_view name);
   bool Flag(std::string_view name, bool default_value);
   // Reads an optional integer.
--- a/include/cassiastile/entry/credit_account.hpp
+++ b/include/cassiastile/entry/credit_account.hpp
@@ -45,8 +45,9 @@
 enum class CreditSyncResult : std::uint8_t {
   kUnchanged,
   kWritten,
-  kConflict,     // Another host wrote the row first; retry at once.
-  kUnreachable,  // Credits granted before stay usable.
+  kConflict,  // Another host wrote the row first; retry at once.
+  // The table gave no usable answer. Credits granted before stay usable.
+  kUnreachable,
 };
 
 // This host's share of one ledger row. Use of credits stops before the write
--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -123,7 +123,7 @@
   void ApplyConfiguration();
   void AddService(const config::Service& service);
   void RecheckKeys();
-  void List();
+  void RefreshHostList();
   void ReadIncarnations();
   void SyncCredits();
   std::vector<std::pair<CreditAccount*, std::shared_ptr<ServiceShard>>>
@@ -153,7 +153,8 @@
   TeamCredits m_team_credits;
   CreditAccount m_team_account;
   std::mutex m_credits_mutex;  // Guards all accounts.
-  bool m_returned = false;  // Credits were released; none are taken any more.
+  bool m_credits_released =
+      false;  // Credits were released; none are taken any more.
 
   std::unique_ptr<ClaimStore> m_claims;
   std::unique_ptr<wire::HttpClient> m_client;
--- a/src/cassiastile/entry/entry_threads.cpp
+++ b/src/cassiastile/entry/entry_threads.cpp
@@ -45,7 +45,7 @@
 
 void EntryService::ReturnCredits() {
   const std::lock_guard lock(m_credits_mutex);
-  m_returned = true;
+  m_credits_released = true;
   ReleasingConsumer teams(m_team_credits);
   static_cast<void>(SyncAccount(m_team_account, teams));
   for (const auto& [account, shard] : AllAccounts()) {
@@ -67,7 +67,7 @@
 void EntryService::RunListing() {
   base::TimePoint next_members{};
   do {
-    List();
+    RefreshHostList();
     if (m_dependencies.clock.Now() >= next_members) {
       ReadIncarnations();
       next_members =
@@ -164,7 +164,7 @@
 }
 
 // Reads the host list. While it can't be read, the last one stays in use.
-void EntryService::List() {
+void EntryService::RefreshHostList() {
   const auto listed = m_dependencies.hosts.List();
   if (!listed) {
     return;
@@ -195,7 +195,7 @@
 
 void EntryService::SyncCredits() {
   const std::lock_guard lock(m_credits_mutex);
-  if (m_returned) {
+  if (m_credits_released) {
     return;
   }
   static_cast<void>(SyncAccount(m_team_account, m_team_credits));
--- a/src/cassiastile/member/membership_tick.cpp
+++ b/src/cassiastile/member/membership_tick.cpp
@@ -110,24 +110,24 @@
   if (m_ticks % kSeedPingInterval != 1) {
     return;
   }
-  std::vector<std::string> unknown;
+  std::vector<std::string> candidates;
   for (const std::string& seed : m_options.seeds) {
     const bool known = std::any_of(
         m_peers.begin(), m_peers.end(),
         [&](const auto& entry) { return entry.second.record.address == seed; });
     if (!known && seed != m_options.self.address) {
-      unknown.push_back(seed);
+      candidates.push_back(seed);
     }
   }
   // A member that is considered dead may only have been unreachable.
   for (const auto& [name, peer] : m_peers) {
     if (StateOf(peer, now) == MemberState::kDead &&
         !peer.record.address.empty()) {
-      unknown.push_back(peer.record.address);
+      candidates.push_back(peer.record.address);
     }
   }
-  if (!unknown.empty()) {
-    AddPing(actions, PickOne(unknown, random), true, now);
+  if (!candidates.empty()) {
+    AddPing(actions, PickOne(candidates, random), true, now);
   }
 }
 
@@ -202,8 +202,9 @@
   message.promise_id = proposal->id;
   for (const MemberRecord& record : m_list) {
     const auto found = m_peers.find(record.name);
-    const bool asked = !aborted && proposal->promised.contains(record.name);
-    if (found != m_peers.end() && !asked) {
+    const bool has_promised =
+        !aborted && proposal->promised.contains(record.name);
+    if (found != m_peers.end() && !has_promised) {
       actions.datagrams.push_back(
           {found->second.record.address, Encode(message)});
     }
