--- a/include/cassiastile/config/fleet.hpp
+++ b/include/cassiastile/config/fleet.hpp
@@ -67,6 +67,8 @@
   std::string name;
   bool spare = false;  // Its hosts are replacements for other pools.
   Budget budget;
+  // Requires that a host is left when any zone fails while `max_out` hosts of
+  // other zones are out.
   bool survive_zone_loss = false;
   std::vector<Host> hosts;
 };
--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -152,9 +152,8 @@
 
   TeamCredits m_team_credits;
   CreditAccount m_team_account;
-  std::mutex m_credits_mutex;  // Guards all accounts.
-  bool m_credits_released =
-      false;  // Credits were released; none are taken any more.
+  std::mutex m_credits_mutex;       // Guards all accounts.
+  bool m_credits_released = false;  // No credits are taken any more.
 
   std::unique_ptr<ClaimStore> m_claims;
   std::unique_ptr<wire::HttpClient> m_client;
--- a/include/cassiastile/member/membership.hpp
+++ b/include/cassiastile/member/membership.hpp
@@ -262,8 +262,8 @@
   // previous head.
   std::optional<base::TimePoint> m_head_known_at;
   std::uint64_t m_in_force = 0;
-  // When the version in force was last the head; set only while it no longer
-  // is.
+  // When the version in force was last known to be the head; set only once a
+  // newer head is known.
   std::optional<base::TimePoint> m_in_force_confirmed_at;
   std::map<std::uint64_t, std::uint64_t> m_promises;  // Version by prepare id.
   std::optional<Proposal> m_proposal;
--- a/src/cassiastile/member/membership_tick.cpp
+++ b/src/cassiastile/member/membership_tick.cpp
@@ -13,8 +13,8 @@
 // The number of pings in a round when the confirmation of the head is about to
 // expire.
 constexpr int kUrgentPings = 3;
-// One ping round in this many also pings a seed address, from the settings or
-// the host list, that belongs to no known member.
+// One ping round in this many also pings a member that is considered dead, or a
+// seed address, from the settings or the host list, that no known member has.
 constexpr std::uint64_t kSeedPingInterval = 5;
 // The most peers to try when fetching a body.
 constexpr std::size_t kMaxPullPeers = 3;
