--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -73,8 +73,8 @@
   // router.
   void AddRoutes(wire::Router& router);
 
-  // Whether this host can serve requests: it has a configuration and knows
-  // runners.
+  // Whether this host should get requests: it has applied a configuration and
+  // is not draining. Says nothing about runners.
   bool Ready() const;
   // Makes Ready false, so that the load balancer sends requests elsewhere.
   // Requests are still accepted and finished.
@@ -123,7 +123,7 @@
   void ApplyConfiguration();
   void AddService(const config::Service& service);
   void RecheckKeys();
-  void List();
+  void RefreshHostList();
   void ReadIncarnations();
   void SyncCredits();
   std::vector<std::pair<CreditAccount*, std::shared_ptr<ServiceShard>>>
@@ -152,8 +152,8 @@
 
   TeamCredits m_team_credits;
   CreditAccount m_team_account;
-  std::mutex m_credits_mutex;  // Guards all accounts.
-  bool m_returned = false;  // Credits were released; none are taken any more.
+  std::mutex m_credits_mutex;       // Guards all accounts.
+  bool m_credits_released = false;  // No credits are taken any more.
 
   std::unique_ptr<ClaimStore> m_claims;
   std::unique_ptr<wire::HttpClient> m_client;
