--- a/examples/member/membership.cpp
+++ b/examples/member/membership.cpp
@@ -16,7 +16,7 @@
   for (const std::string& name : network.Names()) {
     const Membership& member = network.At(name);
     fresh += member.IsFresh(network.Now()) ? 1 : 0;
-    in_force += member.InForce() == network.Store().lead_byte.version ? 1 : 0;
+    in_force += member.InForce() == network.Store().head.version ? 1 : 0;
   }
   std::printf("%-34s fresh %2d of 14, newest in force %2d of 14\n", what, fresh,
               in_force);
