--- a/include/cassiastile/platform/store_guard.hpp
+++ b/include/cassiastile/platform/store_guard.hpp
@@ -18,7 +18,7 @@
   base::Duration deadline = std::chrono::seconds(2);
   base::Duration first_backoff = std::chrono::milliseconds(20);
   base::Duration longest_backoff = std::chrono::milliseconds(400);
-  // This process's share of the rates that the store allows all hosts together.
+  // This process's share of the rates that the table allows all hosts together.
   double writes_per_second = 25;
   double reads_per_second = 100;
   // Each call adds this much to the retry budget, up to `retry_burst`; a retry
@@ -28,20 +28,21 @@
   CircuitBreakerOptions breaker;
 };
 
-// Numbers since the guard was created.
+// Counters since the guard was created.
 struct StoreGuardCounts {
   std::uint64_t calls = 0;
   std::uint64_t attempts = 0;
   std::uint64_t resolved =
       0;  // Calls that lost an answer and got one by a retry.
   std::uint64_t unknown = 0;  // Calls that ended with an unknown outcome.
-  // Attempts denied by the breaker, or by the rate limit up to the deadline.
+  // Attempts not made because the breaker was open, or because the rate limit
+  // would have delayed them beyond the call's deadline.
   std::uint64_t failed_fast = 0;
 };
 
 // Wraps the table; all of this process's calls to the table go through it.
 // Gives each call a deadline, retries with jitter within a budget, stops
-// calling a failing store, keeps to this process's share of the store's
+// calling a failing table, keeps to this process's share of the table's
 // capacity, and resolves transactions whose answer was lost: it applies the
 // same transaction again under its nonce, which takes effect at most once.
 // Errors are those of Table; kUnknown is returned only if an answer was lost
--- a/include/cassiastile/standin/backend_fault_mix.hpp
+++ b/include/cassiastile/standin/backend_fault_mix.hpp
@@ -15,7 +15,8 @@
   std::uint64_t wrong_answers = 0;    // Incomplete, or to another request.
   std::uint64_t without_answer = 0;
   std::uint64_t answered_twice = 0;
-  std::uint64_t over_slots = 0;  // Starts while all slots were in use.
+  // Requests that reached a runner while all its slots were in use.
+  std::uint64_t over_slots = 0;
 
   bool operator==(const FaultMixViolations&) const = default;
 };
--- a/include/cassiastile/standin/backend_simulation.hpp
+++ b/include/cassiastile/standin/backend_simulation.hpp
@@ -96,7 +96,9 @@
     std::unique_ptr<entry::CreditAccount> account;
     std::unique_ptr<entry::HolderWatch> watch;
     base::TimePoint next_credit_sync{};
-    std::uint64_t generation = 0;  // Completions of earlier ones are dropped.
+    // Grows with each crash and each restart. Completions of calls sent in an
+    // earlier generation are dropped.
+    std::uint64_t generation = 0;
   };
 
   struct BaselineRequest {
--- a/src/bin/measure_requests.cpp
+++ b/src/bin/measure_requests.cpp
@@ -44,11 +44,12 @@
   double goodput = 0;
   double p99_ms = 0;          // Time to a complete answer.
   double refused_p99_ms = 0;  // Time until a caller was told "not run".
-  // The fraction of requests answered later than kSlow or not at all.
+  // The fraction of the answered requests that got no good answer within kSlow.
   double slow_fraction = 0;
-  // Time from the fault to the end of the last slow request.
+  // Time from the fault to the end of the last slow or failed request.
   double recovery_s = 0;
-  // Starts beyond the slots of a backend server.
+  // Requests that reached a backend server while all its slots were in use,
+  // those of the warm-up included.
   std::uint64_t over_slots = 0;
 };
 
--- a/src/cassiastile/operator/log_explanation.cpp
+++ b/src/cassiastile/operator/log_explanation.cpp
@@ -221,7 +221,8 @@
     return OutcomeCause::kInTime;
   }
 
-  // Returns the cause that took the largest part of the job's time.
+  // Returns the cause that took the largest part of the job's time, and adds a
+  // reason with the time of each cause.
   OutcomeCause CauseOfLateness(const Json& end) {
     std::map<OutcomeCause, double> spent;
     const Json* accepted = First("job.accepted");
@@ -285,7 +286,9 @@
     return waited;
   }
 
-  // Milliseconds between two times in which no leader served.
+  // Milliseconds between two times in which no leader served. Each change of
+  // the leader counts from one leader timeout before the first takeover, as the
+  // former leader may have been silent since then, until the new one serves.
   double TimeWithoutLeader(std::int64_t from, std::int64_t to) const {
     double gap = 0;
     std::optional<std::int64_t> taken;
@@ -296,10 +299,11 @@
       } else if (IsEvent(line, "office.serving")) {
         const std::int64_t since = std::max(from, taken.value_or(at));
         if (at > from && since < to) {
-          // The former leader was silent for at most one term before.
-          constexpr std::int64_t kTermMs = 1800;
+          // kLeaderTimeout of host_node.cpp: a leader that is silent for so
+          // long may be replaced.
+          constexpr std::int64_t kLeaderTimeoutMs = 1800;
           gap += static_cast<double>(std::min(at, to) -
-                                     std::max(from, since - kTermMs));
+                                     std::max(from, since - kLeaderTimeoutMs));
         }
         taken.reset();
       }
@@ -308,8 +312,9 @@
   }
 
   // For tasks that were started more than once, the longest time in
-  // milliseconds from the first to the last start: first of tasks whose runs
-  // failed or were stopped, second of tasks whose runs were lost.
+  // milliseconds from the first to the last start: first of tasks of which the
+  // logs show that any run ended or was stopped, second of the other tasks,
+  // whose runs count as lost.
   std::pair<double, double> TimeOfRepeatedRuns() const {
     std::map<std::string, std::vector<const Json*>> starts;
     std::set<std::string> ended;
--- a/src/cassiastile/soak/fleet.hpp
+++ b/src/cassiastile/soak/fleet.hpp
@@ -38,8 +38,8 @@
 
   std::size_t Hosts() const { return m_hosts.size(); }
   std::string CallersEndpoint(std::size_t host) const;
-  // Whether a host was stopped as planned a short time ago, with no other fault
-  // near that time.
+  // Whether the host had a planned stop (SIGTERM) and no other fault within the
+  // time for which a fault has effects, kFaultEffect.
   bool HasOnlyPlannedStops(std::size_t host) const;
   sim::InvariantChecker& Checker() { return m_checker; }
   std::size_t ProcessStarts() const { return m_process_starts; }
@@ -60,7 +60,7 @@
     bool paused = false;
     int reloads = 0;
     base::TimePoint stopped_at{};
-    // End of the last fault but a planned stop.
+    // End of the last fault other than a planned stop; may lie in the future.
     base::TimePoint last_fault_at{};
   };
   struct Machine {
