--- a/include/cassiastile/daemon/platform_access.hpp
+++ b/include/cassiastile/daemon/platform_access.hpp
@@ -16,7 +16,7 @@
 struct PlatformAccessOptions {
   std::string address;  // IP:PORT of the platform services.
   std::string process;  // Identifies this process run in stored decisions.
-  std::chrono::milliseconds timeout{800};  // Of one call.
+  std::chrono::milliseconds timeout{800};  // Of one HTTP call.
   platform::StoreGuardOptions guard;
 };
 
--- a/include/cassiastile/operator/cassiactl.hpp
+++ b/include/cassiastile/operator/cassiactl.hpp
@@ -9,7 +9,8 @@
 // The exit statuses of cassiactl.
 enum class ExitCode {
   kDone = 0,
-  // Refused, with findings or a reason; nothing was changed.
+  // Refused, with findings or a reason; nothing was changed. Also if `audit`
+  // finds the chain broken.
   kRefused = 1,
   // The command line or the settings are invalid.
   kUsage = 2,
--- a/include/cassiastile/platform/circuit_breaker.hpp
+++ b/include/cassiastile/platform/circuit_breaker.hpp
@@ -17,7 +17,7 @@
 
 std::string_view NameOf(BreakerState state);
 
-// Thresholds of a circuit breaker.
+// Settings of a CircuitBreaker.
 struct CircuitBreakerOptions {
   std::uint32_t failures_to_open = 5;  // Consecutive failures.
   // How long the breaker stays open. The time doubles after each failed probe,
--- a/include/cassiastile/platform/decision_json.hpp
+++ b/include/cassiastile/platform/decision_json.hpp
@@ -6,9 +6,9 @@
 
 namespace cassiastile::base {
 
-// The JSON form of a decision in the operators' API: {"id", "kind", "subject",
-// "team", "outcome", "at", "at_ms", "reasons": [{"rule", "section", "version",
-// "observation"}]}.
+// The JSON form of a decision in the operators' API and in stored batches:
+// {"id", "kind", "subject", "team", "outcome", "at", "at_ms", "reasons":
+// [{"rule", "section", "version", "observation"}]}.
 void to_json(nlohmann::json& json, const Decision& decision);
 void from_json(const nlohmann::json& json, Decision& decision);
 
--- a/include/cassiastile/standin/backend.hpp
+++ b/include/cassiastile/standin/backend.hpp
@@ -36,11 +36,12 @@
   std::uint64_t over_slots = 0;        // Starts while all slots were in use.
 };
 
-// A simulated runner for tests. It answers each request with the request's own
-// body after the service time, stops at the timeout the request names, and logs
-// what it executes. Faults are set by calls here or by POST /admin/fault with
-// {"fault", "count", "service_ms", "silence"}. GET /admin/log returns the log;
-// GET /healthz answers while it runs.
+// A stand-in for a runner (a backend server), over HTTP. It answers each
+// request with the request's own body after the service time, stops at the
+// timeout the request names, and logs what it executes. Faults are set by calls
+// here or by POST /admin/fault with {"fault", "count", "service_ms",
+// "silence"}. GET /admin/log returns the log; GET /healthz answers while it
+// runs.
 class Backend {
  public:
   // Fails when the address can't be bound.
--- a/include/cassiastile/standin/platform_server.hpp
+++ b/include/cassiastile/standin/platform_server.hpp
@@ -27,9 +27,9 @@
   std::uint64_t seed = 1;
 };
 
-// Simulates the platform for tests: its table, object store, host list and
-// machine service over HTTP, kept in memory. Faults are injected over HTTP as
-// well. docs/PLATFORM.md describes the calls.
+// A stand-in for the platform: its table, object store, host list and machine
+// service over HTTP, kept in memory. Faults are injected over HTTP as well.
+// docs/PLATFORM.md describes the calls.
 class PlatformServer {
  public:
   static base::Result<std::unique_ptr<PlatformServer>> Start(
--- a/include/cassiastile/standin/worker.hpp
+++ b/include/cassiastile/standin/worker.hpp
@@ -39,6 +39,7 @@
 struct WorkerOptions {
   std::string name;
   std::uint64_t incarnation = 1;
+  // Age from which a run's usage is measured.
   base::Duration usage_lag = std::chrono::seconds(2);
   base::Duration checkpoint_time = std::chrono::milliseconds(500);
 };
@@ -62,6 +63,9 @@
   // Returns the pools to poll: the home pool, and those with runs or
   // unacknowledged ends.
   std::vector<std::string> PoolsToPoll() const;
+  // Applies an answer to the poll sent at `sent`. The lease on the pool's runs
+  // starts at that time, not on arrival, so that it doesn't outlast the
+  // owner's. Ignores answers of owners older than the latest seen.
   void Take(const work::PollAnswer& answer,
             base::TimePoint sent,
             base::TimePoint now);
--- a/include/cassiastile/standin/worker_agent.hpp
+++ b/include/cassiastile/standin/worker_agent.hpp
@@ -25,7 +25,7 @@
 };
 
 // Runs a simulated worker that polls control processes over HTTP. Logs one line
-// for each start and end of a run. Safe for use by several threads.
+// for each start and end of a run. Thread-safe.
 class WorkerAgent {
  public:
   // Starts the threads of the agent. The clock must outlive the agent.
--- a/src/cassiastile/control/config_service.cpp
+++ b/src/cassiastile/control/config_service.cpp
@@ -23,6 +23,7 @@
 constexpr std::size_t kReadThreads = 2;
 constexpr std::size_t kEditThreads = 1;
 constexpr std::size_t kMaxWaiting = 64;
+
 wire::HttpResponse MakeOverloadedResponse() {
   return wire::MakeErrorResponse(
       {base::ErrorCode::kOverloaded, "Too many calls wait for the table."});
--- a/src/cassiastile/control/control_host_test.cpp
+++ b/src/cassiastile/control/control_host_test.cpp
@@ -30,7 +30,7 @@
   return {std::istreambuf_iterator<char>(file), {}};
 }
 
-// Two control processes over real sockets, with a simulated platform.
+// Two control processes over real sockets, with a stand-in platform.
 class ControlHostTest : public testing::Test {
  protected:
   void SetUp() override {
--- a/src/cassiastile/control/task_event_batcher.cpp
+++ b/src/cassiastile/control/task_event_batcher.cpp
@@ -218,9 +218,9 @@
 
 void TaskEventBatcher::Complete(Item& item, work::TaskResult result) const {
   BatcherResult done;
-  const bool confirmed = result.effect == work::Effect::kCommitted;
+  const bool committed = result.effect == work::Effect::kCommitted;
   const work::TaskEntry* entry =
-      confirmed ? m_owner.Shard().Find(item.key) : nullptr;
+      committed ? m_owner.Shard().Find(item.key) : nullptr;
   if (entry != nullptr) {
     done.task = entry->task;
     done.explanation = m_owner.Shard().Explain(item.key);
--- a/src/cassiastile/standin/backend_http.hpp
+++ b/src/cassiastile/standin/backend_http.hpp
@@ -10,7 +10,7 @@
 
 namespace cassiastile::standin {
 
-// A request as the simulated runner reads it.
+// A request as the stand-in runner reads it.
 struct ReceivedRequest {
   std::string method;
   std::string path;
