--- a/src/cassiastile/operator/fleet_commands.cpp
+++ b/src/cassiastile/operator/fleet_commands.cpp
@@ -98,24 +98,24 @@
 
 ExitCode RunWave(const Invocation& invocation) {
   const std::string path = "/v1/waves/" + EncodeSegment(invocation.Word(0));
-  const std::string act = invocation.Word(1);
-  if (act == "status") {
+  const std::string action = invocation.Word(1);
+  if (action == "status") {
     return ShowOutcome(invocation, invocation.Api().Get(path), FormatJson);
   }
-  if (std::find(kWaveActions.begin(), kWaveActions.end(), act) ==
+  if (std::find(kWaveActions.begin(), kWaveActions.end(), action) ==
       kWaveActions.end()) {
     return ReportUsageError(invocation,
                             "use: wave NAME status|start|pause|resume|abort");
   }
   return ShowOutcome(
       invocation,
-      invocation.Api().Post(path + "/" + act, nlohmann::json::object()),
+      invocation.Api().Post(path + "/" + action, nlohmann::json::object()),
       FormatJson);
 }
 
-ExitCode PostHostAction(const Invocation& invocation, std::string_view act) {
+ExitCode PostHostAction(const Invocation& invocation, std::string_view action) {
   const std::string path =
-      fmt::format("/v1/hosts/{}/{}", EncodeSegment(invocation.Word(0)), act);
+      fmt::format("/v1/hosts/{}/{}", EncodeSegment(invocation.Word(0)), action);
   return ShowOutcome(invocation,
                      invocation.Api().Post(path, nlohmann::json::object()),
                      FormatJson);
--- a/src/cassiastile/operator/key_commands.cpp
+++ b/src/cassiastile/operator/key_commands.cpp
@@ -95,9 +95,9 @@
 }
 
 ExitCode RunKey(const Invocation& invocation) {
-  const std::string act = invocation.Word(0);
-  const bool right = (act == "add" && invocation.WordCount() == 3) ||
-                     (act == "withdraw" && invocation.WordCount() == 2);
+  const std::string action = invocation.Word(0);
+  const bool right = (action == "add" && invocation.WordCount() == 3) ||
+                     (action == "withdraw" && invocation.WordCount() == 2);
   if (!right) {
     return ReportUsageError(invocation,
                             "use: key add TEAM ID, or key withdraw ID");
--- a/src/cassiastile/standin/worker_property_test.cpp
+++ b/src/cassiastile/standin/worker_property_test.cpp
@@ -41,12 +41,12 @@
 };
 
 struct Event {
-  Action act = Action::kRun;
+  Action action = Action::kRun;
   int choice = 0;
 };
 
 std::ostream& operator<<(std::ostream& out, const Event& event) {
-  return out << static_cast<int>(event.act) << ":" << event.choice;
+  return out << static_cast<int>(event.action) << ":" << event.choice;
 }
 
 rc::Gen<std::vector<Event>> GenEvents() {
@@ -76,7 +76,7 @@
   void Perform(const Event& event) {
     const auto index = static_cast<std::size_t>(event.choice) % 4;
     Worker& worker = m_cluster.workers->At(index);
-    switch (event.act) {
+    switch (event.action) {
       case Action::kSubmit:
       case Action::kSubmitNonIdempotent:
         return Submit(event);
@@ -150,7 +150,7 @@
 
  private:
   void Submit(const Event& event) {
-    const bool idempotent = event.act == Action::kSubmit;
+    const bool idempotent = event.action == Action::kSubmit;
     m_cluster.Submit(DrawSpec(m_submitted++, event.choice, idempotent));
   }
 
