--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -80,7 +80,7 @@
   // Requests are still accepted and finished.
   void StartDrain();
   // Releases this host's credits in the table. Call it once no request runs.
-  void ReturnCredits();
+  void ReleaseCredits();
 
   // Updates the gauges.
   void UpdateMetrics();
--- a/include/cassiastile/entry/service_shard.hpp
+++ b/include/cassiastile/entry/service_shard.hpp
@@ -63,7 +63,7 @@
   Grants Allow(const Grants& grants, base::TimePoint now) override;
 
   // Whether requests wait for slots on this host.
-  bool LacksSlots() const;
+  bool HasWaitingRequests() const;
 
   // The recent peak of requests that wait or run here, by team.
   std::map<std::string, std::uint32_t> TeamDemand(base::TimePoint now);
--- a/include/cassiastile/fleet/progress.hpp
+++ b/include/cassiastile/fleet/progress.hpp
@@ -34,7 +34,7 @@
 struct NoAction {};
 struct BeginReboot {  // Commit the rebooting state, then request the reboot.
   std::uint64_t boots = 0;
-  std::string cut;  // The work stopped at the drain deadline, if any.
+  std::string stopped_work;  // The work stopped at the drain deadline, if any.
 };
 struct RetryReboot {  // Request the reboot again.
   std::uint64_t boots = 0;
--- a/include/cassiastile/fleet/schedule.hpp
+++ b/include/cassiastile/fleet/schedule.hpp
@@ -14,7 +14,7 @@
 struct ScheduleOptions {
   // Every host is maintained once per cycle.
   std::chrono::hours cycle{24 * 35};
-  std::chrono::seconds service{900};  // Maintenance time of one host.
+  std::chrono::seconds maintenance_time{900};  // Maintenance time of one host.
 };
 
 // When one pool is maintained within the cycle.
--- a/include/cassiastile/fleet/wave_plan.hpp
+++ b/include/cassiastile/fleet/wave_plan.hpp
@@ -45,7 +45,7 @@
 
 // The hosts to drain now, in order, and why the others have to wait.
 struct WaveStep {
-  std::vector<std::string> take;
+  std::vector<std::string> drain;
   bool canary = false;  // Whether the host to drain is a canary.
   std::string why;      // The rule that limits the number.
   std::vector<SkippedHost> skipped;
--- a/include/cassiastile/host/ports.hpp
+++ b/include/cassiastile/host/ports.hpp
@@ -173,7 +173,7 @@
 
 // Outcome of an order for a machine. The numbers are written to the log.
 enum class MachineOrderResult : std::uint8_t {
-  kDone,
+  kAccepted,
   kRefused,  // Busy or not allowed; nothing was done.
   kUnknown,  // May have been carried out, or still be.
 };
--- a/include/cassiastile/sim/table_model.hpp
+++ b/include/cassiastile/sim/table_model.hpp
@@ -30,7 +30,7 @@
   host::FeedPage Feed(const std::string& table, std::uint64_t after) const;
   // Drops the history: a client that follows the feed from an older version
   // must read the table again.
-  void ForgetHistory();
+  void CompactHistory();
   // The row, or null.
   const host::Row* Find(const std::string& table,
                         const std::string& part,
--- a/include/cassiastile/soak/fault_plan.hpp
+++ b/include/cassiastile/soak/fault_plan.hpp
@@ -21,7 +21,7 @@
   kReset,          // All connections are reset.
   kCutToServer,    // No data reaches the server for a time.
   kCutFromServer,  // No data comes from the server for a time.
-  kSilence,        // Open connections carry no data any more; new ones work.
+  kBlackhole,      // Open connections carry no data any more; new ones work.
   kRefuse,         // The table refuses all calls for a time.
   kLoseAnswers,    // The table leaves some applied commits unanswered.
   kForget,         // The table discards its change history.
@@ -40,7 +40,7 @@
     {FaultKind::kReset, "reset"},
     {FaultKind::kCutToServer, "cut there"},
     {FaultKind::kCutFromServer, "cut back"},
-    {FaultKind::kSilence, "silence"},
+    {FaultKind::kBlackhole, "silence"},
     {FaultKind::kRefuse, "refuse"},
     {FaultKind::kLoseAnswers, "lose answers"},
     {FaultKind::kForget, "forget"},
--- a/include/cassiastile/standin/backend_model.hpp
+++ b/include/cassiastile/standin/backend_model.hpp
@@ -68,7 +68,7 @@
 
   const std::vector<Execution>& Log() const { return m_log; }
   // Requests that arrived while all slots of the runner were in use.
-  std::uint64_t StartsOverSlots() const { return m_starts_over_slots; }
+  std::uint64_t ArrivalsOverSlots() const { return m_starts_over_slots; }
 
  private:
   enum class EventKind : std::uint8_t { kArrive, kCut, kEnd, kTimeout };
--- a/include/cassiastile/work/admission.hpp
+++ b/include/cassiastile/work/admission.hpp
@@ -23,7 +23,7 @@
   double urgent_lead = 16;
   // How long after its arrival a request may wait while no slot or team grant
   // is available at all.
-  std::chrono::milliseconds patience{1000};
+  std::chrono::milliseconds max_wait_without_slots{1000};
   // The fraction of a request's remaining time, less the service time, that its
   // expected wait may take: on arrival, and while it is queued.
   double admit_fraction = 0.5;
--- a/include/cassiastile/work/claim.hpp
+++ b/include/cassiastile/work/claim.hpp
@@ -36,7 +36,7 @@
 
 // The largest answer body, in bytes, that is stored for retries. Bodies that
 // are not UTF-8 are not stored either.
-inline constexpr std::size_t kMaxKeptAnswerBytes = 64U << 10U;
+inline constexpr std::size_t kMaxStoredAnswerBytes = 64U << 10U;
 
 // Whether a caller's idempotency key is valid: 1 to 128 characters, each a
 // letter, a digit or one of "._:-".
--- a/src/bin/measure_fleet.cpp
+++ b/src/bin/measure_fleet.cpp
@@ -221,7 +221,7 @@
     }
     budget += race.Table().budget_violations;
     pools += race.Table().pool_violations;
-    takes += race.Table().planned_takes;
+    takes += race.Table().planned_drains;
   }
   Print({"budget_violations_1000_seeds", static_cast<double>(budget), "count",
          "lower", 0});
--- a/src/bin/measure_requests.cpp
+++ b/src/bin/measure_requests.cpp
@@ -133,7 +133,7 @@
   figures.slow_fraction = late / std::max(1.0, total);
   figures.p99_ms = Percentile99(answered);
   figures.refused_p99_ms = Percentile99(refused);
-  figures.over_slots = simulation.Backends().StartsOverSlots();
+  figures.over_slots = simulation.Backends().ArrivalsOverSlots();
   return figures;
 }
 
--- a/src/cassiastile/control/config_answers.cpp
+++ b/src/cassiastile/control/config_answers.cpp
@@ -121,8 +121,8 @@
                                  {"diff", outcome.diff}});
 }
 
-wire::HttpResponse MakeAcceptedAnswer(const member::EditOutcome& outcome,
-                                      const member::EditQuorum::Wait& wait) {
+wire::HttpResponse MakeCommittedAnswer(const member::EditOutcome& outcome,
+                                       const member::EditQuorum::Wait& wait) {
   const bool accepted = wait.missing.empty() || wait.expired;
   return wire::MakeJsonResponse(200,
                                 {{"version", outcome.version},
--- a/src/cassiastile/control/config_service.cpp
+++ b/src/cassiastile/control/config_service.cpp
@@ -232,8 +232,8 @@
       return MakeDryRunAnswer(*result);
     }
     Record(*edit, fmt::format("accepted as version {}", result->version));
-    return MakeAcceptedAnswer(*result,
-                              m_parts.member.WaitUntilInForce(result->version));
+    return MakeCommittedAnswer(
+        *result, m_parts.member.WaitUntilInForce(result->version));
   }
 
   // Records the decision on an edit. Returns its id, empty if there is no sink.
--- a/src/cassiastile/entry/entry_bench.hpp
+++ b/src/cassiastile/entry/entry_bench.hpp
@@ -117,7 +117,7 @@
     m_service->StartDrain();
     const std::size_t cut = m_server->Drain(std::chrono::milliseconds(100),
                                             std::chrono::seconds(20));
-    m_service->ReturnCredits();
+    m_service->ReleaseCredits();
     m_service.reset();
     return cut;
   }
--- a/src/cassiastile/entry/entry_host.cpp
+++ b/src/cassiastile/entry/entry_host.cpp
@@ -60,7 +60,7 @@
     m_log.Warn(std::to_string(cut) +
                " requests were cut off at the drain deadline.");
   }
-  m_service->ReturnCredits();
+  m_service->ReleaseCredits();
   m_service.reset();
   m_member->Stop();
   m_log.Info("Stopped.");
--- a/src/cassiastile/entry/entry_threads.cpp
+++ b/src/cassiastile/entry/entry_threads.cpp
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-void EntryService::ReturnCredits() {
+void EntryService::ReleaseCredits() {
   const std::lock_guard lock(m_credits_mutex);
   m_credits_released = true;
   ReleasingConsumer teams(m_team_credits);
@@ -217,7 +217,7 @@
 bool EntryService::AnyLacksSlots() const {
   const std::vector<NamedShard> shards = AllShards();
   return std::any_of(shards.begin(), shards.end(), [](const NamedShard& named) {
-    return named.second->LacksSlots();
+    return named.second->HasWaitingRequests();
   });
 }
 
--- a/src/cassiastile/entry/service_shard.cpp
+++ b/src/cassiastile/entry/service_shard.cpp
@@ -105,7 +105,7 @@
   return in_use;
 }
 
-bool ServiceShard::LacksSlots() const {
+bool ServiceShard::HasWaitingRequests() const {
   const std::lock_guard lock(m_mutex);
   return m_dispatcher.Waiting() > 0;
 }
--- a/src/cassiastile/fleet/fake_fleet.hpp
+++ b/src/cassiastile/fleet/fake_fleet.hpp
@@ -130,7 +130,7 @@
   double delay_apply = 0;
   std::uint64_t budget_violations = 0;
   std::uint64_t pool_violations = 0;
-  std::uint64_t planned_takes = 0;
+  std::uint64_t planned_drains = 0;
   std::string first_violation;
 
  private:
@@ -178,7 +178,7 @@
     const config::Pool* pool = config::FindPool(m_document->fleet, now.pool);
     const BudgetCount count = CountBudget(pool, now, {});
     if (drained) {
-      ++planned_takes;
+      ++planned_drains;
       if (count.Excess() > 0) {
         ++budget_violations;
         RecordViolation(now.pool + " has " + Describe(count));
@@ -305,11 +305,11 @@
     return found == work.end() ? HostWork{} : found->second;
   }
   void RequestEvacuation(const std::string& host) override {
-    asked.insert(host);
+    evacuation_requests.insert(host);
   }
 
   std::map<std::string, HostWork> work;
-  std::set<std::string> asked;
+  std::set<std::string> evacuation_requests;
 };
 
 class FakeDemand final : public DemandSource {
--- a/src/cassiastile/fleet/reconciler_hosts.cpp
+++ b/src/cassiastile/fleet/reconciler_hosts.cpp
@@ -24,10 +24,10 @@
   bool operator()(const BeginReboot& action) const {
     Change change =
         StartReboot(m_round.context, Pool(), m_host, Wave(), action.boots);
-    if (!action.cut.empty()) {
+    if (!action.stopped_work.empty()) {
       change.decision.reasons.push_back({"cut at the drain deadline", "waves",
                                          m_round.context.document_version,
-                                         action.cut});
+                                         action.stopped_work});
     }
     if (!m_reconciler.CommitInRound(m_round, std::move(change))) {
       return false;
--- a/src/cassiastile/fleet/reconciler_waves.cpp
+++ b/src/cassiastile/fleet/reconciler_waves.cpp
@@ -130,7 +130,7 @@
   }
   const WaveStep step = PlanWaveStep(input);
   m_limiting_rules[wave.name][round.pool] = step.why;
-  for (const std::string& host : step.take) {
+  for (const std::string& host : step.drain) {
     DrainRequest request;
     request.wave = m_state.waves.at(wave.name);
     request.canary = step.canary;
--- a/src/cassiastile/fleet/schedule.cpp
+++ b/src/cassiastile/fleet/schedule.cpp
@@ -51,7 +51,7 @@
        ++fit.concurrent_hosts) {
     fit.finish = FinishOfBatches(wave.window, start,
                                  BatchesOf(fit.hosts, fit.concurrent_hosts),
-                                 options.service);
+                                 options.maintenance_time);
     if (fit.finish <= end) {
       return fit;
     }
@@ -145,7 +145,7 @@
   }
   schedule.peak_out = load.Peak();
   schedule.mean_out =
-      schedule.hosts * static_cast<double>(options.service.count()) /
+      schedule.hosts * static_cast<double>(options.maintenance_time.count()) /
       static_cast<double>(std::chrono::seconds(options.cycle).count());
   return schedule;
 }
--- a/src/cassiastile/fleet/wave_plan.cpp
+++ b/src/cassiastile/fleet/wave_plan.cpp
@@ -110,7 +110,7 @@
       allowed == 0 ? why : fmt::format("{} go before it; {}", allowed, why);
   for (const WaveHost* host : OrderHosts(input)) {
     std::uint32_t& rack = rack_out[RackKey(host->host)];
-    if (step.take.size() >= allowed) {
+    if (step.drain.size() >= allowed) {
       step.skipped.push_back({host->host.name, held_back});
     } else if (rack >= input.wave->per_rack) {
       step.skipped.push_back(
@@ -118,7 +118,7 @@
                                         input.wave->per_rack)});
     } else {
       ++rack;
-      step.take.push_back(host->host.name);
+      step.drain.push_back(host->host.name);
     }
   }
   return step;
--- a/src/cassiastile/fleet/wave_test.cpp
+++ b/src/cassiastile/fleet/wave_test.cpp
@@ -153,7 +153,7 @@
   EXPECT_EQ(reconciler.OverdueDrains().begin()->second,
             "2 tasks (1 without checkpoint) and 0 requests run past the drain "
             "deadline");
-  EXPECT_TRUE(world.work.asked.contains("p0-h0"));
+  EXPECT_TRUE(world.work.evacuation_requests.contains("p0-h0"));
 }
 
 TEST(WaveTest, WorkPastTheDeadlineIsStoppedWhenConfigured) {
--- a/src/cassiastile/host/machine_controller.cpp
+++ b/src/cassiastile/host/machine_controller.cpp
@@ -389,7 +389,7 @@
                                        {"wave", number},
                                        {"fence", m_fencing_token},
                                        {"result", static_cast<int>(result)}});
-        if (result == MachineOrderResult::kDone) {
+        if (result == MachineOrderResult::kAccepted) {
           m_waves[number].begun[name] = true;
           m_store_row(MakeWaveRow(m_waves[number]), [] {});
           machine.accepted = true;
@@ -520,7 +520,7 @@
                              {"to", move.to},
                              {"fence", m_fencing_token},
                              {"result", static_cast<int>(result)}});
-                if (result == MachineOrderResult::kDone) {
+                if (result == MachineOrderResult::kAccepted) {
                   machine.accepted = true;
                   machine.accepted_at = now;
                   machine.idle_since = {};
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -410,7 +410,7 @@
       if (machine.pool != pool) {
         Restart(machine, MachineState::kMoving, kMoveTime, pool);
       }
-      done(MachineOrderResult::kDone);
+      done(MachineOrderResult::kAccepted);
     });
   }
 
@@ -422,7 +422,7 @@
     m_world.Post(kStoreLatency, [this, name, wave, done] {
       auto& machine = m_world.m_machines.at(name);
       if (machine.waves.contains(wave)) {
-        done(MachineOrderResult::kDone);
+        done(MachineOrderResult::kAccepted);
         return;
       }
       if (machine.state != MachineState::kUp) {
@@ -432,7 +432,7 @@
       machine.waves.insert(wave);
       Restart(machine, MachineState::kMaintenance, kMaintenanceTime,
               machine.pool);
-      done(MachineOrderResult::kDone);
+      done(MachineOrderResult::kAccepted);
     });
   }
 
--- a/src/cassiastile/sim/table_model.cpp
+++ b/src/cassiastile/sim/table_model.cpp
@@ -76,7 +76,7 @@
   return page;
 }
 
-void TableModel::ForgetHistory() {
+void TableModel::CompactHistory() {
   m_history.clear();
   m_forgotten = m_version;
 }
--- a/src/cassiastile/soak/fleet.cpp
+++ b/src/cassiastile/soak/fleet.cpp
@@ -377,7 +377,7 @@
       return;
     case Place::kTable:
       if (fault.kind == FaultKind::kForget) {
-        m_table->Model().ForgetHistory();
+        m_table->Model().CompactHistory();
         return;
       }
       m_table->Faults().refuses_calls = fault.kind == FaultKind::kRefuse;
@@ -430,7 +430,7 @@
     case FaultKind::kReset:
       proxy.ResetConnections();
       return;
-    case FaultKind::kSilence:
+    case FaultKind::kBlackhole:
       proxy.BlackholeConnections();
       return;
     default:
--- a/src/cassiastile/standin/backend_fault_mix.cpp
+++ b/src/cassiastile/standin/backend_fault_mix.cpp
@@ -108,7 +108,7 @@
     ++runs[execution.request];
   }
   FaultMixResult result;
-  result.violations.over_slots = simulation.Backends().StartsOverSlots();
+  result.violations.over_slots = simulation.Backends().ArrivalsOverSlots();
   for (const SimulatedRequest& request : requests) {
     const int ran = runs[std::to_string(request.id)];
     const auto answer = simulation.Answers().find(request.id);
--- a/src/cassiastile/work/admission.cpp
+++ b/src/cassiastile/work/admission.cpp
@@ -282,7 +282,7 @@
   if (now >= ticket.deadline) {
     return RefusalReason::kWaitTooLong;
   }
-  const bool patient = now - ticket.arrived < m_options.patience;
+  const bool patient = now - ticket.arrived < m_options.max_wait_without_slots;
   if (rate.slots == 0) {
     return patient ? std::nullopt : std::optional(RefusalReason::kNoRunner);
   }
--- a/src/cassiastile/work/claim.cpp
+++ b/src/cassiastile/work/claim.cpp
@@ -54,7 +54,7 @@
   std::optional<Claim> operator()(const Answered& answered) const {
     Claim ended = claim;
     const std::string& body = answered.response.body;
-    const bool kept = body.size() <= kMaxKeptAnswerBytes && IsValidUtf8(body);
+    const bool kept = body.size() <= kMaxStoredAnswerBytes && IsValidUtf8(body);
     ended.state = kept ? ClaimState::kAnswered : ClaimState::kRan;
     ended.answer = kept ? answered.response : wire::HttpResponse{};
     return ended;
