--- a/src/cassiastile/soak/fleet.cpp
+++ b/src/cassiastile/soak/fleet.cpp
@@ -330,14 +330,14 @@
     machine->pool = pool;
     EndIncarnation(*machine, host::MachineState::kMoving, kMoveDuration);
   }
-  return host::MachineOrderResult::kDone;
+  return host::MachineOrderResult::kAccepted;
 }
 
 host::MachineOrderResult Fleet::Maintain(const std::string& name,
                                          std::uint64_t wave) {
   Machine* machine = FindMachine(name);
   if (machine != nullptr && machine->last_wave == wave) {
-    return host::MachineOrderResult::kDone;
+    return host::MachineOrderResult::kAccepted;
   }
   if (machine == nullptr || machine->state != host::MachineState::kUp) {
     return host::MachineOrderResult::kRefused;
@@ -355,7 +355,7 @@
   machine->reuses_id = false;
   EndIncarnation(*machine, host::MachineState::kMaintenance,
                  kMaintenanceDuration);
-  return host::MachineOrderResult::kDone;
+  return host::MachineOrderResult::kAccepted;
 }
 
 void Fleet::Apply(const Fault& fault) {
