--- a/examples/fleet/wave_step.cpp
+++ b/examples/fleet/wave_step.cpp
@@ -26,7 +26,7 @@
       {{.name = "h4", .zone = "a", .rack = "r1"}, {}, {}, true},
   };
   const fleet::WaveStep step = fleet::PlanWaveStep(input);
-  for (const std::string& host : step.take) {
+  for (const std::string& host : step.drain) {
     std::printf("take %s: %s\n", host.c_str(), step.why.c_str());
   }
   for (const fleet::SkippedHost& skipped : step.skipped) {
--- a/src/bin/measure_fleet.cpp
+++ b/src/bin/measure_fleet.cpp
@@ -429,7 +429,7 @@
   const auto start = std::chrono::steady_clock::now();
   std::size_t taken = 0;
   for (int i = 0; i < kRepeats; ++i) {
-    taken += fleet::PlanWaveStep(input).take.size();
+    taken += fleet::PlanWaveStep(input).drain.size();
   }
   const std::chrono::duration<double> took =
       std::chrono::steady_clock::now() - start;
