--- a/include/cassiastile/member/message.hpp
+++ b/include/cassiastile/member/message.hpp
@@ -62,7 +62,7 @@
 struct MemberStatement {
   std::uint8_t heard_age = 0;   // In kAgeUnitMilliseconds; or kAgeUnknown.
   std::uint8_t agreed_age = 0;  // Since it agreed with the head; same unit.
-  bool in_force = false;        // Whether it has the head's version in force.
+  bool has_head_in_force = false;  // It acts on the head's version.
 };
 
 // The unit of the ages in MemberStatement, in milliseconds.
--- a/include/cassiastile/wire/http_server.hpp
+++ b/include/cassiastile/wire/http_server.hpp
@@ -24,7 +24,7 @@
   std::size_t threads = 2;
   std::size_t max_connections = 4096;
   std::size_t max_body_bytes = 4U << 20U;
-  std::size_t max_header_bytes = 16U << 10U;  // For one field value.
+  std::size_t max_field_value_bytes = 16U << 10U;  // For one field value.
   std::size_t max_header_count = 100;
   // Time limit for receiving a whole request, and for an idle connection.
   std::chrono::milliseconds read_timeout{15000};
--- a/include/cassiastile/work/request_dispatcher.hpp
+++ b/include/cassiastile/work/request_dispatcher.hpp
@@ -117,7 +117,7 @@
   std::uint32_t TeamRunning(const std::string& team) const {
     return m_queue.CountOf(team).running;
   }
-  std::size_t Waiting() const { return m_queue.Size() + m_retries.size(); }
+  std::size_t Queued() const { return m_queue.Size() + m_retries.size(); }
   std::size_t Unfinished() const {
     return m_queue.Size() + m_open_requests.size();
   }
--- a/src/cassiastile/entry/service_shard.cpp
+++ b/src/cassiastile/entry/service_shard.cpp
@@ -107,7 +107,7 @@
 
 bool ServiceShard::HasWaitingRequests() const {
   const std::lock_guard lock(m_mutex);
-  return m_dispatcher.Waiting() > 0;
+  return m_dispatcher.Queued() > 0;
 }
 
 std::map<std::string, std::uint32_t> ServiceShard::TeamDemand(
@@ -131,7 +131,7 @@
 ServiceShard::Stats ServiceShard::ReadStats() const {
   const std::lock_guard lock(m_mutex);
   Stats stats;
-  stats.waiting = m_dispatcher.Waiting();
+  stats.waiting = m_dispatcher.Queued();
   stats.unfinished = m_dispatcher.Unfinished();
   for (const work::Runner& runner : m_dispatcher.AllRunners()) {
     stats.slots += runner.granted;
--- a/src/cassiastile/member/membership_receive.cpp
+++ b/src/cassiastile/member/membership_receive.cpp
@@ -75,7 +75,7 @@
     if (found != m_peers.end()) {
       statement.heard_age = PackAge(found->second.heard_at, now);
       statement.agreed_age = PackAge(found->second.agreed_at, now);
-      statement.in_force = found->second.in_force >= m_head.version;
+      statement.has_head_in_force = found->second.in_force >= m_head.version;
     }
     message.statements.push_back(statement);
   }
@@ -266,7 +266,7 @@
     if (statement.agreed_age != kAgeUnknown) {
       AdvanceTo(peer.agreed_at, as_of - UnpackAge(statement.agreed_age));
     }
-    if (statement.in_force) {
+    if (statement.has_head_in_force) {
       peer.in_force = std::max(peer.in_force, m_head.version);
     }
   }
--- a/src/cassiastile/member/message.cpp
+++ b/src/cassiastile/member/message.cpp
@@ -77,7 +77,7 @@
 }
 
 bool IsInForce(const MemberStatement& statement) {
-  return statement.in_force;
+  return statement.has_head_in_force;
 }
 
 void SaveBits(cereal::PortableBinaryOutputArchive& archive,
@@ -133,7 +133,7 @@
   for (std::size_t i = 0; i < count; ++i) {
     statements[i].agreed_age =
         agreed[i] ? statements[i].heard_age : kAgeUnknown;
-    statements[i].in_force = in_force[i];
+    statements[i].has_head_in_force = in_force[i];
   }
   return statements;
 }
--- a/src/cassiastile/member/message_test.cpp
+++ b/src/cassiastile/member/message_test.cpp
@@ -43,9 +43,9 @@
   EXPECT_EQ(decoded->head, sample.head);
   EXPECT_TRUE(decoded->agrees);
   EXPECT_EQ(decoded->statements.size(), 2U);
-  EXPECT_TRUE(decoded->statements[0].in_force);
+  EXPECT_TRUE(decoded->statements[0].has_head_in_force);
   EXPECT_EQ(decoded->statements[0].agreed_age, 2U);
-  EXPECT_FALSE(decoded->statements[1].in_force);
+  EXPECT_FALSE(decoded->statements[1].has_head_in_force);
   EXPECT_EQ(decoded->statements[1].heard_age, 3U);
   EXPECT_EQ(decoded->statements[1].agreed_age, kAgeUnknown);
   EXPECT_EQ(decoded->records, sample.records);
--- a/src/cassiastile/wire/http_server.cpp
+++ b/src/cassiastile/wire/http_server.cpp
@@ -99,7 +99,7 @@
         .handle_request_timeout(m_options.handle_timeout)
         .incoming_http_msg_limits(
             restinio::incoming_http_msg_limits_t{}
-                .max_field_value_size(m_options.max_header_bytes)
+                .max_field_value_size(m_options.max_field_value_bytes)
                 .max_field_count(m_options.max_header_count)
                 .max_body_size(m_options.max_body_bytes))
         .acceptor_options_setter([](restinio::acceptor_options_t& acceptor) {
--- a/src/cassiastile/work/request_dispatcher.cpp
+++ b/src/cassiastile/work/request_dispatcher.cpp
@@ -301,7 +301,7 @@
   const AdmissionQueue::TeamCount count = m_queue.CountOf(team);
   std::uint32_t& most = m_demand.by_team[team];
   most = std::max(most, count.queued + count.running);
-  const auto waiting = static_cast<std::uint32_t>(Waiting());
+  const auto waiting = static_cast<std::uint32_t>(Queued());
   m_demand.requests = std::max(m_demand.requests, waiting + m_queue.Running());
 }
 
--- a/src/cassiastile/work/request_dispatcher_test.cpp
+++ b/src/cassiastile/work/request_dispatcher_test.cpp
@@ -119,7 +119,7 @@
     EXPECT_EQ(Arrive(false).size(), 1U);
   }
   EXPECT_TRUE(Arrive(false).empty());
-  EXPECT_EQ(m_dispatcher.Waiting(), 1U);
+  EXPECT_EQ(m_dispatcher.Queued(), 1U);
 }
 
 TEST_F(RequestDispatcherTest, RequestOfARevokedKeyIsNotSent) {
@@ -130,7 +130,7 @@
   const auto end = Only<FinishRequest>(
       m_dispatcher.RefuseInvalidKeys({"k2"}, RefusalReason::kUnknownKey));
   EXPECT_TRUE(std::holds_alternative<NotRun>(end.outcome));
-  EXPECT_EQ(m_dispatcher.Waiting(), 0U);
+  EXPECT_EQ(m_dispatcher.Queued(), 0U);
 }
 
 TEST_F(RequestDispatcherTest, NothingIsSentAfterAPauseUntilSlotsAreReread) {
