--- a/include/cassiastile/member/message.hpp
+++ b/include/cassiastile/member/message.hpp
@@ -60,8 +60,8 @@
 // What the sender of an acknowledgement knows about one listed member. An age
 // is an upper bound on the time since the member itself sent the information.
 struct MemberStatement {
-  std::uint8_t heard_age = 0;   // In kAgeUnitMilliseconds; or kAgeUnknown.
-  std::uint8_t agreed_age = 0;  // Since it agreed with the head; same unit.
+  std::uint8_t heard_age = 0;      // In kAgeUnitMilliseconds; or kAgeUnknown.
+  std::uint8_t agreed_age = 0;     // Since it agreed with the head; same unit.
   bool has_head_in_force = false;  // It acts on the head's version.
 };
 
