--- a/include/cassiastile/work/admission.hpp
+++ b/include/cassiastile/work/admission.hpp
@@ -21,8 +21,8 @@
   std::size_t queue_limit = 512;
   // By how many requests a team's urgent ones may run ahead of its fair share.
   double urgent_lead = 16;
-  // How long after its arrival a request may wait while no slot or team grant
-  // is available at all.
+  // How long after its arrival a request may wait while this host has no
+  // usable slots at all, or its team's concurrency limit is zero.
   std::chrono::milliseconds max_wait_without_slots{1000};
   // The fraction of a request's remaining time, less the service time, that its
   // expected wait may take: on arrival, and while it is queued.
@@ -41,8 +41,8 @@
 
 // The rate at which this host can currently start requests.
 struct ServiceRate {
-  std::uint32_t slots = 0;  // Granted to this host on usable runners.
-  base::Duration service_time{};
+  std::uint32_t slots = 0;        // Granted to this host on usable runners.
+  base::Duration service_time{};  // Average per request.
 };
 
 // A request that was refused, and why.
@@ -53,7 +53,7 @@
 
 // The queue of one service on this host: bounded, urgent requests first,
 // weighted fair among teams (start-time fair queuing). Refuses early what would
-// miss its deadline.
+// miss its deadline. Not thread-safe.
 class AdmissionQueue {
  public:
   explicit AdmissionQueue(AdmissionOptions options);
@@ -76,7 +76,8 @@
                                        base::TimePoint now) const;
 
   // Removes the next request in fair-share order and counts it as running.
-  // Nothing when no request may start.
+  // Nothing when the queue is empty or all waiting teams are at their limits.
+  // The caller must have a free slot.
   std::optional<RequestTicket> TakeNext();
 
   // Counts one more try of a dequeued request as running.
--- a/include/cassiastile/work/claim.hpp
+++ b/include/cassiastile/work/claim.hpp
@@ -51,7 +51,8 @@
                           const wire::HttpRequest& request);
 
 std::string FormatClaim(const Claim& claim);
-// kInvalid when the text is not a claim.
+// kInvalid when the text is not a claim. A state that this version does not
+// know is read as kUnknown.
 base::Result<Claim> ParseClaim(const std::string& text);
 
 // The outcome of a retry that found this claim. kKeyReused when the
--- a/include/cassiastile/work/placement.hpp
+++ b/include/cassiastile/work/placement.hpp
@@ -17,17 +17,20 @@
   std::size_t zone = 0;  // Index into TeamSpread::zones; rack likewise.
   std::size_t rack = 0;
   Resources capacity;
-  Resources placed;  // Used by the tasks on it.
-  // Kept free for urgent tasks.
-  Resources reserve;
-  Resources claimed;  // Part of the free resources promised to waiting tasks.
+  Resources placed;   // Used by the tasks on it.
+  Resources reserve;  // Kept free for urgent tasks.
+  // What preemption frees for waiting tasks, so that the same resources are not
+  // counted on twice.
+  Resources promised;
   bool in_service = false;
   bool draining = false;
   bool open = false;             // Accepts new tasks.
   bool idempotent_only = false;  // Being probed after failures.
-  // Reserved for urgent tasks and, where it is set, for reserved_for_team.
-  bool held = false;
+  // The whole host is reserved for urgent tasks and, where it is set, for
+  // reserved_for_team.
+  bool reserved = false;
   std::string reserved_for_team;
+  // When a wave is expected to drain it, if known.
   std::optional<base::TimePoint> drain_expected;
 };
 
@@ -41,11 +44,11 @@
 struct PlacementRequest {
   std::string team;
   Resources size;
-  double seconds_upper = 0;
+  double seconds_upper = 0;  // Upper estimate of its run time.
   bool urgent = false;
   bool idempotent = false;
   std::vector<std::string> excluded_workers;  // Must not be used.
-  const TeamSpread* spread = nullptr;
+  const TeamSpread* spread = nullptr;  // Not owned; null ignores the spread.
 };
 
 // Whether the host can take the task now.
--- a/include/cassiastile/work/request_dispatcher.hpp
+++ b/include/cassiastile/work/request_dispatcher.hpp
@@ -27,8 +27,8 @@
   RequestId request_id = 0;
   std::string runner;
   std::string address;
-  base::Duration timeout{};  // The runner is told to stop after this time.
-  bool fresh_connection = false;
+  base::Duration timeout{};       // The runner is told to stop after this time.
+  bool fresh_connection = false;  // Must not reuse a kept connection.
 };
 
 // Send a health check to the runner, then report the result with EndProbe.
@@ -81,12 +81,14 @@
 
 // Schedules all requests of one service on one entry host: which are queued,
 // which runner each is sent to, which are retried, and how each ends. Does no
-// I/O and reads no clock: events come in with the time, and actions go out.
+// I/O and reads no clock: events come in with the time, and actions go out. Not
+// thread-safe.
 class RequestDispatcher {
  public:
   RequestDispatcher(RequestDispatcherOptions options, std::uint64_t seed);
 
   RequestActions Arrive(const RequestTicket& ticket, base::TimePoint now);
+  // Ignores tries that it does not know.
   RequestActions EndTry(TryId try_id, TryResult result, base::TimePoint now);
   RequestActions EndProbe(const std::string& runner,
                           bool healthy,
@@ -122,7 +124,8 @@
     return m_queue.Size() + m_open_requests.size();
   }
   PeakDemand TakeDemand();
-  bool Paused() const { return m_paused; }
+  // Whether nothing is sent until slots are read again; see SetSlots.
+  bool IsPaused() const { return m_paused; }
 
  private:
   // One try of a request at one runner.
@@ -184,7 +187,7 @@
                     RequestActions& actions);
   void FinishOverdue(base::TimePoint now, RequestActions& actions);
   void Hedge(base::TimePoint now);
-  void ReleaseHeld(base::TimePoint now);
+  void ReleaseHeldSlots(base::TimePoint now);
   void ReleaseSlot(const std::string& runner,
                    const std::string& team,
                    double cost);
--- a/include/cassiastile/work/runner.hpp
+++ b/include/cassiastile/work/runner.hpp
@@ -24,9 +24,10 @@
   bool leaving = false;  // Listed as leaving, or no longer listed.
 
   std::uint32_t granted = 0;  // Slots granted to this host.
-  std::uint32_t in_use = 0;   // Of these, occupied or possibly occupied.
+  std::uint32_t in_use = 0;   // Of these, the ones that are or may be occupied.
 
-  base::Duration latency{};    // Moving average over complete answers.
+  // Moving average over complete answers; zero before the first.
+  base::Duration latency{};
   std::uint32_t failures = 0;  // Consecutive.
   base::TimePoint last_answer{};
   // Connections to it are not reused before this time.
--- a/include/cassiastile/work/share_account.hpp
+++ b/include/cassiastile/work/share_account.hpp
@@ -25,6 +25,7 @@
 // stays its weight's fraction of the pool.
 class ShareAccount {
  public:
+  // ProjectedUsage assumes that current use goes on for `horizon`.
   explicit ShareAccount(base::Duration horizon = std::chrono::seconds(5));
 
   void SetCapacity(const Resources& capacity);
@@ -33,7 +34,7 @@
   // Sets the resources that a team uses from now on.
   void SetUse(const std::string& team, const Resources& use, TeamDemand demand);
 
-  // Accounts for the time since the last call.
+  // Charges each team for its use since the last call.
   void Advance(base::TimePoint now);
 
   // Corrects a team's usage, in resources times seconds, after a report showed
@@ -41,7 +42,8 @@
   void Correct(const std::string& team, const Resources& resource_seconds);
 
   // The scheduling key: the team with the lowest value comes next. Decreases
-  // with the team's weight, increases with its past and its current usage.
+  // with the team's weight, increases with its past and its current usage. In
+  // dominant share times seconds, divided by weight.
   double ProjectedUsage(const std::string& team) const;
 
   // The fraction of the pool that the team is entitled to while all teams with
@@ -68,8 +70,8 @@
   base::Duration m_horizon;
   Resources m_capacity;
   std::map<std::string, Account> m_accounts;
-  double m_floor = 0;
-  base::TimePoint m_last{};
+  double m_floor = 0;  // The lowest usage of a waiting team.
+  base::TimePoint m_last_advance{};
 };
 
 }  // namespace cassiastile::work
--- a/include/cassiastile/work/size_estimate.hpp
+++ b/include/cassiastile/work/size_estimate.hpp
@@ -22,9 +22,9 @@
 // The expected size and run time of a task.
 struct SizeEstimate {
   Resources size;
-  double seconds = 0;        // Expected run time.
-  double seconds_upper = 0;  // Rarely exceeded.
-  bool learned = false;      // Whether size.cores is not the declared one.
+  double seconds = 0;          // Expected run time.
+  double seconds_upper = 0;    // A run time that is rarely exceeded.
+  bool cores_learned = false;  // Whether size.cores comes from observations.
 };
 
 // Observations of one quantity: its amount, and its ratio to the declared
@@ -48,7 +48,7 @@
  public:
   SizeEstimate Estimate(const TaskSpec& spec) const;
   void ObserveUsage(const TaskSpec& spec, const Resources& usage);
-  void ObserveSeconds(const TaskSpec& spec, double seconds);
+  void ObserveRunTime(const TaskSpec& spec, double seconds);
 
  private:
   struct LearntTeam {
--- a/include/cassiastile/work/task.hpp
+++ b/include/cassiastile/work/task.hpp
@@ -105,7 +105,8 @@
 
 // Serializes a record as JSON.
 std::string EncodeTask(const Task& task);
-// kInvalid when the text is not a record.
+// kInvalid when the text is not a record. A state or outcome that this version
+// does not know is read as kInDoubt or kNone.
 base::Result<Task> DecodeTask(const std::string& text);
 
 // Parses the body of a submission, which does not contain the queue, team and
--- a/include/cassiastile/work/task_index.hpp
+++ b/include/cassiastile/work/task_index.hpp
@@ -27,13 +27,16 @@
   std::uint64_t version = 0;  // Of its row; zero when it has none.
   Resources placed;           // Counted on its host.
   Resources charged;          // Counted for its team.
-  Resources accounted;        // Charged so far, resources times seconds.
-  base::TimePoint accounted_at{};
+  // Resources times seconds that its team was charged for the run, and until
+  // when.
+  Resources charged_usage;
+  base::TimePoint charged_until{};
   base::TimePoint started{};
   bool measured = false;  // Whether its usage was reported.
-  double throttle = 1;
+  double throttle = 1;    // The fraction of its full speed that it may use.
   RunRequest request = RunRequest::kNone;
-  bool unschedulable = false;  // No host of the pool could hold it.
+  // No host of the pool could hold it, or its team's limit is zero.
+  bool unschedulable = false;
 };
 
 // Tasks in order of submission: sequence and key.
@@ -43,7 +46,7 @@
 struct TeamTasks {
   TaskOrder urgent;          // Waiting.
   TaskOrder normal;          // Waiting.
-  TaskOrder unschedulable;   // Waiting for a host that could hold them.
+  TaskOrder unschedulable;   // Waiting until they can run.
   std::uint32_t in_use = 0;  // Runs that count against the team's limit.
   Resources charged;
   std::map<std::string, std::uint32_t> on_worker;
@@ -71,6 +74,7 @@
   void Load(Task task, std::uint64_t version);
   void Clear();
 
+  // Null when there is none. Valid until the next change of the index.
   const TaskEntry* Find(const std::string& key) const;
   std::size_t Size() const;
 
@@ -93,7 +97,7 @@
   const std::map<std::string, TeamTasks>& Teams() const;
   const std::map<std::string, WorkerTasks>& Workers() const;
 
-  // Ended tasks without unconfirmed runs, by the time of their last change.
+  // Ended tasks without unconfirmed runs: changed_ms and key.
   const std::set<std::pair<std::int64_t, std::string>>& Ended() const;
   const std::set<std::string>& InDoubt() const;
   std::uint64_t LastSequence() const;
@@ -109,12 +113,14 @@
   std::map<std::string, WorkerTasks> m_workers;
   std::set<std::pair<std::int64_t, std::string>> m_ended;
   std::set<std::string> m_in_doubt;
-  std::map<std::string, std::optional<TaskEntry>> m_before;
-  std::set<std::string> m_written;
+  // The entries that the batch changed, as they were before; no value for those
+  // that it added.
+  std::map<std::string, std::optional<TaskEntry>> m_undo;
+  std::set<std::string> m_to_write;  // Keys of the batch's rows.
   std::uint64_t m_last_sequence = 0;
 };
 
 // Whether a worker may be running the task under its current lease.
-bool MayRun(const Task& task);
+bool MayBeRunning(const Task& task);
 
 }  // namespace cassiastile::work
--- a/include/cassiastile/work/task_owner.hpp
+++ b/include/cassiastile/work/task_owner.hpp
@@ -23,8 +23,8 @@
   TaskShardOptions shard;
   // How often credits are exchanged: while a team waits for more, and
   // otherwise, to return unused ones.
-  base::Duration credit_fetch = std::chrono::milliseconds(500);
-  base::Duration credit_return = std::chrono::seconds(3);
+  base::Duration credit_fetch_interval = std::chrono::milliseconds(500);
+  base::Duration credit_return_interval = std::chrono::seconds(3);
   // Waits between attempts while the table fails.
   base::Duration first_backoff = std::chrono::milliseconds(100);
   base::Duration longest_backoff = std::chrono::seconds(2);
@@ -63,6 +63,7 @@
 // leases. Calls block on the table. Not thread-safe.
 class TaskOwner {
  public:
+  // The table and the sink must outlive the owner.
   TaskOwner(const std::string& pool,
             TaskOwnerOptions options,
             platform::Table& table,
@@ -89,11 +90,15 @@
   TaskShard& Shard();
 
  private:
+  // Prepares for events: adopts a new lease, resolves a pending write and reads
+  // a page if needed. Returns false during a backoff or when the table failed.
   bool Prepare(Moment moment, const OwnerLease& owner_lease);
   std::vector<TaskResult> HandleWhileReading(
       const std::vector<TaskEvent>& events,
       Moment moment);
+  // Returns false while the outcome of the pending write is unknown.
   bool ResolvePending();
+  // Reads the next page unless all were read. Returns false on failure.
   bool ReadIfNeeded(Moment moment);
   void BeginRead();
   void ExchangeCredits(Moment moment);
@@ -120,7 +125,7 @@
   // The last key of a read in progress.
   std::optional<std::string> m_read_after;
   std::uint64_t m_batches_written = 0;
-  base::TimePoint m_credits_at{};
+  base::TimePoint m_last_credit_exchange{};
   base::TimePoint m_retry_at{};
   base::Duration m_backoff{};
 };
--- a/include/cassiastile/work/task_poll.hpp
+++ b/include/cassiastile/work/task_poll.hpp
@@ -85,8 +85,9 @@
 // arrives after it abandoned the poll. A shard epoch of zero only renews the
 // lease: no owner of the shard could be asked.
 struct PollAnswer {
-  std::string pool;       // The shard that answered.
-  std::string home_pool;  // The pool of the worker's host.
+  std::string pool;  // The shard that answered.
+  // The pool of the worker's host; empty when the answering side does not know.
+  std::string home_pool;
   std::uint64_t shard_epoch = 0;
   base::Duration lease{};
   base::Duration poll_after{};
@@ -97,7 +98,8 @@
   std::vector<RunRef> acknowledged;
 };
 
-// Polls and answers as JSON. Decoding fails with kInvalid.
+// Polls and answers as JSON. Decoding fails with kInvalid; the end of a run
+// that this version does not know is read as kStopped.
 std::string EncodePoll(const WorkerPoll& poll);
 base::Result<WorkerPoll> DecodePoll(const std::string& text);
 std::string EncodePollAnswer(const PollAnswer& answer);
--- a/include/cassiastile/work/task_shard.hpp
+++ b/include/cassiastile/work/task_shard.hpp
@@ -36,13 +36,16 @@
   base::Duration lease_margin = std::chrono::seconds(2);
   base::Duration poll_after = std::chrono::milliseconds(500);
   // A worker that has not polled for longer gets no new tasks.
-  base::Duration silence = std::chrono::seconds(2);
+  base::Duration max_silence = std::chrono::seconds(2);
   // The fraction of a pool's cores kept free for urgent tasks, if the pool has
   // an urgent queue.
   double urgent_reserve = 0.05;
-  Resources reserve_piece{4, 16, 0};
+  Resources reserve_piece{4, 16, 0};  // What SpreadReserve reserves per host.
+  // How often an idempotent task may fail, not counting failures on unhealthy
+  // workers; twice as often when they are counted.
   std::uint32_t max_tries = 3;
   std::size_t max_tasks = 50000;
+  // How long ended tasks are kept, and how many a batch deletes at most.
   base::Duration retention = std::chrono::hours(1);
   std::size_t max_deletions = 64;
   // How long a team below half of its entitlement waits before runs that can be
@@ -104,7 +107,7 @@
 // and answers come out. A proposed batch is either confirmed after its rows
 // were written, or rolled back; until then no answer may be given. Until all
 // rows were read from the table, the shard accepts submissions and starts
-// nothing.
+// nothing. Not thread-safe.
 class TaskShard {
  public:
   TaskShard(std::string pool, TaskShardOptions options, base::Random random);
@@ -138,14 +141,14 @@
   PollAnswer Answer(const WorkerPoll& poll) const;
 
   // Asks the runs on a host that can be checkpointed to stop at a checkpoint,
-  // and places no new tasks on it for a while.
+  // and places no new tasks on it for 60 seconds.
   void RequestEvacuation(const std::string& host, base::TimePoint now);
   // The runs on a host, and an upper estimate of the time until the last of
   // them ends.
   fleet::HostWork WorkOn(const std::string& host, base::TimePoint now) const;
 
   const TaskEntry* Find(const std::string& key) const;
-  // Why the task waits, is in doubt or ended.
+  // Why the task waits, is in doubt or ended; empty when there is no such task.
   std::string Explain(const std::string& key) const;
   const TaskIndex& Tasks() const;
   const ShareAccount& Shares() const;
@@ -165,7 +168,8 @@
     bool polled = false;
     bool leaving = false;
   };
-  // Why a team's tasks waited in the last scheduling pass.
+  // Why a team's tasks waited in the last scheduling pass, and since when there
+  // has been no room for them.
   struct TeamWait {
     std::string reason;
     base::TimePoint waiting_since{};
@@ -198,6 +202,8 @@
   TaskReply On(const CancelEvent& event);
   TaskReply On(const ResolveEvent& event);
   TaskReply Refuse(const TaskSpec& spec, Verdict verdict, std::string reason);
+  // Why the task can't run: its team's limit is zero, or no host of the pool
+  // could hold it. Empty when it can, or while no hosts are known.
   std::string WhyUnschedulable(const TaskSpec& spec) const;
   void RecheckUnschedulable();
 
@@ -209,7 +215,7 @@
   void OnNewIncarnation(const WorkerPoll& poll);
   void OnReportedRun(const WorkerPoll& poll, const HeldTask& held);
   void OnMeasured(TaskEntry& entry, const Resources& usage);
-  void Account(TaskEntry& entry) const;
+  void AccrueCharge(TaskEntry& entry) const;
   void OnEnded(const WorkerPoll& poll, const EndedRun& ended);
   void OnRunEnd(TaskEntry entry, const EndedRun& ended);
   void OnFailed(TaskEntry entry, const EndedRun& ended);
@@ -257,16 +263,16 @@
   TeamDemand DemandOf(const std::string& team) const;
   std::vector<std::string> WaitingTeams(bool urgent) const;
 
-  base::Decision& Decide(base::DecisionKind kind,
-                         const Task& task,
-                         std::string outcome,
-                         base::Reason reason);
+  base::Decision& AddDecision(base::DecisionKind kind,
+                              const Task& task,
+                              std::string outcome,
+                              base::Reason reason);
 
   std::string m_pool;
   TaskShardOptions m_options;
   base::Random m_random;
   bool m_loaded = false;
-  std::uint64_t m_version = 0;  // Of the fleet configuration.
+  std::uint64_t m_fleet_version = 0;
   std::map<std::string, std::uint32_t> m_limits;
   std::map<std::string, std::uint32_t> m_grants;
   bool m_has_urgent = false;
@@ -276,7 +282,7 @@
   std::map<std::string, std::size_t> m_host_index;
   std::map<std::string, std::size_t> m_zones;
   std::map<std::string, std::size_t> m_racks;
-  Resources m_largest;  // The most of each resource that one host has.
+  Resources m_max_per_host;  // The most of each resource that one host has.
   std::map<std::string, TeamWait> m_waits;
   // Hosts reserved for urgent tasks, and until when.
   std::map<std::string, base::TimePoint> m_reserved_until;
@@ -287,7 +293,8 @@
   WorkerHealthTracker m_health;
   Moment m_moment{};
   Moment m_last_dispatch{};
-  bool m_changed = true;  // Whether a pass may place more than the last one.
+  // Whether a scheduling pass may place more than the last one.
+  bool m_pass_needed = true;
   std::vector<Observation> m_observations;
   std::vector<base::Decision> m_decisions;
 };
--- a/include/cassiastile/work/task_store.hpp
+++ b/include/cassiastile/work/task_store.hpp
@@ -22,7 +22,7 @@
 // One page of a shard's rows.
 struct StoredPage {
   std::vector<StoredTask> tasks;
-  std::string last_key;
+  std::string last_key;  // The next page follows it.
   bool is_last = false;
 };
 
@@ -37,9 +37,11 @@
 
 // A pool's task rows in the table. Every write is fenced by the shard's
 // precondition. A write whose answer was lost stays pending until its outcome
-// is known; nothing else is written before.
+// is known; nothing else is written before. Calls block on the table. Not
+// thread-safe.
 class TaskStore {
  public:
+  // The table must outlive the store.
   TaskStore(platform::Table& table, std::string pool, base::Random random);
 
   // Returns the errors of Table. After kUnknown the transaction is pending.
@@ -61,7 +63,7 @@
   // previous and its new grant.
   base::Result<TeamGrants> ExchangeCredits(
       const std::map<std::string, LimitNeed>& needs,
-      const TeamGrants& before,
+      const TeamGrants& previous,
       const platform::Precondition& fence);
 
  private:
--- a/include/cassiastile/work/worker_health.hpp
+++ b/include/cassiastile/work/worker_health.hpp
@@ -24,6 +24,7 @@
   // Consecutive failures of any kinds, and how many kinds these must be of.
   std::uint32_t failures_without_evidence = 6;
   std::uint32_t kinds_without_evidence = 3;
+  // How long a success on another worker counts as evidence.
   base::Duration evidence_age = std::chrono::minutes(10);
   base::Duration first_quarantine = std::chrono::seconds(30);
   base::Duration longest_quarantine = std::chrono::minutes(10);
@@ -55,8 +56,8 @@
     std::uint32_t failures_with_evidence = 0;
     std::set<std::string> kinds;
     bool was_quarantined = false;
-    base::TimePoint until{};
-    base::Duration length{};
+    base::TimePoint quarantined_until{};
+    base::Duration quarantine_length{};
     std::string evidence;
   };
   struct Success {
--- a/src/cassiastile/work/admission.cpp
+++ b/src/cassiastile/work/admission.cpp
@@ -236,6 +236,7 @@
   return next;
 }
 
+// The team with the most queued per weight; null when nothing is queued.
 AdmissionQueue::TeamQueue* AdmissionQueue::FindLargest() {
   TeamQueue* largest = nullptr;
   double most_per_weight = 0;
@@ -282,12 +283,15 @@
   if (now >= ticket.deadline) {
     return RefusalReason::kWaitTooLong;
   }
-  const bool patient = now - ticket.arrived < m_options.max_wait_without_slots;
+  const bool within_max_wait =
+      now - ticket.arrived < m_options.max_wait_without_slots;
   if (rate.slots == 0) {
-    return patient ? std::nullopt : std::optional(RefusalReason::kNoRunner);
+    return within_max_wait ? std::nullopt
+                           : std::optional(RefusalReason::kNoRunner);
   }
   if (team.quota.granted && *team.quota.granted == 0) {
-    return patient ? std::nullopt : std::optional(RefusalReason::kTeamLimit);
+    return within_max_wait ? std::nullopt
+                           : std::optional(RefusalReason::kTeamLimit);
   }
   const double left =
       SecondsOf(ticket.deadline - now - rate.service_time) * wait_fraction;
--- a/src/cassiastile/work/admission_test.cpp
+++ b/src/cassiastile/work/admission_test.cpp
@@ -109,7 +109,7 @@
   EXPECT_EQ(refusals.size() + m_queue.Size(), 50U);
 }
 
-TEST_F(AdmissionTest, FullQueueEvictsFromTheTeamWithMost) {
+TEST_F(AdmissionTest, FullQueueEvictsFromTheTeamWithMostQueued) {
   for (int i = 0; i < 100; ++i) {
     EXPECT_TRUE(Offer(MakeTicket("large")).empty());
   }
@@ -123,7 +123,7 @@
   EXPECT_EQ(m_queue.Size(), 100U);
 }
 
-TEST_F(AdmissionTest, TeamStaysWithinItsGrant) {
+TEST_F(AdmissionTest, TeamStaysWithinItsConcurrencyLimit) {
   m_queue.SetQuota("t", {.weight = 1, .granted = 2});
   for (int i = 0; i < 3; ++i) {
     Offer(MakeTicket("t"));
@@ -136,7 +136,7 @@
   EXPECT_TRUE(m_queue.TakeNext());
 }
 
-TEST_F(AdmissionTest, RetryAfterSpreadsCallers) {
+TEST_F(AdmissionTest, RetryAfterIsSpreadWithinItsBounds) {
   std::set<std::int64_t> seconds;
   for (int i = 0; i < 50; ++i) {
     Offer(MakeTicket("t"));
@@ -150,7 +150,7 @@
   EXPECT_GE(seconds.size(), 8U);
 }
 
-TEST(RetryBudgetTest, RetriesStayAPartOfAnswers) {
+TEST(RetryBudgetTest, RetriesStayAFractionOfAnswers) {
   RetryBudget budget(0.1, 2);
   int retries = 0;
   for (int i = 0; i < 1000; ++i) {
--- a/src/cassiastile/work/credit_ledger_test.cpp
+++ b/src/cassiastile/work/credit_ledger_test.cpp
@@ -26,7 +26,7 @@
   EXPECT_EQ(ledger.holdings.at("e1#1").granted, kSlots);
 }
 
-TEST(CreditLedgerTest, IdleCreditsAreGivenBack) {
+TEST(CreditLedgerTest, UnusedCreditsAreReturned) {
   Ledger ledger = Rebalance(MakeLedger(kSlots), "e1#1", 0, 8);
   ledger = Rebalance(ledger, "e1#1", 1, 2);
   EXPECT_EQ(ledger.holdings.at("e1#1").granted, 2U);
@@ -34,7 +34,7 @@
   EXPECT_TRUE(ledger.holdings.empty());
 }
 
-TEST(CreditLedgerTest, LatecomerGetsItsFairPartOnceWorkEnds) {
+TEST(CreditLedgerTest, LaterHolderGetsItsFairShareAsWorkEnds) {
   Ledger ledger = Rebalance(MakeLedger(kSlots), "e1#1", 8, 8);
   ledger = Rebalance(ledger, "e2#1", 0, 8);
   EXPECT_EQ(ledger.holdings.at("e2#1").granted, 0U);
@@ -46,7 +46,7 @@
   EXPECT_EQ(ledger.holdings.at("e2#1").granted, 4U);
 }
 
-TEST(CreditLedgerTest, SmallWantsLeaveTheRestToOthers) {
+TEST(CreditLedgerTest, CreditsOneHolderDoesNotWantGoToOthers) {
   Ledger ledger = MakeLedger(kSlots);
   ledger = Rebalance(ledger, "e1#1", 0, 1);
   ledger = Rebalance(ledger, "e2#1", 0, 20);
@@ -65,7 +65,7 @@
   EXPECT_EQ(ledger.holdings.at("e1#1").granted, 2U);
 }
 
-TEST(CreditLedgerTest, ForfeitFreesWhatAHolderHad) {
+TEST(CreditLedgerTest, RemovedHoldersCreditsAreFree) {
   Ledger ledger = Rebalance(MakeLedger(kSlots), "e1#1", 0, 8);
   ledger = Rebalance(RemoveHolder(ledger, "e1#1"), "e1#2", 0, 8);
   EXPECT_EQ(ledger.holdings.at("e1#2").granted, kSlots);
@@ -88,7 +88,7 @@
 }
 
 RC_GTEST_PROP(CreditLedgerTest,
-              HoldersThatWantMoreConvergeOnFairParts,
+              HoldersThatWantMoreConvergeOnFairShares,
               (std::uint8_t count)) {
   const std::uint32_t holders = 1 + count % 8;
   Ledger ledger = MakeLedger(kSlots);
--- a/src/cassiastile/work/placement.cpp
+++ b/src/cassiastile/work/placement.cpp
@@ -45,8 +45,8 @@
     return false;
   }
   const bool reserved_for_others =
-      host.held && (host.reserved_for_team.empty() ||
-                    host.reserved_for_team != request.team);
+      host.reserved && (host.reserved_for_team.empty() ||
+                        host.reserved_for_team != request.team);
   if (reserved_for_others && !request.urgent) {
     return false;
   }
--- a/src/cassiastile/work/request_dispatcher.cpp
+++ b/src/cassiastile/work/request_dispatcher.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+// How long after its deadline a request still waits for a try in progress.
 constexpr std::chrono::milliseconds kOverdueMargin{100};
 
 template <typename... Visitors>
@@ -88,7 +89,7 @@
 RequestActions RequestDispatcher::Tick(base::TimePoint now) {
   RequestActions actions;
   DetectPause(now);
-  ReleaseHeld(now);
+  ReleaseHeldSlots(now);
   Hedge(now);
   EjectSlow(m_runners, m_options.routing, now);
   for (const std::size_t due : TakeDueProbes(m_runners, now)) {
@@ -275,8 +276,9 @@
          actions);
 }
 
-// Ends requests that got no answer from any try by their deadline, and requests
-// waiting for a retry that can't be answered in time or have no runner left.
+// Ends requests whose tries got no answer by kOverdueMargin after the deadline,
+// and requests waiting for a retry that can't be answered in time or have no
+// runner left.
 void RequestDispatcher::FinishOverdue(base::TimePoint now,
                                       RequestActions& actions) {
   for (auto next = m_open_requests.begin(); next != m_open_requests.end();) {
--- a/src/cassiastile/work/request_dispatcher_tries.cpp
+++ b/src/cassiastile/work/request_dispatcher_tries.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+// The weight of each answer in the moving average of the service time.
 constexpr double kServiceTimeGain = 0.05;
 constexpr int kServerError = 500;
 
@@ -142,7 +143,7 @@
   }
 }
 
-void RequestDispatcher::ReleaseHeld(base::TimePoint now) {
+void RequestDispatcher::ReleaseHeldSlots(base::TimePoint now) {
   std::vector<HeldSlot> still_held;
   for (HeldSlot& held : m_held_slots) {
     if (now < held.until) {
--- a/src/cassiastile/work/routing.cpp
+++ b/src/cassiastile/work/routing.cpp
@@ -7,6 +7,7 @@
 
 namespace {
 
+// The weight of each answer in the moving average of a runner's latency.
 constexpr double kLatencyGain = 0.1;
 constexpr std::uint32_t kMaxDoublings = 8;
 constexpr std::size_t kMinRunnersForMedian = 3;
--- a/src/cassiastile/work/routing_test.cpp
+++ b/src/cassiastile/work/routing_test.cpp
@@ -58,7 +58,7 @@
   }
 }
 
-TEST(RoutingTest, KeepsToGrantedSlots) {
+TEST(RoutingTest, UsesNoMoreThanTheGrantedSlots) {
   base::Random random(1);
   Runners runners = MakeRunners(3);
   for (std::uint32_t i = 0; i < 3 * kSlots; ++i) {
@@ -106,13 +106,13 @@
   EXPECT_EQ(TakeDueProbes(runners, due).size(), 1U);
   RecordProbe(runners[0], false, options, due);
   EXPECT_EQ(runners[0].ejected_until, due + 2 * options.ejection);
-  const base::TimePoint again = runners[0].ejected_until;
-  EXPECT_EQ(TakeDueProbes(runners, again).size(), 1U);
-  RecordProbe(runners[0], true, options, again);
+  const base::TimePoint next_due = runners[0].ejected_until;
+  EXPECT_EQ(TakeDueProbes(runners, next_due).size(), 1U);
+  RecordProbe(runners[0], true, options, next_due);
   EXPECT_TRUE(IsUsable(runners[0]));
 }
 
-TEST(RoutingTest, EjectsTheOneFarSlowerThanTheMedian) {
+TEST(RoutingTest, EjectsARunnerFarSlowerThanTheMedian) {
   Runners runners = MakeRunners(5);
   runners[2].latency = std::chrono::milliseconds(200);
   EjectSlow(runners, MakeOptions(), kStart);
--- a/src/cassiastile/work/share_account.cpp
+++ b/src/cassiastile/work/share_account.cpp
@@ -43,8 +43,8 @@
 
 void ShareAccount::Advance(base::TimePoint now) {
   const double seconds =
-      m_last == base::TimePoint{} ? 0 : Seconds(now - m_last);
-  m_last = now;
+      m_last_advance == base::TimePoint{} ? 0 : Seconds(now - m_last_advance);
+  m_last_advance = now;
   for (auto& [team, account] : m_accounts) {
     account.unsettled = account.unsettled + account.use * seconds;
     Settle(account, now);
--- a/src/cassiastile/work/size_estimate.cpp
+++ b/src/cassiastile/work/size_estimate.cpp
@@ -84,15 +84,15 @@
   if (team == m_teams.end()) {
     return estimate;
   }
-  static const LearntKind nothing;
+  static const LearntKind unseen_kind;
   const auto found = team->second.kinds.find(spec.kind);
   const LearntKind& kind =
-      found == team->second.kinds.end() ? nothing : found->second;
+      found == team->second.kinds.end() ? unseen_kind : found->second;
   const LearntKind& all = team->second.all;
   const auto cores = Predict(kind.cores, all.cores, spec.declared.cores);
   if (cores.moments != nullptr) {
     estimate.size.cores = cores.scale * Mean(*cores.moments);
-    estimate.learned = true;
+    estimate.cores_learned = true;
   }
   const auto memory = Predict(kind.memory, all.memory, spec.declared.memory_gb);
   if (memory.moments != nullptr) {
@@ -116,7 +116,7 @@
   }
 }
 
-void SizeEstimator::ObserveSeconds(const TaskSpec& spec, double seconds) {
+void SizeEstimator::ObserveRunTime(const TaskSpec& spec, double seconds) {
   LearntKind& all = m_teams[spec.team].all;
   ObserveQuantity(all.seconds, spec.seconds, seconds);
   ObserveQuantity(KindOf(spec).seconds, spec.seconds, seconds);
--- a/src/cassiastile/work/task.cpp
+++ b/src/cassiastile/work/task.cpp
@@ -34,7 +34,7 @@
     {TaskOutcome::kRefused, "refused"},
 }};
 
-double PartOf(double amount, double capacity) {
+double FractionOf(double amount, double capacity) {
   return capacity > 0 ? amount / capacity : 0;
 }
 
@@ -111,14 +111,14 @@
          character == '.' || character == '_' || character == '-';
 }
 
-bool IsId(const std::string& id) {
+bool IsValidId(const std::string& id) {
   return !id.empty() && id.size() <= kMaxIdLength &&
          std::all_of(id.begin(), id.end(), IsIdCharacter);
 }
 
 base::Result<TaskSpec> CheckSpec(TaskSpec spec) {
   using base::ErrorCode;
-  if (!IsId(spec.id)) {
+  if (!IsValidId(spec.id)) {
     return base::Fail(ErrorCode::kInvalid,
                       "id must be 1 to 64 letters, digits, dots, underscores "
                       "or dashes");
@@ -159,9 +159,9 @@
 }
 
 double DominantShare(const Resources& amount, const Resources& capacity) {
-  return std::max({PartOf(amount.cores, capacity.cores),
-                   PartOf(amount.memory_gb, capacity.memory_gb),
-                   PartOf(amount.accelerators, capacity.accelerators)});
+  return std::max({FractionOf(amount.cores, capacity.cores),
+                   FractionOf(amount.memory_gb, capacity.memory_gb),
+                   FractionOf(amount.accelerators, capacity.accelerators)});
 }
 
 std::string_view NameOf(TaskState state) {
--- a/src/cassiastile/work/task_index.cpp
+++ b/src/cassiastile/work/task_index.cpp
@@ -38,11 +38,11 @@
 
 }  // namespace
 
-bool MayRun(const Task& task) {
-  const bool given = task.state == TaskState::kLeased ||
-                     task.state == TaskState::kRunning ||
-                     task.state == TaskState::kInDoubt;
-  return given && !task.lease.worker.empty();
+bool MayBeRunning(const Task& task) {
+  const bool assigned = task.state == TaskState::kLeased ||
+                        task.state == TaskState::kRunning ||
+                        task.state == TaskState::kInDoubt;
+  return assigned && !task.lease.worker.empty();
 }
 
 void TaskIndex::Load(Task task, std::uint64_t version) {
@@ -71,10 +71,10 @@
 void TaskIndex::Put(TaskEntry entry, bool write) {
   const std::string key = KeyOf(entry.task.spec);
   const TaskEntry* old = Find(key);
-  m_before.try_emplace(
+  m_undo.try_emplace(
       key, old == nullptr ? std::nullopt : std::optional<TaskEntry>(*old));
   if (write) {
-    m_written.insert(key);
+    m_to_write.insert(key);
   }
   Replace(key, std::move(entry));
 }
@@ -84,8 +84,8 @@
   if (old == nullptr) {
     return;
   }
-  m_before.try_emplace(key, *old);
-  m_written.insert(key);
+  m_undo.try_emplace(key, *old);
+  m_to_write.insert(key);
   Replace(key, std::nullopt);
 }
 
@@ -95,8 +95,8 @@
 
 std::vector<TaskRowChange> TaskIndex::Rows() const {
   std::vector<TaskRowChange> rows;
-  for (const std::string& key : m_written) {
-    const std::optional<TaskEntry>& before = m_before.at(key);
+  for (const std::string& key : m_to_write) {
+    const std::optional<TaskEntry>& before = m_undo.at(key);
     const TaskEntry* after = Find(key);
     if (!before && after == nullptr) {
       continue;
@@ -113,22 +113,22 @@
 }
 
 void TaskIndex::Confirm() {
-  for (const std::string& key : m_written) {
+  for (const std::string& key : m_to_write) {
     const auto found = m_entries.find(key);
     if (found != m_entries.end()) {
       ++found->second.version;
     }
   }
-  m_before.clear();
-  m_written.clear();
+  m_undo.clear();
+  m_to_write.clear();
 }
 
 void TaskIndex::RollBack() {
-  for (auto& [key, entry] : m_before) {
+  for (auto& [key, entry] : m_undo) {
     Replace(key, std::move(entry));
   }
-  m_before.clear();
-  m_written.clear();
+  m_undo.clear();
+  m_to_write.clear();
 }
 
 const TeamTasks& TaskIndex::TeamOf(const std::string& team) const {
@@ -184,7 +184,7 @@
   if (task.state == TaskState::kQueued) {
     IndexWaiting(entry, add);
   }
-  if (MayRun(task)) {
+  if (MayBeRunning(task)) {
     AddOrRemove(m_workers[task.lease.worker].runs, KeyOf(task.spec), add);
     IndexRun(entry, task.lease, add);
   }
--- a/src/cassiastile/work/task_owner.cpp
+++ b/src/cassiastile/work/task_owner.cpp
@@ -42,7 +42,7 @@
     m_limits[limit.team] = limit.tasks;
   }
   m_shard.SetFleet(accepted);
-  m_credits_at = {};
+  m_last_credit_exchange = {};
 }
 
 void TaskOwner::SetHosts(const std::vector<fleet::HostView>& hosts) {
@@ -186,19 +186,20 @@
   m_read_after.reset();
   m_shard.SetGrants({});
   m_grants.clear();
-  m_credits_at = {};
+  m_last_credit_exchange = {};
   m_must_read = false;
   return true;
 }
 
 void TaskOwner::ExchangeCredits(Moment moment) {
-  const base::Duration every =
-      WaitsForCredit() ? m_options.credit_fetch : m_options.credit_return;
-  if (m_limits.empty() || (m_credits_at != base::TimePoint{} &&
-                           moment.now - m_credits_at < every)) {
+  const base::Duration every = WaitsForCredit()
+                                   ? m_options.credit_fetch_interval
+                                   : m_options.credit_return_interval;
+  if (m_limits.empty() || (m_last_credit_exchange != base::TimePoint{} &&
+                           moment.now - m_last_credit_exchange < every)) {
     return;
   }
-  m_credits_at = moment.now;
+  m_last_credit_exchange = moment.now;
   const auto grants =
       m_store.ExchangeCredits(LimitNeeds(), m_grants, m_owner_lease.fence);
   if (!grants) {
@@ -216,7 +217,7 @@
     const auto held = m_grants.find(team);
     const bool holds = held != m_grants.end() && held->second > 0;
     if (need.in_use > 0 || need.wanted > 0 || holds ||
-        m_credits_at == base::TimePoint{}) {
+        m_last_credit_exchange == base::TimePoint{}) {
       needs[team] = need;
     }
   }
--- a/src/cassiastile/work/task_policy_test.cpp
+++ b/src/cassiastile/work/task_policy_test.cpp
@@ -26,7 +26,7 @@
   EXPECT_EQ(sizes.Estimate(MakeSpec("a", "k")).size.cores, 8);
   for (int run = 0; run < 5; ++run) {
     sizes.ObserveUsage(MakeSpec("a", "k"), {2, 4, 0});
-    sizes.ObserveSeconds(MakeSpec("a", "k"), 25);
+    sizes.ObserveRunTime(MakeSpec("a", "k"), 25);
   }
   const SizeEstimate estimate = sizes.Estimate(MakeSpec("a", "k"));
   EXPECT_NEAR(estimate.size.cores, 2, 0.01);
--- a/src/cassiastile/work/task_shard.cpp
+++ b/src/cassiastile/work/task_shard.cpp
@@ -33,7 +33,7 @@
           static_cast<double>(host.accelerators)};
 }
 
-Resources Largest(const Resources& left, const Resources& right) {
+Resources MaxOfEach(const Resources& left, const Resources& right) {
   return {std::max(left.cores, right.cores),
           std::max(left.memory_gb, right.memory_gb),
           std::max(left.accelerators, right.accelerators)};
@@ -84,7 +84,7 @@
 void TaskShard::EndLoad(Moment moment) {
   m_loaded = true;
   m_moment = moment;
-  m_changed = true;
+  m_pass_needed = true;
   m_recheck_unschedulable = true;
   for (const auto& [worker, tasks] : m_tasks.Workers()) {
     m_workers[worker].last_poll = moment.now;
@@ -96,7 +96,7 @@
 }
 
 void TaskShard::SetFleet(const config::AcceptedFleet& accepted) {
-  m_version = accepted.version;
+  m_fleet_version = accepted.version;
   m_limits.clear();
   for (const config::Limit& limit : accepted.fleet.limits) {
     m_limits[limit.team] = limit.tasks;
@@ -109,7 +109,7 @@
                   [this](const config::Queue& queue) {
                     return queue.pool == m_pool && queue.urgent;
                   });
-  m_changed = true;
+  m_pass_needed = true;
 }
 
 void TaskShard::SetHosts(const std::vector<fleet::HostView>& hosts) {
@@ -117,7 +117,7 @@
   m_host_index.clear();
   m_zones.clear();
   m_racks.clear();
-  m_largest = {};
+  m_max_per_host = {};
   Resources capacity;
   for (const fleet::HostView& view : hosts) {
     m_host_index[view.host.name] = m_hosts.size();
@@ -125,15 +125,15 @@
     m_hosts.back().zone = NumberOf(m_zones, view.host.zone);
     m_hosts.back().rack = NumberOf(m_racks, view.host.rack);
     capacity = capacity + m_hosts.back().capacity;
-    m_largest = Largest(m_largest, m_hosts.back().capacity);
+    m_max_per_host = MaxOfEach(m_max_per_host, m_hosts.back().capacity);
   }
   m_shares.SetCapacity(capacity);
   m_recheck_unschedulable = true;
-  m_changed = true;
+  m_pass_needed = true;
 }
 
 void TaskShard::SetGrants(std::map<std::string, std::uint32_t> grants) {
-  m_changed = m_changed || grants != m_grants;
+  m_pass_needed = m_pass_needed || grants != m_grants;
   m_grants = std::move(grants);
 }
 
@@ -173,7 +173,7 @@
 void TaskShard::RollBack() {
   m_tasks.RollBack();
   m_observations.clear();
-  m_changed = true;
+  m_pass_needed = true;
   SyncShares();
 }
 
@@ -249,7 +249,7 @@
   const auto wall = static_cast<std::uint64_t>(WallMilliseconds(m_moment.wall));
   entry.task.sequence = std::max(m_tasks.LastSequence() + 1, wall);
   Write(std::move(entry), "waits for its turn");
-  m_changed = true;
+  m_pass_needed = true;
   return {};
 }
 
@@ -262,7 +262,7 @@
   if (entry.task.state == TaskState::kEnded || entry.task.cancel_requested) {
     return {Verdict::kSame, "", ""};
   }
-  if (MayRun(entry.task)) {
+  if (MayBeRunning(entry.task)) {
     entry.task.cancel_requested = true;
     Write(std::move(entry), "cancelled; its worker has yet to stop it");
     return {};
@@ -285,10 +285,10 @@
     return {Verdict::kConflict, "the task is not in doubt", ""};
   }
   entry.task.unconfirmed.clear();
-  m_changed = true;
+  m_pass_needed = true;
   const std::string reason = "resolved by " + event.who;
-  Decide(base::DecisionKind::kChange, entry.task, "resolved",
-         {"operator's word", "", m_version, reason});
+  AddDecision(base::DecisionKind::kChange, entry.task, "resolved",
+              {"operator's word", "", m_fleet_version, reason});
   if (!in_doubt) {
     Write(std::move(entry), reason);
   } else if (event.outcome == TaskOutcome::kNone) {
@@ -304,9 +304,9 @@
                             std::string reason) {
   Task task;
   task.spec = spec;
-  const base::Decision& decision =
-      Decide(base::DecisionKind::kRefusal, task, "not run",
-             {std::string(NameOf(verdict)), "pools", m_version, reason});
+  const base::Decision& decision = AddDecision(
+      base::DecisionKind::kRefusal, task, "not run",
+      {std::string(NameOf(verdict)), "pools", m_fleet_version, reason});
   return {verdict, std::move(reason), decision.id};
 }
 
@@ -349,9 +349,9 @@
     }
     entry.unschedulable = !why.empty();
     entry.task.reason = why.empty() ? "waits for its turn" : why;
-    Decide(base::DecisionKind::kChange, entry.task,
-           why.empty() ? "can run again" : "can't run",
-           {"fits a host", "pools", m_version, entry.task.reason});
+    AddDecision(base::DecisionKind::kChange, entry.task,
+                why.empty() ? "can run again" : "can't run",
+                {"fits a host", "pools", m_fleet_version, entry.task.reason});
     m_tasks.Put(std::move(entry), false);
   }
 }
@@ -366,7 +366,7 @@
   entry.task.state = TaskState::kEnded;
   entry.task.outcome = outcome;
   entry.task.lease.worker.clear();
-  m_changed = true;
+  m_pass_needed = true;
   Write(std::move(entry), std::move(reason));
 }
 
@@ -379,7 +379,7 @@
   entry.task.lease.worker.clear();
   entry.request = RunRequest::kNone;
   entry.measured = false;
-  m_changed = true;
+  m_pass_needed = true;
   Write(std::move(entry), std::move(reason));
 }
 
@@ -398,10 +398,10 @@
   }
 }
 
-base::Decision& TaskShard::Decide(base::DecisionKind kind,
-                                  const Task& task,
-                                  std::string outcome,
-                                  base::Reason reason) {
+base::Decision& TaskShard::AddDecision(base::DecisionKind kind,
+                                       const Task& task,
+                                       std::string outcome,
+                                       base::Reason reason) {
   base::Decision decision;
   decision.id = base::MakeId(m_random);
   decision.kind = kind;
--- a/src/cassiastile/work/task_shard_dispatch.cpp
+++ b/src/cassiastile/work/task_shard_dispatch.cpp
@@ -47,10 +47,10 @@
 
 void TaskShard::Dispatch() {
   const bool due = m_moment.now - m_last_dispatch.now >= kPassInterval;
-  if (!m_changed && !due) {
+  if (!m_pass_needed && !due) {
     return;
   }
-  m_changed = false;
+  m_pass_needed = false;
   m_last_dispatch = m_moment;
   RequestEvacuations();
   RefreshHosts();
@@ -78,16 +78,17 @@
 void TaskShard::RefreshHost(PlacementHost& host) const {
   const WorkerTasks& tasks = m_tasks.WorkerOf(host.name);
   host.placed = tasks.placed;
-  host.claimed = {};
+  host.promised = {};
   host.reserve = {};
-  const auto held = m_reserved_until.find(host.name);
-  host.held = held != m_reserved_until.end() && m_moment.now < held->second;
+  const auto reservation = m_reserved_until.find(host.name);
+  host.reserved = reservation != m_reserved_until.end() &&
+                  m_moment.now < reservation->second;
   host.reserved_for_team.clear();
   const auto worker = m_workers.find(host.name);
   host.open = host.in_service && !m_evacuating_until.contains(host.name) &&
               worker != m_workers.end() && worker->second.polled &&
               !worker->second.leaving &&
-              m_moment.now - worker->second.last_poll <= m_options.silence;
+              m_moment.now - worker->second.last_poll <= m_options.max_silence;
   const WorkerHealthState health_state =
       m_health.HealthOf(host.name, m_moment.now);
   host.idempotent_only = health_state == WorkerHealthState::kProbing;
@@ -175,24 +176,24 @@
   entry.placed = size.size;
   entry.charged = size.size;
   entry.started = m_moment.now;
-  entry.accounted = {};
-  entry.accounted_at = m_moment.now;
+  entry.charged_usage = {};
+  entry.charged_until = m_moment.now;
   entry.measured = false;
   entry.throttle = 1;
   entry.request = RunRequest::kNone;
   host.placed = host.placed + size.size;
-  base::Decision& decision =
-      Decide(base::DecisionKind::kPlacement, task, "placed on " + host.name,
-             {task.spec.urgent ? "urgent first, then fair share" : "fair share",
-              "shares", m_version,
-              fmt::format("team has {:.1f} % of the pool, entitled to {:.1f} %",
-                          100 * m_shares.CurrentShare(task.spec.team),
-                          100 * m_shares.Entitlement(task.spec.team))});
+  base::Decision& decision = AddDecision(
+      base::DecisionKind::kPlacement, task, "placed on " + host.name,
+      {task.spec.urgent ? "urgent first, then fair share" : "fair share",
+       "shares", m_fleet_version,
+       fmt::format("team has {:.1f} % of the pool, entitled to {:.1f} %",
+                   100 * m_shares.CurrentShare(task.spec.team),
+                   100 * m_shares.Entitlement(task.spec.team))});
   decision.reasons.push_back(
-      {"spread over zones and racks", "pools", m_version,
+      {"spread over zones and racks", "pools", m_fleet_version,
        fmt::format("fewest of the team's runs in its zone and rack, {} size "
                    "{:.1f} cores {:.1f} GB",
-                   size.learned ? "learnt" : "declared", size.size.cores,
+                   size.cores_learned ? "learnt" : "declared", size.size.cores,
                    size.size.memory_gb)});
   task.placement = decision.id;
   Write(std::move(entry), "given to worker " + host.name);
@@ -222,9 +223,9 @@
 
 SizeEstimate TaskShard::EstimateFor(const TaskSpec& spec) const {
   SizeEstimate estimate = m_sizes.Estimate(spec);
-  estimate.size.cores = std::min(estimate.size.cores, m_largest.cores);
+  estimate.size.cores = std::min(estimate.size.cores, m_max_per_host.cores);
   estimate.size.memory_gb =
-      std::min(estimate.size.memory_gb, m_largest.memory_gb);
+      std::min(estimate.size.memory_gb, m_max_per_host.memory_gb);
   return estimate;
 }
 
@@ -300,8 +301,8 @@
   for (const std::string& key : best_runs) {
     RequestCheckpoint(key);
   }
-  best->claimed = best->claimed + size;
-  best->held = true;
+  best->promised = best->promised + size;
+  best->reserved = true;
   best->reserved_for_team = for_team;
   if (for_team.empty()) {
     m_reserved_until[best->name] = m_moment.now + kUrgentReservationTime;
@@ -312,7 +313,7 @@
     const PlacementHost& host,
     const Resources& size,
     const std::string& for_team) const {
-  Resources free = host.capacity - host.placed - host.claimed;
+  Resources free = host.capacity - host.placed - host.promised;
   std::vector<const TaskEntry*> preemptible;
   for (const std::string& key : m_tasks.WorkerOf(host.name).runs) {
     const TaskEntry* entry = m_tasks.Find(key);
@@ -367,7 +368,7 @@
   }
   PlacementHost* best = nullptr;
   for (PlacementHost& host : m_hosts) {
-    if (!host.open || host.held || host.idempotent_only ||
+    if (!host.open || host.reserved || host.idempotent_only ||
         !Fits(size, host.capacity - host.reserve)) {
       continue;
     }
@@ -379,7 +380,7 @@
     }
   }
   if (best != nullptr) {
-    best->held = true;
+    best->reserved = true;
     best->reserved_for_team = team;
   }
 }
@@ -412,7 +413,7 @@
 void TaskShard::RequestEvacuation(const std::string& host,
                                   base::TimePoint now) {
   m_evacuating_until[host] = now + kEvacuationPeriod;
-  m_changed = true;
+  m_pass_needed = true;
 }
 
 void TaskShard::RequestEvacuations() {
--- a/src/cassiastile/work/task_shard_poll.cpp
+++ b/src/cassiastile/work/task_shard_poll.cpp
@@ -22,7 +22,7 @@
 }
 
 bool IsRunOf(const Task& task, const WorkerPoll& poll, std::uint64_t epoch) {
-  return MayRun(task) && task.lease.worker == poll.worker &&
+  return MayBeRunning(task) && task.lease.worker == poll.worker &&
          task.lease.incarnation == poll.incarnation &&
          task.lease.epoch == epoch;
 }
@@ -50,8 +50,9 @@
        poll.sequence <= worker.sequence)) {
     return {Verdict::kStale, "a later poll was seen", ""};
   }
-  m_changed = m_changed || !worker.polled || worker.leaving != poll.leaving ||
-              worker.incarnation != poll.incarnation;
+  m_pass_needed = m_pass_needed || !worker.polled ||
+                  worker.leaving != poll.leaving ||
+                  worker.incarnation != poll.incarnation;
   worker.incarnation = poll.incarnation;
   worker.sequence = poll.sequence;
   worker.last_poll = m_moment.now;
@@ -85,15 +86,15 @@
       m_health.RecordEnd(observation.worker, observation.spec.team + "/" + kind,
                          observation.succeeded, m_moment.now);
   if (observation.succeeded) {
-    m_sizes.ObserveSeconds(observation.spec, observation.seconds);
+    m_sizes.ObserveRunTime(observation.spec, observation.seconds);
   }
   if (quarantined) {
     Task task;
     task.spec = observation.spec;
-    Decide(base::DecisionKind::kChange, task,
-           "worker " + observation.worker + " quarantined",
-           {"worker fails what succeeds elsewhere", "", m_version,
-            m_health.Evidence(observation.worker)});
+    AddDecision(base::DecisionKind::kChange, task,
+                "worker " + observation.worker + " quarantined",
+                {"worker fails what succeeds elsewhere", "", m_fleet_version,
+                 m_health.Evidence(observation.worker)});
   }
 }
 
@@ -152,24 +153,24 @@
 }
 
 void TaskShard::OnMeasured(TaskEntry& entry, const Resources& usage) {
-  Account(entry);
+  AccrueCharge(entry);
   if (!entry.measured) {
     const Resources used = usage * Seconds(m_moment.now - entry.started);
     m_observations.emplace_back(UsageObservation{entry.task.spec, usage});
     m_observations.emplace_back(
-        ChargeCorrection{entry.task.spec.team, used - entry.accounted});
-    entry.accounted = used;
+        ChargeCorrection{entry.task.spec.team, used - entry.charged_usage});
+    entry.charged_usage = used;
     entry.measured = true;
   }
-  m_changed = true;
+  m_pass_needed = true;
   entry.charged = usage;
   entry.placed = usage;
 }
 
-void TaskShard::Account(TaskEntry& entry) const {
-  const double passed = Seconds(m_moment.now - entry.accounted_at);
-  entry.accounted = entry.accounted + entry.charged * passed;
-  entry.accounted_at = m_moment.now;
+void TaskShard::AccrueCharge(TaskEntry& entry) const {
+  const double passed = Seconds(m_moment.now - entry.charged_until);
+  entry.charged_usage = entry.charged_usage + entry.charged * passed;
+  entry.charged_until = m_moment.now;
 }
 
 void TaskShard::OnEnded(const WorkerPoll& poll, const EndedRun& ended) {
@@ -187,9 +188,9 @@
 void TaskShard::OnRunEnd(TaskEntry entry, const EndedRun& ended) {
   const std::string worker = entry.task.lease.worker;
   if (ended.used != Resources{} || ended.end == RunEnd::kNotStarted) {
-    Account(entry);
-    m_observations.emplace_back(
-        ChargeCorrection{entry.task.spec.team, ended.used - entry.accounted});
+    AccrueCharge(entry);
+    m_observations.emplace_back(ChargeCorrection{
+        entry.task.spec.team, ended.used - entry.charged_usage});
   }
   switch (ended.end) {
     case RunEnd::kSucceeded:
@@ -316,15 +317,16 @@
     return;
   }
   entry.task.state = TaskState::kInDoubt;
-  Decide(base::DecisionKind::kChange, entry.task, "in doubt",
-         {"non-idempotent run not confirmed as stopped", "", m_version, why});
+  AddDecision(base::DecisionKind::kChange, entry.task, "in doubt",
+              {"non-idempotent run not confirmed as stopped", "",
+               m_fleet_version, why});
   Write(std::move(entry), why);
 }
 
 void TaskShard::OnRunStopped(TaskEntry entry,
                              bool started,
                              const std::string& why) {
-  m_changed = true;
+  m_pass_needed = true;
   const bool may_repeat = entry.task.spec.idempotent || !started;
   if (may_repeat || entry.task.cancel_requested) {
     Requeue(std::move(entry), why);
@@ -334,8 +336,9 @@
   entry.task.lease.worker.clear();
   const std::string evidence =
       why + "; it is stopped, may have run in part, and is not idempotent";
-  Decide(base::DecisionKind::kChange, entry.task, "in doubt",
-         {"non-idempotent task runs at most once", "", m_version, evidence});
+  AddDecision(
+      base::DecisionKind::kChange, entry.task, "in doubt",
+      {"non-idempotent task runs at most once", "", m_fleet_version, evidence});
   Write(std::move(entry), evidence);
 }
 
@@ -346,7 +349,7 @@
   if (removed == 0) {
     return;
   }
-  m_changed = true;
+  m_pass_needed = true;
   std::string reason = entry.task.reason;
   Write(std::move(entry), std::move(reason));
 }
--- a/src/cassiastile/work/task_store.cpp
+++ b/src/cassiastile/work/task_store.cpp
@@ -114,7 +114,7 @@
 
 base::Result<TeamGrants> TaskStore::ExchangeCredits(
     const std::map<std::string, LimitNeed>& needs,
-    const TeamGrants& before,
+    const TeamGrants& previous,
     const platform::Precondition& fence) {
   if (m_pending_credits) {
     const auto applied = m_table.Apply(*m_pending_credits);
@@ -149,7 +149,7 @@
   }
   if (applied.error().code == ErrorCode::kUnknown) {
     m_pending_credits = std::move(transaction);
-    return LowerOf(before, granted);
+    return LowerOf(previous, granted);
   }
   return tl::unexpected(applied.error());
 }
--- a/src/cassiastile/work/worker_health.cpp
+++ b/src/cassiastile/work/worker_health.cpp
@@ -51,8 +51,8 @@
   if (found == m_workers.end() || !found->second.was_quarantined) {
     return WorkerHealthState::kHealthy;
   }
-  return now < found->second.until ? WorkerHealthState::kQuarantined
-                                   : WorkerHealthState::kProbing;
+  return now < found->second.quarantined_until ? WorkerHealthState::kQuarantined
+                                               : WorkerHealthState::kProbing;
 }
 
 std::string WorkerHealthTracker::Evidence(const std::string& worker) const {
@@ -93,12 +93,12 @@
 
 void WorkerHealthTracker::Quarantine(Health& health,
                                      base::TimePoint now) const {
-  health.length =
+  health.quarantine_length =
       health.was_quarantined
-          ? std::min(health.length * 2, m_options.longest_quarantine)
+          ? std::min(health.quarantine_length * 2, m_options.longest_quarantine)
           : m_options.first_quarantine;
   health.was_quarantined = true;
-  health.until = now + health.length;
+  health.quarantined_until = now + health.quarantine_length;
 }
 
 }  // namespace cassiastile::work
