--- a/include/cassiastile/work/request_dispatcher.hpp
+++ b/include/cassiastile/work/request_dispatcher.hpp
@@ -158,7 +158,7 @@
   using OpenRequests = std::map<RequestId, OpenRequest>;
 
   Runner* FindRunner(const std::string& name);
-  ServiceRate Rate() const;
+  ServiceRate CurrentRate() const;
   bool HasFreeSlot() const;
   void Dispatch(base::TimePoint now, RequestActions& actions);
   void DispatchRetries(base::TimePoint now, RequestActions& actions);
@@ -192,7 +192,7 @@
                    const std::string& team,
                    double cost);
   void RecordFailureAt(const std::string& runner, base::TimePoint now);
-  void NoteDemand(const std::string& team);
+  void UpdatePeakDemand(const std::string& team);
   void DetectPause(base::TimePoint now);
   static void Refuse(std::vector<Refusal> refusals, RequestActions& actions);
 
--- a/include/cassiastile/work/task_owner.hpp
+++ b/include/cassiastile/work/task_owner.hpp
@@ -41,7 +41,7 @@
 
 std::string_view NameOf(Effect effect);
 
-// The result of one event.
+// What became of one event.
 struct TaskResult {
   Effect effect = Effect::kCommitted;
   TaskReply reply;
--- a/include/cassiastile/work/task_poll.hpp
+++ b/include/cassiastile/work/task_poll.hpp
@@ -12,7 +12,7 @@
 namespace cassiastile::work {
 
 // A run that a worker holds, with its latest measured usage.
-struct HeldTask {
+struct HeldRun {
   std::string key;  // As returned by KeyOf.
   std::uint64_t epoch = 0;
   double progress = 0;
@@ -53,7 +53,7 @@
   // host; then runs that are not listed may still be held.
   std::string pool;
   bool leaving = false;  // It accepts no new tasks.
-  std::vector<HeldTask> held;
+  std::vector<HeldRun> held;
   std::vector<EndedRun> ended;
 };
 
--- a/include/cassiastile/work/task_shard.hpp
+++ b/include/cassiastile/work/task_shard.hpp
@@ -88,7 +88,8 @@
 
 std::string_view NameOf(Verdict verdict);
 
-// The result of one event in a batch.
+// The shard's answer to one event of a batch. It holds once the batch is
+// confirmed.
 struct TaskReply {
   Verdict verdict = Verdict::kDone;
   std::string reason;
@@ -195,7 +196,7 @@
   using Observation =
       std::variant<RunEndObservation, UsageObservation, ChargeCorrection>;
 
-  enum class PlaceResult : std::uint8_t { kPlaced, kNoRoom, kAtLimit, kNone };
+  enum class PlaceResult : std::uint8_t { kPlaced, kNoRoom, kAtLimit, kNoTask };
 
   // Submissions, cancellations and operators' decisions.
   TaskReply On(const SubmitEvent& event);
@@ -213,18 +214,18 @@
   void Learn(const UsageObservation& observation);
   void Learn(const ChargeCorrection& observation);
   void OnNewIncarnation(const WorkerPoll& poll);
-  void OnReportedRun(const WorkerPoll& poll, const HeldTask& held);
+  void OnReportedRun(const WorkerPoll& poll, const HeldRun& held);
   void OnMeasured(TaskEntry& entry, const Resources& usage);
   void AccrueCharge(TaskEntry& entry) const;
-  void OnEnded(const WorkerPoll& poll, const EndedRun& ended);
+  void OnReportedEnd(const WorkerPoll& poll, const EndedRun& ended);
   void OnRunEnd(TaskEntry entry, const EndedRun& ended);
-  void OnFailed(TaskEntry entry, const EndedRun& ended);
+  void OnRunFailed(TaskEntry entry, const EndedRun& ended);
   void OnUnreportedRuns(const WorkerPoll& poll);
   void Throttle(const WorkerPoll& poll);
 
   // State changes.
   void Write(TaskEntry entry, std::string reason);
-  void End(TaskEntry entry, TaskOutcome outcome, std::string reason);
+  void EndTask(TaskEntry entry, TaskOutcome outcome, std::string reason);
   void Requeue(TaskEntry entry, std::string reason);
   void AbandonRun(TaskEntry entry, const std::string& why);
   void OnRunStopped(TaskEntry entry, bool started, const std::string& why);
@@ -239,7 +240,9 @@
   void DispatchWaiting(bool urgent);
   PlaceResult PlaceNext(const std::string& team, bool urgent);
   bool PlaceOne(const TaskEntry& entry, const TeamSpread& spread);
-  void Lease(TaskEntry entry, PlacementHost& host, const SizeEstimate& size);
+  void Lease(TaskEntry entry,
+             PlacementHost& host,
+             const SizeEstimate& estimate);
   PlacementRequest MakeRequest(const TaskEntry& entry,
                                const SizeEstimate& estimate,
                                const TeamSpread& spread) const;
--- a/src/cassiastile/work/placement.cpp
+++ b/src/cassiastile/work/placement.cpp
@@ -24,6 +24,8 @@
   return left.count() >= request.seconds_upper;
 }
 
+// The lowest is best: the number of the team's tasks in the host's zone, that
+// in its rack, and the fraction of the host that would stay free.
 using Score = std::tuple<std::uint32_t, std::uint32_t, double>;
 
 Score ScoreOf(const PlacementHost& host, const PlacementRequest& request) {
--- a/src/cassiastile/work/request_dispatcher.cpp
+++ b/src/cassiastile/work/request_dispatcher.cpp
@@ -32,15 +32,15 @@
                                          base::TimePoint now) {
   RequestActions actions;
   DetectPause(now);
-  Refuse(m_queue.Offer(ticket, Rate(), now, m_random), actions);
-  NoteDemand(ticket.team);
+  Refuse(m_queue.Offer(ticket, CurrentRate(), now, m_random), actions);
+  UpdatePeakDemand(ticket.team);
   Dispatch(now, actions);
   return actions;
 }
 
 std::optional<NotRun> RequestDispatcher::Preview(const RequestTicket& ticket,
                                                  base::TimePoint now) {
-  const ServiceRate rate = Rate();
+  const ServiceRate rate = CurrentRate();
   const auto reason = m_queue.Preview(ticket, rate, now);
   if (!reason) {
     return std::nullopt;
@@ -98,7 +98,7 @@
   }
   Dispatch(now, actions);
   FinishOverdue(now, actions);
-  Refuse(m_queue.RefuseLate(Rate(), now, m_random), actions);
+  Refuse(m_queue.RefuseLate(CurrentRate(), now, m_random), actions);
   return actions;
 }
 
@@ -159,8 +159,9 @@
     return !ticket.key_id.empty() && !valid_keys.contains(ticket.key_id);
   };
   RequestActions actions;
-  Refuse(m_queue.RefuseMatching(has_invalid_key, reason, Rate(), m_random),
-         actions);
+  Refuse(
+      m_queue.RefuseMatching(has_invalid_key, reason, CurrentRate(), m_random),
+      actions);
   return actions;
 }
 
@@ -168,7 +169,7 @@
   PeakDemand demand = std::exchange(m_demand, PeakDemand{});
   for (const auto& [team, count] : m_queue.Counts()) {
     if (count.queued + count.running > 0) {
-      NoteDemand(team);
+      UpdatePeakDemand(team);
     }
   }
   return demand;
@@ -181,7 +182,7 @@
   return found == m_runners.end() ? nullptr : &*found;
 }
 
-ServiceRate RequestDispatcher::Rate() const {
+ServiceRate RequestDispatcher::CurrentRate() const {
   ServiceRate rate;
   rate.service_time = m_service_time;
   if (m_paused) {
@@ -262,6 +263,8 @@
   m_open_requests.erase(open_request);
 }
 
+// Ends a request that got no answer: as unknown if a try may have run,
+// otherwise as not run.
 void RequestDispatcher::FinishFailed(OpenRequests::iterator open_request,
                                      RequestActions& actions) {
   const OpenRequest& failed = open_request->second;
@@ -272,7 +275,7 @@
   }
   Finish(open_request,
          NotRun{RefusalReason::kUnreachable,
-                m_queue.DrawRetryAfter(Rate(), m_random), ""},
+                m_queue.DrawRetryAfter(CurrentRate(), m_random), ""},
          actions);
 }
 
@@ -284,10 +287,10 @@
   for (auto next = m_open_requests.begin(); next != m_open_requests.end();) {
     const auto open_request = next++;
     OpenRequest& late = open_request->second;
-    const bool in_time =
-        late.active > 0
-            ? now < late.ticket.deadline + kOverdueMargin
-            : now + m_service_time < late.ticket.deadline && Rate().slots > 0;
+    const bool in_time = late.active > 0
+                             ? now < late.ticket.deadline + kOverdueMargin
+                             : now + m_service_time < late.ticket.deadline &&
+                                   CurrentRate().slots > 0;
     if (in_time) {
       continue;
     }
@@ -299,7 +302,7 @@
   }
 }
 
-void RequestDispatcher::NoteDemand(const std::string& team) {
+void RequestDispatcher::UpdatePeakDemand(const std::string& team) {
   const AdmissionQueue::TeamCount count = m_queue.CountOf(team);
   std::uint32_t& most = m_demand.by_team[team];
   most = std::max(most, count.queued + count.running);
--- a/src/cassiastile/work/task_poll.cpp
+++ b/src/cassiastile/work/task_poll.cpp
@@ -45,7 +45,7 @@
   return runs;
 }
 
-Json EncodeHeld(const HeldTask& held) {
+Json EncodeHeld(const HeldRun& held) {
   return {{"key", held.key},
           {"epoch", held.epoch},
           {"progress", held.progress},
@@ -55,8 +55,8 @@
           {"accelerators", held.usage.accelerators}};
 }
 
-HeldTask DecodeHeld(const Json& json) {
-  HeldTask held;
+HeldRun DecodeHeld(const Json& json) {
+  HeldRun held;
   held.key = json.at("key").get<std::string>();
   held.epoch = json.at("epoch").get<std::uint64_t>();
   held.progress = json.value("progress", 0.0);
@@ -187,8 +187,8 @@
 
 std::string EncodePoll(const WorkerPoll& poll) {
   Json held = Json::array();
-  for (const HeldTask& task : poll.held) {
-    held.push_back(EncodeHeld(task));
+  for (const HeldRun& run : poll.held) {
+    held.push_back(EncodeHeld(run));
   }
   Json ended = Json::array();
   for (const EndedRun& run : poll.ended) {
--- a/src/cassiastile/work/task_shard.cpp
+++ b/src/cassiastile/work/task_shard.cpp
@@ -268,9 +268,9 @@
     return {};
   }
   const bool in_doubt = entry.task.state == TaskState::kInDoubt;
-  End(std::move(entry), TaskOutcome::kCancelled,
-      in_doubt ? "cancelled while in doubt; it may have run in part"
-               : "cancelled before it was started again");
+  EndTask(std::move(entry), TaskOutcome::kCancelled,
+          in_doubt ? "cancelled while in doubt; it may have run in part"
+                   : "cancelled before it was started again");
   return {};
 }
 
@@ -294,7 +294,7 @@
   } else if (event.outcome == TaskOutcome::kNone) {
     Requeue(std::move(entry), reason);
   } else {
-    End(std::move(entry), event.outcome, reason);
+    EndTask(std::move(entry), event.outcome, reason);
   }
   return {};
 }
@@ -362,7 +362,9 @@
   m_tasks.Put(std::move(entry), true);
 }
 
-void TaskShard::End(TaskEntry entry, TaskOutcome outcome, std::string reason) {
+void TaskShard::EndTask(TaskEntry entry,
+                        TaskOutcome outcome,
+                        std::string reason) {
   entry.task.state = TaskState::kEnded;
   entry.task.outcome = outcome;
   entry.task.lease.worker.clear();
@@ -372,7 +374,7 @@
 
 void TaskShard::Requeue(TaskEntry entry, std::string reason) {
   if (entry.task.cancel_requested) {
-    End(std::move(entry), TaskOutcome::kCancelled, "cancelled; " + reason);
+    EndTask(std::move(entry), TaskOutcome::kCancelled, "cancelled; " + reason);
     return;
   }
   entry.task.state = TaskState::kQueued;
--- a/src/cassiastile/work/task_shard_dispatch.cpp
+++ b/src/cassiastile/work/task_shard_dispatch.cpp
@@ -129,7 +129,7 @@
   const TeamTasks& tasks = m_tasks.TeamOf(team);
   const TaskOrder& order = OrderOf(tasks, urgent);
   if (order.empty()) {
-    return PlaceResult::kNone;
+    return PlaceResult::kNoTask;
   }
   TeamWait& wait = m_waits[team];
   if (AtLimit(team)) {
@@ -167,21 +167,21 @@
 
 void TaskShard::Lease(TaskEntry entry,
                       PlacementHost& host,
-                      const SizeEstimate& size) {
+                      const SizeEstimate& estimate) {
   Task& task = entry.task;
   task.state = TaskState::kLeased;
   task.lease.worker = host.name;
   task.lease.incarnation = m_workers[host.name].incarnation;
   ++task.lease.epoch;
-  entry.placed = size.size;
-  entry.charged = size.size;
+  entry.placed = estimate.size;
+  entry.charged = estimate.size;
   entry.started = m_moment.now;
   entry.charged_usage = {};
   entry.charged_until = m_moment.now;
   entry.measured = false;
   entry.throttle = 1;
   entry.request = RunRequest::kNone;
-  host.placed = host.placed + size.size;
+  host.placed = host.placed + estimate.size;
   base::Decision& decision = AddDecision(
       base::DecisionKind::kPlacement, task, "placed on " + host.name,
       {task.spec.urgent ? "urgent first, then fair share" : "fair share",
@@ -193,8 +193,8 @@
       {"spread over zones and racks", "pools", m_fleet_version,
        fmt::format("fewest of the team's runs in its zone and rack, {} size "
                    "{:.1f} cores {:.1f} GB",
-                   size.cores_learned ? "learnt" : "declared", size.size.cores,
-                   size.size.memory_gb)});
+                   estimate.cores_learned ? "learnt" : "declared",
+                   estimate.size.cores, estimate.size.memory_gb)});
   task.placement = decision.id;
   Write(std::move(entry), "given to worker " + host.name);
 }
--- a/src/cassiastile/work/task_shard_poll.cpp
+++ b/src/cassiastile/work/task_shard_poll.cpp
@@ -29,7 +29,7 @@
 
 std::set<std::string> KeysOf(const WorkerPoll& poll) {
   std::set<std::string> keys;
-  for (const HeldTask& held : poll.held) {
+  for (const HeldRun& held : poll.held) {
     keys.insert(held.key);
   }
   for (const EndedRun& ended : poll.ended) {
@@ -60,9 +60,9 @@
   worker.leaving = poll.leaving;
   OnNewIncarnation(poll);
   for (const EndedRun& ended : poll.ended) {
-    OnEnded(poll, ended);
+    OnReportedEnd(poll, ended);
   }
-  for (const HeldTask& held : poll.held) {
+  for (const HeldRun& held : poll.held) {
     OnReportedRun(poll, held);
   }
   if (poll.pool == m_pool) {
@@ -125,7 +125,7 @@
   }
 }
 
-void TaskShard::OnReportedRun(const WorkerPoll& poll, const HeldTask& held) {
+void TaskShard::OnReportedRun(const WorkerPoll& poll, const HeldRun& held) {
   const TaskEntry* found = m_tasks.Find(held.key);
   if (found == nullptr || !IsRunOf(found->task, poll, held.epoch)) {
     return;
@@ -173,7 +173,7 @@
   entry.charged_until = m_moment.now;
 }
 
-void TaskShard::OnEnded(const WorkerPoll& poll, const EndedRun& ended) {
+void TaskShard::OnReportedEnd(const WorkerPoll& poll, const EndedRun& ended) {
   const TaskEntry* found = m_tasks.Find(ended.key);
   if (found == nullptr) {
     return;
@@ -197,10 +197,11 @@
       m_observations.emplace_back(
           RunEndObservation{entry.task.spec, worker, true, ended.seconds});
       entry.task.progress = 1;
-      End(std::move(entry), TaskOutcome::kSucceeded, "succeeded on " + worker);
+      EndTask(std::move(entry), TaskOutcome::kSucceeded,
+              "succeeded on " + worker);
       return;
     case RunEnd::kFailed:
-      OnFailed(std::move(entry), ended);
+      OnRunFailed(std::move(entry), ended);
       return;
     case RunEnd::kCheckpointed:
       entry.task.checkpoint = ended.checkpoint;
@@ -219,7 +220,7 @@
   }
 }
 
-void TaskShard::OnFailed(TaskEntry entry, const EndedRun& ended) {
+void TaskShard::OnRunFailed(TaskEntry entry, const EndedRun& ended) {
   const std::string worker = entry.task.lease.worker;
   m_observations.emplace_back(
       RunEndObservation{entry.task.spec, worker, false, 0});
@@ -240,11 +241,11 @@
   const std::string why =
       fmt::format("failed on {}: {}", worker, ended.message);
   if (!entry.task.spec.idempotent) {
-    End(std::move(entry), TaskOutcome::kFailed, why);
+    EndTask(std::move(entry), TaskOutcome::kFailed, why);
   } else if (tries_exhausted) {
     const std::size_t count = failed_on.size();
-    End(std::move(entry), TaskOutcome::kFailed,
-        fmt::format("given up after {} tries; last {}", count, why));
+    EndTask(std::move(entry), TaskOutcome::kFailed,
+            fmt::format("given up after {} tries; last {}", count, why));
   } else {
     Requeue(std::move(entry), why);
   }
@@ -290,7 +291,7 @@
     return;
   }
   double unthrottled = 0;
-  for (const HeldTask& held : poll.held) {
+  for (const HeldRun& held : poll.held) {
     const TaskEntry* found = m_tasks.Find(held.key);
     unthrottled += held.usage.cores / (found == nullptr ? 1 : found->throttle);
   }
@@ -298,7 +299,7 @@
   const bool over = unthrottled > cores * kThrottleSlack;
   const double fraction =
       over ? std::max(kMinThrottle, cores / unthrottled) : 1;
-  for (const HeldTask& held : poll.held) {
+  for (const HeldRun& held : poll.held) {
     const TaskEntry* found = m_tasks.Find(held.key);
     if (found == nullptr || found->task.spec.urgent ||
         found->throttle == fraction) {
@@ -392,7 +393,7 @@
       answer.start.push_back({task.spec, task.lease.epoch, task.checkpoint});
     }
   }
-  for (const HeldTask& held : poll.held) {
+  for (const HeldRun& held : poll.held) {
     const RunRef run{held.key, held.epoch};
     const TaskEntry* entry = m_tasks.Find(held.key);
     const bool wanted = entry != nullptr &&
