--- a/include/cassiastile/standin/backend.hpp
+++ b/include/cassiastile/standin/backend.hpp
@@ -31,8 +31,8 @@
 };
 
 struct BackendCounts {
-  std::uint32_t peak_running = 0;      // At once.
-  std::uint32_t peak_connections = 0;  // At once.
+  std::uint32_t peak_running = 0;      // The most requests at once.
+  std::uint32_t peak_connections = 0;  // The most connections at once.
   std::uint64_t over_slots = 0;        // Starts while all slots were in use.
 };
 
@@ -40,8 +40,8 @@
 // request with the request's own body after the service time, stops at the
 // timeout the request names, and logs what it executes. Faults are set by calls
 // here or by POST /admin/fault with {"fault", "count", "service_ms",
-// "silence"}. GET /admin/log returns the log; GET /healthz answers while it
-// runs.
+// "silence"}; "silence": true calls BlackholeConnections. GET /admin/log returns
+// the log; GET /healthz answers while it runs. Thread-safe.
 class Backend {
  public:
   // Fails when the address can't be bound.
--- a/include/cassiastile/standin/backend_fault_mix.hpp
+++ b/include/cassiastile/standin/backend_fault_mix.hpp
@@ -25,9 +25,9 @@
 
 // How many requests were answered in each way.
 struct FaultMixTally {
-  std::uint64_t whole = 0;
+  std::uint64_t whole = 0;  // With the complete response to the request.
   std::uint64_t not_run = 0;
-  std::uint64_t unknown = 0;
+  std::uint64_t unknown = 0;  // The caller was told that it may have run.
 };
 
 struct FaultMixResult {
--- a/include/cassiastile/standin/backend_model.hpp
+++ b/include/cassiastile/standin/backend_model.hpp
@@ -25,6 +25,7 @@
 // The capacity and the faults of a simulated runner.
 struct ModelRunnerOptions {
   std::uint32_t slots = 8;
+  // Service times are exponentially distributed with this mean.
   std::chrono::milliseconds mean_service{50};
   bool stalled = false;  // Accepts requests and answers none.
   // Until this time, kept connections deliver nothing and are not closed; new
@@ -38,8 +39,8 @@
 struct ModelCall {
   std::uint64_t id = 0;  // Identifies the call in its completion.
   std::string runner;
-  std::string request;  // The caller's identifier of the request.
-  std::string request_id;
+  std::string request;        // The caller's identifier of the request.
+  std::string request_id;     // The X-Request-Id of this call.
   base::TimePoint timeout{};  // When the client gives up.
   bool sends_timeout = true;  // The runner learns the timeout and stops then.
   bool fresh_connection = false;
@@ -47,7 +48,7 @@
 
 struct ModelCompletion {
   std::uint64_t id = 0;
-  base::TimePoint at{};
+  base::TimePoint at{};  // When the client gets the outcome.
   wire::HttpOutcome outcome;
 };
 
@@ -63,15 +64,16 @@
 
   // The time of the next event, or TimePoint::max() if there is none.
   base::TimePoint NextEvent() const;
-  // Advances to a time and returns the calls that completed by then.
+  // Advances to a time and returns the calls that completed by then. Their
+  // outcomes may reach the client later, by the network's delay.
   std::vector<ModelCompletion> Advance(base::TimePoint until);
 
   const std::vector<Execution>& Log() const { return m_log; }
   // Requests that arrived while all slots of the runner were in use.
-  std::uint64_t ArrivalsOverSlots() const { return m_starts_over_slots; }
+  std::uint64_t ArrivalsOverSlots() const { return m_arrivals_over_slots; }
 
  private:
-  enum class EventKind : std::uint8_t { kArrive, kCut, kEnd, kTimeout };
+  enum class EventKind : std::uint8_t { kArrive, kBreak, kEnd, kTimeout };
 
   struct Event {
     base::TimePoint at{};
@@ -102,14 +104,15 @@
   };
 
   void Schedule(base::TimePoint at, EventKind kind, std::uint64_t id);
-  void Handle(const Event& event, std::vector<ModelCompletion>& completions);
+  void HandleEvent(const Event& event,
+                   std::vector<ModelCompletion>& completions);
   void Arrive(std::uint64_t id,
               base::TimePoint now,
               std::vector<ModelCompletion>& completions);
   void StartWork(std::uint64_t id, base::TimePoint now);
-  void Cut(std::uint64_t id,
-           base::TimePoint now,
-           std::vector<ModelCompletion>& completions);
+  void BreakConnection(std::uint64_t id,
+                       base::TimePoint now,
+                       std::vector<ModelCompletion>& completions);
   void EndWork(std::uint64_t id,
                base::TimePoint now,
                std::vector<ModelCompletion>& completions);
@@ -118,15 +121,15 @@
                std::vector<ModelCompletion>& completions);
   void FreeSlot(RunnerState& runner, base::TimePoint now);
   BackendFault DrawFault(const ModelRunnerOptions& options);
-  void Forget(std::uint64_t id);
+  void RemoveCall(std::uint64_t id);
 
   base::Random m_random;
   std::map<std::string, RunnerState> m_runners;
   std::map<std::uint64_t, ActiveCall> m_calls;
   std::priority_queue<Event, std::vector<Event>, Later> m_events;
   std::vector<Execution> m_log;
-  std::uint64_t m_order = 0;
-  std::uint64_t m_starts_over_slots = 0;
+  std::uint64_t m_next_order = 0;  // Of events at the same time.
+  std::uint64_t m_arrivals_over_slots = 0;
 };
 
 }  // namespace cassiastile::standin
--- a/include/cassiastile/standin/backend_simulation.hpp
+++ b/include/cassiastile/standin/backend_simulation.hpp
@@ -30,7 +30,7 @@
   std::uint32_t hosts = 6;
   std::uint32_t zones = 3;
   std::uint32_t runners = 10;
-  std::uint32_t slots = 8;
+  std::uint32_t slots = 8;  // Of each runner.
   std::chrono::milliseconds mean_service{50};
   std::uint64_t seed = 1;
 };
@@ -50,8 +50,8 @@
   wire::Execution execution = wire::Execution::kUnknown;
   bool whole = false;  // The complete response to this request.
   base::TimePoint at{};
-  std::uint32_t answers = 0;
-  base::Duration retry_after{};
+  std::uint32_t answers = 0;     // How many the caller got; one is correct.
+  base::Duration retry_after{};  // Zero when none was given.
 };
 
 // Simulates entry hosts with their callers, runners and table in virtual time.
--- a/include/cassiastile/standin/platform_server.hpp
+++ b/include/cassiastile/standin/platform_server.hpp
@@ -18,7 +18,7 @@
 
 struct PlatformServerOptions {
   std::string address = "127.0.0.1";
-  std::uint16_t port = 0;
+  std::uint16_t port = 0;  // 0 picks a free port.
   std::size_t threads = 4;
   // The delay until a change to the host list becomes visible.
   std::chrono::milliseconds list_lag{500};
@@ -32,6 +32,7 @@
 // docs/PLATFORM.md describes the calls.
 class PlatformServer {
  public:
+  // The clock must outlive the server. Fails when the address can't be bound.
   static base::Result<std::unique_ptr<PlatformServer>> Start(
       const base::Clock& clock,
       PlatformServerOptions options);
@@ -49,10 +50,13 @@
   void AddHostRoutes(wire::Router& router);
   void AddMachineRoutes(wire::Router& router);
   void AddFaultRoutes(wire::Router& router);
-  void Add(wire::Router& router,
-           const std::string& method,
-           const std::string& pattern,
-           std::function<wire::HttpResponse(const wire::HttpRequest&)> answer);
+  // Adds a route that answers after the injected response delay, and with
+  // kInvalid when the body is not valid JSON or lacks a field.
+  void AddRoute(
+      wire::Router& router,
+      const std::string& method,
+      const std::string& pattern,
+      std::function<wire::HttpResponse(const wire::HttpRequest&)> answer);
 
   wire::HttpResponse SetFaults(const wire::HttpRequest& request);
   std::vector<platform::ListedHost> CurrentHosts();
@@ -66,17 +70,17 @@
 
   std::mutex m_mutex;
   std::chrono::milliseconds m_response_delay{0};
-  bool m_down = false;
+  bool m_list_down = false;
   // Changes to the host list that are not visible yet. For a removal only the
   // name of the host is set.
   struct ListChange {
-    base::TimePoint seen_at;
+    base::TimePoint visible_at;
     platform::ListedHost host;
     bool removed = false;
   };
   std::deque<ListChange> m_list_changes;
   std::map<std::string, platform::ListedHost> m_listed;
-  std::map<std::string, base::TimePoint> m_rebooting;
+  std::map<std::string, base::TimePoint> m_reboot_ends;  // By host.
 
   std::unique_ptr<wire::HttpServer> m_server;
 };
--- a/include/cassiastile/standin/worker.hpp
+++ b/include/cassiastile/standin/worker.hpp
@@ -12,7 +12,7 @@
 
 namespace cassiastile::standin {
 
-// What a worker did with a task. Tests check invariants by these events.
+// What happened to a run on a worker. Tests check invariants by these events.
 enum class WorkerEvent : std::uint8_t {
   kStarted,
   kSucceeded,
@@ -22,7 +22,7 @@
   kNotStarted,
 };
 
-std::string_view NameOf(WorkerEvent act);
+std::string_view NameOf(WorkerEvent event);
 
 struct WorkerLogEntry {
   base::TimePoint at{};
@@ -66,17 +66,18 @@
   // Applies an answer to the poll sent at `sent`. The lease on the pool's runs
   // starts at that time, not on arrival, so that it doesn't outlast the
   // owner's. Ignores answers of owners older than the latest seen.
-  void Take(const work::PollAnswer& answer,
-            base::TimePoint sent,
-            base::TimePoint now);
+  void ApplyAnswer(const work::PollAnswer& answer,
+                   base::TimePoint sent,
+                   base::TimePoint now);
 
   // Takes no new tasks; checkpoints the runs that can be checkpointed and stops
   // the idempotent ones.
   void Leave(base::TimePoint now);
   bool IsIdle() const;
 
-  // Faults. A paused worker is frozen with its runs. A restarted worker loses
-  // all state and returns under a new incarnation.
+  // Faults. A paused worker is frozen with its runs. All runs fail on a failing
+  // worker. A restarted worker loses all state and returns under a new
+  // incarnation.
   void SetPaused(bool paused);
   bool IsPaused() const;
   void SetFailing(bool failing);
@@ -118,7 +119,7 @@
   void StopExpiredRuns();
   void ApplyOrders(const work::PollAnswer& answer);
   void BeginCheckpoint(Run& run);
-  void RecordEvent(WorkerEvent act, const Run& run);
+  void RecordEvent(WorkerEvent event, const Run& run);
 
   WorkerOptions m_options;
   Log m_log;
@@ -128,9 +129,9 @@
   bool m_leaving = false;
   bool m_has_unreported_runs = false;
   std::uint64_t m_sequence = 0;
-  std::string m_home;
-  std::map<std::string, Run> m_runs;  // By task key.
-  std::vector<Ended> m_ended;
+  std::string m_home_pool;
+  std::map<std::string, Run> m_runs;               // By task key.
+  std::vector<Ended> m_ended;                      // Not acknowledged yet.
   std::map<std::string, std::uint64_t> m_started;  // Highest epoch by task key.
   std::map<std::string, std::uint64_t> m_shard_epochs;
   std::map<std::string, base::TimePoint> m_lease_ends;
--- a/include/cassiastile/standin/worker_agent.hpp
+++ b/include/cassiastile/standin/worker_agent.hpp
@@ -56,7 +56,8 @@
   const WorkerAgentOptions m_options;
   base::Log m_log{"worker"};
   std::unique_ptr<wire::HttpClient> m_client;
-  std::size_t m_control = 0;  // Index of the process to ask next.
+  // Index of the control process to poll next. Used by the polling thread only.
+  std::size_t m_next_control = 0;
 
   std::mutex m_mutex;  // Guards the members below.
   std::condition_variable m_changed;
--- a/src/cassiastile/standin/backend.cpp
+++ b/src/cassiastile/standin/backend.cpp
@@ -23,7 +23,9 @@
 using asio::ip::tcp;
 
 constexpr std::size_t kMaxHeaderBytes = 64U << 10U;
-constexpr std::chrono::seconds kLongestWork{60};
+// The timeout of a request that names none.
+constexpr std::chrono::seconds kDefaultTimeout{60};
+// How long after the timeout a late answer is sent.
 constexpr std::chrono::milliseconds kLateness{200};
 constexpr std::string_view kHeaderEnd = "\r\n\r\n";
 
@@ -228,7 +230,7 @@
             BackendFault fault) {
     const std::chrono::milliseconds stop(
         NumberOf(wire::FindHeader(received.headers, "Request-Timeout-Ms"),
-                 std::chrono::milliseconds(kLongestWork).count()));
+                 std::chrono::milliseconds(kDefaultTimeout).count()));
     const std::chrono::milliseconds service = ServiceTime();
     if (fault == BackendFault::kStall || service >= stop) {
       Wait(stop);
@@ -350,7 +352,7 @@
   std::uint32_t m_running = 0;
   std::uint32_t m_connections = 0;
   std::uint64_t m_next_connection = 0;
-  std::uint64_t m_blackholed_before = 0;
+  std::uint64_t m_blackholed_before = 0;  // Connections with lower numbers.
 };
 
 Backend::Backend(std::shared_ptr<Impl> impl) : m_impl(std::move(impl)) {}
--- a/src/cassiastile/standin/backend_fault_mix.cpp
+++ b/src/cassiastile/standin/backend_fault_mix.cpp
@@ -12,6 +12,7 @@
 namespace {
 
 constexpr std::uint32_t kRequests = 300;
+// The requests arrive within this time.
 constexpr std::chrono::seconds kArrivalTime{6};
 constexpr std::chrono::seconds kCrashAfter{2};
 constexpr std::chrono::seconds kRestartAfter{3};
@@ -26,10 +27,10 @@
                             BackendFault::kCrossed, BackendFault::kChunkCut,
                             BackendFault::kReset,   BackendFault::kHeaderOnly,
                             BackendFault::kUnframed};
-  std::uniform_real_distribution<double> part(0, kMaxFaultProbability);
+  std::uniform_real_distribution<double> probability(0, kMaxFaultProbability);
   std::map<BackendFault, double> faults;
   for (const BackendFault fault : kAll) {
-    faults[fault] = random() % 2 == 0 ? part(random) : 0;
+    faults[fault] = random() % 2 == 0 ? probability(random) : 0;
   }
   return faults;
 }
@@ -38,11 +39,12 @@
                                            std::uint32_t hosts,
                                            base::Random& random) {
   constexpr int kTeams = 4;
-  constexpr int kUrgentInverse = 8;
-  constexpr int kShortestMillis = 200;
-  constexpr int kLongestMillis = 4000;
+  constexpr int kOneUrgentIn = 8;
+  constexpr int kShortestTimeoutMs = 200;
+  constexpr int kLongestTimeoutMs = 4000;
   std::uniform_real_distribution<double> when(0, kArrivalTime.count());
-  std::uniform_int_distribution<int> timeout(kShortestMillis, kLongestMillis);
+  std::uniform_int_distribution<int> timeout(kShortestTimeoutMs,
+                                             kLongestTimeoutMs);
   std::vector<SimulatedRequest> requests;
   for (std::uint64_t id = 1; id <= kRequests; ++id) {
     SimulatedRequest request;
@@ -50,7 +52,7 @@
     request.host = static_cast<std::uint32_t>(random() % hosts);
     request.team = "t" + std::to_string(random() % kTeams);
     request.idempotent = random() % 2 == 0;
-    request.urgent = random() % kUrgentInverse == 0;
+    request.urgent = random() % kOneUrgentIn == 0;
     request.at = from + std::chrono::duration_cast<base::Duration>(
                             std::chrono::duration<double>(when(random)));
     request.timeout = std::chrono::milliseconds(timeout(random));
@@ -62,40 +64,40 @@
 void InjectFaults(RequestSimulation& simulation,
                   const SimulationOptions& options,
                   base::Random& random) {
-  constexpr int kStalledInverse = 10;
-  constexpr int kBlackholeInverse = 4;
-  constexpr double kLostAnswers = 0.1;
-  constexpr double kDelayedWrites = 0.05;
-  constexpr double kFailedCalls = 0.1;
+  constexpr int kOneStalledIn = 10;
+  constexpr int kOneBlackholedIn = 4;
+  constexpr double kLostAnswerProbability = 0.1;
+  constexpr double kDelayedWriteProbability = 0.05;
+  constexpr double kFailedCallProbability = 0.1;
   for (std::uint32_t i = 0; i < options.runners; ++i) {
     ModelRunnerOptions& runner =
         simulation.Backends().RunnerOptions(RequestSimulation::RunnerName(i));
     runner.faults = DrawFaults(random);
-    runner.stalled = random() % kStalledInverse == 0;
-    if (random() % kBlackholeInverse == 0) {
+    runner.stalled = random() % kOneStalledIn == 0;
+    if (random() % kOneBlackholedIn == 0) {
       runner.blackhole_until = simulation.Now() + kBlackholeTime;
     }
   }
   platform::MemoryFaults faults;
-  faults.lose_answer = kLostAnswers;
-  faults.delay_apply = kDelayedWrites;
-  faults.fail_before = kFailedCalls;
+  faults.lose_answer = kLostAnswerProbability;
+  faults.delay_apply = kDelayedWriteProbability;
+  faults.fail_before = kFailedCallProbability;
   simulation.Table().SetFaults(faults);
 }
 
 void ClassifyRequest(const SimulatedRequest& request,
-                     const SimulatedAnswer& seen,
-                     int ran,
+                     const SimulatedAnswer& answer,
+                     int run_count,
                      FaultMixResult& result) {
   using wire::Execution;
   FaultMixViolations& found = result.violations;
-  const bool not_run = seen.execution == Execution::kNotRun;
-  const bool unknown = seen.execution == Execution::kUnknown;
-  found.ran_twice += !request.idempotent && ran > 1 ? 1 : 0;
-  found.answered_twice += seen.answers > 1 ? 1 : 0;
-  found.not_run_but_ran += not_run && ran > 0 ? 1 : 0;
-  found.wrong_answers += !not_run && !unknown && !seen.whole ? 1 : 0;
-  result.tally.whole += seen.whole ? 1 : 0;
+  const bool not_run = answer.execution == Execution::kNotRun;
+  const bool unknown = answer.execution == Execution::kUnknown;
+  found.ran_twice += !request.idempotent && run_count > 1 ? 1 : 0;
+  found.answered_twice += answer.answers > 1 ? 1 : 0;
+  found.not_run_but_ran += not_run && run_count > 0 ? 1 : 0;
+  found.wrong_answers += !not_run && !unknown && !answer.whole ? 1 : 0;
+  result.tally.whole += answer.whole ? 1 : 0;
   result.tally.not_run += not_run ? 1 : 0;
   result.tally.unknown += unknown ? 1 : 0;
 }
@@ -110,15 +112,15 @@
   FaultMixResult result;
   result.violations.over_slots = simulation.Backends().ArrivalsOverSlots();
   for (const SimulatedRequest& request : requests) {
-    const int ran = runs[std::to_string(request.id)];
+    const int run_count = runs[std::to_string(request.id)];
     const auto answer = simulation.Answers().find(request.id);
     if (answer != simulation.Answers().end()) {
-      ClassifyRequest(request, answer->second, ran, result);
+      ClassifyRequest(request, answer->second, run_count, result);
       continue;
     }
     const bool host_died = request.host == crashed_host;
     result.violations.without_answer += host_died ? 0 : 1;
-    result.violations.ran_twice += !request.idempotent && ran > 1 ? 1 : 0;
+    result.violations.ran_twice += !request.idempotent && run_count > 1 ? 1 : 0;
   }
   return result;
 }
@@ -133,8 +135,8 @@
 }
 
 FaultMixResult RunFaultMix(std::uint64_t seed, SimulatedPolicy policy) {
-  constexpr int kShortestServiceMillis = 50;
-  constexpr int kServiceSpreadMillis = 800;
+  constexpr int kShortestMeanServiceMs = 50;
+  constexpr int kMeanServiceSpreadMs = 800;
   base::Random random(seed);
   SimulationOptions options;
   options.policy = policy;
@@ -142,7 +144,7 @@
   options.runners = 4;
   options.seed = seed;
   options.mean_service = std::chrono::milliseconds(
-      kShortestServiceMillis + random() % kServiceSpreadMillis);
+      kShortestMeanServiceMs + random() % kMeanServiceSpreadMs);
   RequestSimulation simulation(options);
   InjectFaults(simulation, options, random);
   const auto requests = DrawRequests(simulation.Now(), options.hosts, random);
--- a/src/cassiastile/standin/backend_model.cpp
+++ b/src/cassiastile/standin/backend_model.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-constexpr std::chrono::microseconds kNetworkDelay{1500};
+constexpr std::chrono::microseconds kNetworkDelay{1500};  // One way.
+// How long after the timeout a late answer is sent.
 constexpr std::chrono::milliseconds kLateness{200};
 
 wire::HttpOutcome MakeFailure(wire::SendState state, bool timed_out) {
@@ -77,7 +78,7 @@
   while (!m_events.empty() && m_events.top().at <= until) {
     const Event event = m_events.top();
     m_events.pop();
-    Handle(event, completions);
+    HandleEvent(event, completions);
   }
   return completions;
 }
@@ -85,11 +86,11 @@
 void BackendModel::Schedule(base::TimePoint at,
                             EventKind kind,
                             std::uint64_t id) {
-  m_events.push({at, m_order++, kind, id});
+  m_events.push({at, m_next_order++, kind, id});
 }
 
-void BackendModel::Handle(const Event& event,
-                          std::vector<ModelCompletion>& completions) {
+void BackendModel::HandleEvent(const Event& event,
+                               std::vector<ModelCompletion>& completions) {
   if (!m_calls.contains(event.id)) {
     return;
   }
@@ -97,8 +98,8 @@
     case EventKind::kArrive:
       Arrive(event.id, event.at, completions);
       return;
-    case EventKind::kCut:
-      Cut(event.id, event.at, completions);
+    case EventKind::kBreak:
+      BreakConnection(event.id, event.at, completions);
       return;
     case EventKind::kEnd:
       EndWork(event.id, event.at, completions);
@@ -119,7 +120,7 @@
   if (options.refuses || active.fault == BackendFault::kRefuse) {
     completions.push_back({id, now + kNetworkDelay,
                            MakeFailure(wire::SendState::kNotSent, false)});
-    Forget(id);
+    RemoveCall(id);
     return;
   }
   const bool blackholed =
@@ -131,7 +132,7 @@
     StartWork(id, now);
     return;
   }
-  ++m_starts_over_slots;
+  ++m_arrivals_over_slots;
   active.queued = true;
   runner.queue.push_back(id);
 }
@@ -154,15 +155,15 @@
     length = active.call.timeout - now + kLateness;
   }
   if (active.fault == BackendFault::kReset) {
-    Schedule(now + length / 2, EventKind::kCut, id);
+    Schedule(now + length / 2, EventKind::kBreak, id);
   }
   Schedule(now + length, EventKind::kEnd, id);
 }
 
 // Breaks the connection while the work continues.
-void BackendModel::Cut(std::uint64_t id,
-                       base::TimePoint now,
-                       std::vector<ModelCompletion>& completions) {
+void BackendModel::BreakConnection(std::uint64_t id,
+                                   base::TimePoint now,
+                                   std::vector<ModelCompletion>& completions) {
   ActiveCall& active = m_calls[id];
   if (!active.answered) {
     active.answered = true;
@@ -180,7 +181,7 @@
     completions.push_back(
         {id, now + kNetworkDelay, MakeOutcome(active.call, active.fault)});
   }
-  Forget(id);
+  RemoveCall(id);
   FreeSlot(runner, now);
 }
 
@@ -204,7 +205,7 @@
   if (active.queued) {
     std::erase(runner.queue, id);
   }
-  Forget(id);
+  RemoveCall(id);
   if (working) {
     FreeSlot(runner, now);
   }
@@ -221,16 +222,16 @@
 
 BackendFault BackendModel::DrawFault(const ModelRunnerOptions& options) {
   double draw = std::uniform_real_distribution<double>(0, 1)(m_random);
-  for (const auto& [fault, part] : options.faults) {
-    if (draw < part) {
+  for (const auto& [fault, probability] : options.faults) {
+    if (draw < probability) {
       return fault;
     }
-    draw -= part;
+    draw -= probability;
   }
   return BackendFault::kNone;
 }
 
-void BackendModel::Forget(std::uint64_t id) {
+void BackendModel::RemoveCall(std::uint64_t id) {
   m_calls.erase(id);
 }
 
--- a/src/cassiastile/standin/backend_simulation.cpp
+++ b/src/cassiastile/standin/backend_simulation.cpp
@@ -291,7 +291,7 @@
 }
 
 void RequestSimulation::SyncCredits(std::uint32_t index) {
-  constexpr int kMaxConflicts = 3;
+  constexpr int kMaxTries = 3;
   Host& host = m_hosts[index];
   std::uniform_int_distribution<int> draw(
       0, static_cast<int>(kCreditJitter.count()));
@@ -300,9 +300,9 @@
   const auto find_gone = [&](const std::set<work::HolderName>& holders) {
     return host.watch->FindGoneHolders(holders, m_now);
   };
-  for (int i = 0; i < kMaxConflicts; ++i) {
-    const auto step = host.account->Sync(*host.shard, find_gone, m_now);
-    if (step != entry::CreditSyncResult::kConflict) {
+  for (int i = 0; i < kMaxTries; ++i) {
+    const auto result = host.account->Sync(*host.shard, find_gone, m_now);
+    if (result != entry::CreditSyncResult::kConflict) {
       return;
     }
   }
--- a/src/cassiastile/standin/platform_server.cpp
+++ b/src/cassiastile/standin/platform_server.cpp
@@ -43,7 +43,7 @@
 
 HttpResponse MakeNotFoundResponse() {
   return wire::MakeErrorResponse(
-      {base::ErrorCode::kNotFound, "No such thing."});
+      {base::ErrorCode::kNotFound, "No such row or transaction."});
 }
 
 std::string QueryText(const HttpRequest& request, const std::string& name) {
@@ -105,7 +105,7 @@
   return m_table;
 }
 
-void PlatformServer::Add(
+void PlatformServer::AddRoute(
     wire::Router& router,
     const std::string& method,
     const std::string& pattern,
@@ -130,104 +130,114 @@
 }
 
 void PlatformServer::AddTableRoutes(wire::Router& router) {
-  Add(router, "GET", "/v1/table/row", [this](const HttpRequest& request) {
+  AddRoute(router, "GET", "/v1/table/row", [this](const HttpRequest& request) {
     const auto row = m_table.Get(QueryText(request, "key"));
     if (row && !*row) {
       return MakeNotFoundResponse();
     }
     return MakeResultResponse(row, row ? json(**row) : json());
   });
-  Add(router, "GET", "/v1/table/rows", [this](const HttpRequest& request) {
+  AddRoute(router, "GET", "/v1/table/rows", [this](const HttpRequest& request) {
     const auto rows =
         m_table.Scan(QueryText(request, "prefix"), QueryText(request, "after"),
                      std::stoul(QueryText(request, "limit")));
     return MakeResultResponse(rows, rows ? json{{"rows", *rows}} : json());
   });
-  Add(router, "POST", "/v1/table/transactions",
-      [this](const HttpRequest& request) {
-        const auto commit = m_table.Apply(
-            json::parse(request.body).get<platform::Transaction>());
-        return MakeResultResponse(
-            commit, commit ? json{{"sequence", commit->sequence}} : json());
-      });
-  Add(router, "GET", "/v1/table/nonces/:nonce",
-      [this](const HttpRequest& request) {
-        return AnswerCommit(m_table.FindNonce(PathText(request, "nonce")));
-      });
+  AddRoute(router, "POST", "/v1/table/transactions",
+           [this](const HttpRequest& request) {
+             const auto commit = m_table.Apply(
+                 json::parse(request.body).get<platform::Transaction>());
+             return MakeResultResponse(
+                 commit,
+                 commit ? json{{"sequence", commit->sequence}} : json());
+           });
+  AddRoute(router, "GET", "/v1/table/nonces/:nonce",
+           [this](const HttpRequest& request) {
+             return AnswerCommit(m_table.FindNonce(PathText(request, "nonce")));
+           });
 }
 
 void PlatformServer::AddObjectRoutes(wire::Router& router) {
-  Add(router, "GET", "/v1/objects", [this](const HttpRequest& request) {
+  AddRoute(router, "GET", "/v1/objects", [this](const HttpRequest& request) {
     const auto names = m_objects.List(QueryText(request, "prefix"));
     return MakeResultResponse(names, names ? json{{"names", *names}} : json());
   });
-  Add(router, "PUT", "/v1/objects/*name", [this](const HttpRequest& request) {
-    const auto put = m_objects.Put(PathText(request, "name"), request.body);
-    return put ? MakeEmptyResponse() : wire::MakeErrorResponse(put.error());
-  });
-  Add(router, "GET", "/v1/objects/*name", [this](const HttpRequest& request) {
-    const auto object = m_objects.Get(PathText(request, "name"));
-    return object ? MakeTextResponse(*object)
-                  : wire::MakeErrorResponse(object.error());
-  });
+  AddRoute(
+      router, "PUT", "/v1/objects/*name", [this](const HttpRequest& request) {
+        const auto put = m_objects.Put(PathText(request, "name"), request.body);
+        return put ? MakeEmptyResponse() : wire::MakeErrorResponse(put.error());
+      });
+  AddRoute(router, "GET", "/v1/objects/*name",
+           [this](const HttpRequest& request) {
+             const auto object = m_objects.Get(PathText(request, "name"));
+             return object ? MakeTextResponse(*object)
+                           : wire::MakeErrorResponse(object.error());
+           });
 }
 
 void PlatformServer::AddHostRoutes(wire::Router& router) {
-  Add(router, "GET", "/v1/hosts", [this](const HttpRequest&) {
+  AddRoute(router, "GET", "/v1/hosts", [this](const HttpRequest&) {
     const std::lock_guard lock(m_mutex);
-    if (m_down) {
+    if (m_list_down) {
       return wire::MakeErrorResponse(
-          {base::ErrorCode::kUnavailable, "The list is down."});
+          {base::ErrorCode::kUnavailable, "The host list is down."});
     }
     return wire::MakeJsonResponse(kOk, json{{"hosts", CurrentHosts()}});
   });
-  Add(router, "PUT", "/v1/hosts/:name", [this](const HttpRequest& request) {
-    auto host = json::parse(request.body).get<platform::ListedHost>();
-    const std::lock_guard lock(m_mutex);
-    m_list_changes.push_back(
-        {m_clock.Now() + m_options.list_lag, std::move(host), false});
-    return MakeEmptyResponse();
-  });
-  Add(router, "DELETE", "/v1/hosts/:name", [this](const HttpRequest& request) {
-    platform::ListedHost host;
-    host.name = PathText(request, "name");
-    const std::lock_guard lock(m_mutex);
-    m_list_changes.push_back(
-        {m_clock.Now() + m_options.list_lag, std::move(host), true});
-    return MakeEmptyResponse();
-  });
+  AddRoute(router, "PUT", "/v1/hosts/:name",
+           [this](const HttpRequest& request) {
+             auto host = json::parse(request.body).get<platform::ListedHost>();
+             const std::lock_guard lock(m_mutex);
+             m_list_changes.push_back(
+                 {m_clock.Now() + m_options.list_lag, std::move(host), false});
+             return MakeEmptyResponse();
+           });
+  AddRoute(router, "DELETE", "/v1/hosts/:name",
+           [this](const HttpRequest& request) {
+             platform::ListedHost host;
+             host.name = PathText(request, "name");
+             const std::lock_guard lock(m_mutex);
+             m_list_changes.push_back(
+                 {m_clock.Now() + m_options.list_lag, std::move(host), true});
+             return MakeEmptyResponse();
+           });
 }
 
 void PlatformServer::AddMachineRoutes(wire::Router& router) {
-  Add(router, "GET", "/v1/machines/:host", [this](const HttpRequest& request) {
-    FinishReboots();
-    const auto status = m_machines.Status(PathText(request, "host"));
-    return MakeResultResponse(status, status ? json(*status) : json());
-  });
-  Add(router, "PUT", "/v1/machines/:host", [this](const HttpRequest& request) {
-    m_machines.Set(PathText(request, "host"),
-                   json::parse(request.body).get<platform::MachineStatus>());
-    return MakeEmptyResponse();
-  });
-  Add(router, "POST", "/v1/machines/:host/draining",
-      [this](const HttpRequest& request) {
-        const auto set = m_machines.SetDraining(
-            PathText(request, "host"),
-            json::parse(request.body).at("draining").get<bool>());
-        return set ? MakeEmptyResponse() : wire::MakeErrorResponse(set.error());
-      });
-  Add(router, "POST", "/v1/machines/:host/reboot",
-      [this](const HttpRequest& request) {
-        const std::string& host = PathText(request, "host");
-        const auto started = m_machines.Reboot(
-            host, json::parse(request.body).at("boots").get<std::uint64_t>());
-        if (!started) {
-          return wire::MakeErrorResponse(started.error());
-        }
-        const std::lock_guard lock(m_mutex);
-        m_rebooting.emplace(host, m_clock.Now() + m_options.reboot_time);
-        return MakeEmptyResponse();
-      });
+  AddRoute(router, "GET", "/v1/machines/:host",
+           [this](const HttpRequest& request) {
+             FinishReboots();
+             const auto status = m_machines.Status(PathText(request, "host"));
+             return MakeResultResponse(status, status ? json(*status) : json());
+           });
+  AddRoute(router, "PUT", "/v1/machines/:host",
+           [this](const HttpRequest& request) {
+             m_machines.Set(
+                 PathText(request, "host"),
+                 json::parse(request.body).get<platform::MachineStatus>());
+             return MakeEmptyResponse();
+           });
+  AddRoute(router, "POST", "/v1/machines/:host/draining",
+           [this](const HttpRequest& request) {
+             const auto set = m_machines.SetDraining(
+                 PathText(request, "host"),
+                 json::parse(request.body).at("draining").get<bool>());
+             return set ? MakeEmptyResponse()
+                        : wire::MakeErrorResponse(set.error());
+           });
+  AddRoute(router, "POST", "/v1/machines/:host/reboot",
+           [this](const HttpRequest& request) {
+             const std::string& host = PathText(request, "host");
+             const auto started = m_machines.Reboot(
+                 host,
+                 json::parse(request.body).at("boots").get<std::uint64_t>());
+             if (!started) {
+               return wire::MakeErrorResponse(started.error());
+             }
+             const std::lock_guard lock(m_mutex);
+             m_reboot_ends.emplace(host, m_clock.Now() + m_options.reboot_time);
+             return MakeEmptyResponse();
+           });
 }
 
 void PlatformServer::AddFaultRoutes(wire::Router& router) {
@@ -264,7 +274,7 @@
   m_objects.SetDown(faults.down);
   m_machines.SetDown(faults.down);
   const std::lock_guard lock(m_mutex);
-  m_down = faults.down;
+  m_list_down = faults.down;
   m_response_delay = std::chrono::milliseconds(body->value("slow_ms", 0));
   return MakeEmptyResponse();
 }
@@ -273,7 +283,7 @@
 // leaving.
 std::vector<platform::ListedHost> PlatformServer::CurrentHosts() {
   const base::TimePoint now = m_clock.Now();
-  while (!m_list_changes.empty() && m_list_changes.front().seen_at <= now) {
+  while (!m_list_changes.empty() && m_list_changes.front().visible_at <= now) {
     const ListChange& change = m_list_changes.front();
     if (change.removed) {
       m_listed.erase(change.host.name);
@@ -296,13 +306,13 @@
 
 void PlatformServer::FinishReboots() {
   const std::lock_guard lock(m_mutex);
-  for (auto next = m_rebooting.begin(); next != m_rebooting.end();) {
+  for (auto next = m_reboot_ends.begin(); next != m_reboot_ends.end();) {
     if (next->second > m_clock.Now()) {
       ++next;
       continue;
     }
     m_machines.FinishReboot(next->first);
-    next = m_rebooting.erase(next);
+    next = m_reboot_ends.erase(next);
   }
 }
 
--- a/src/cassiastile/standin/worker.cpp
+++ b/src/cassiastile/standin/worker.cpp
@@ -54,8 +54,8 @@
 
 }  // namespace
 
-std::string_view NameOf(WorkerEvent act) {
-  return base::FindName(kEventNames, act);
+std::string_view NameOf(WorkerEvent event) {
+  return base::FindName(kEventNames, event);
 }
 
 Worker::Worker(WorkerOptions options, Log log)
@@ -68,18 +68,18 @@
   const double passed = m_now == base::TimePoint{} ? 0 : Seconds(now - m_now);
   m_now = now;
   StopExpiredRuns();
-  std::vector<std::pair<std::string, RunEnd>> over;
+  std::vector<std::pair<std::string, RunEnd>> ended_runs;
   for (auto& [key, run] : m_runs) {
     run.done += passed * run.throttle;
     if (run.checkpointing && now >= run.checkpoint_at) {
-      over.emplace_back(key, RunEnd::kCheckpointed);
+      ended_runs.emplace_back(key, RunEnd::kCheckpointed);
     } else if (run.fails || m_failing) {
-      over.emplace_back(key, RunEnd::kFailed);
+      ended_runs.emplace_back(key, RunEnd::kFailed);
     } else if (run.done >= run.seconds) {
-      over.emplace_back(key, RunEnd::kSucceeded);
+      ended_runs.emplace_back(key, RunEnd::kSucceeded);
     }
   }
-  for (const auto& [key, end] : over) {
+  for (const auto& [key, end] : ended_runs) {
     End(key, end, end == RunEnd::kFailed ? "exit status 1" : "");
   }
 }
@@ -92,9 +92,9 @@
   poll.sequence = ++m_sequence;
   poll.pool = pool;
   poll.leaving = m_leaving;
-  const std::string& of = pool.empty() ? m_home : pool;
+  const std::string& run_pool = pool.empty() ? m_home_pool : pool;
   for (const auto& [key, run] : m_runs) {
-    if (run.pool == of) {
+    if (run.pool == run_pool) {
       const bool measured = m_now - run.started >= m_options.usage_lag;
       poll.held.push_back(
           {key, run.order.epoch, run.done / run.seconds, measured,
@@ -102,7 +102,7 @@
     }
   }
   for (const Ended& ended : m_ended) {
-    if (ended.pool == of) {
+    if (ended.pool == run_pool) {
       poll.ended.push_back(ended.run);
     }
   }
@@ -110,7 +110,7 @@
 }
 
 std::vector<std::string> Worker::PoolsToPoll() const {
-  std::set<std::string> pools{m_home};
+  std::set<std::string> pools{m_home_pool};
   for (const auto& [key, run] : m_runs) {
     pools.insert(run.pool);
   }
@@ -120,9 +120,9 @@
   return {pools.begin(), pools.end()};
 }
 
-void Worker::Take(const work::PollAnswer& answer,
-                  base::TimePoint sent,
-                  base::TimePoint now) {
+void Worker::ApplyAnswer(const work::PollAnswer& answer,
+                         base::TimePoint sent,
+                         base::TimePoint now) {
   if (m_paused) {
     return;
   }
@@ -136,7 +136,7 @@
     return;
   }
   seen = answer.shard_epoch;
-  m_home = answer.home_pool.empty() ? m_home : answer.home_pool;
+  m_home_pool = answer.home_pool.empty() ? m_home_pool : answer.home_pool;
   ApplyOrders(answer);
   for (const work::StartOrder& order : answer.start) {
     Start(order, answer.pool, now);
@@ -185,7 +185,7 @@
   m_started.clear();
   m_shard_epochs.clear();
   m_lease_ends.clear();
-  m_home.clear();
+  m_home_pool.clear();
   m_sequence = 0;
   m_paused = false;
   m_leaving = false;
@@ -319,10 +319,10 @@
   }
 }
 
-void Worker::RecordEvent(WorkerEvent act, const Run& run) {
+void Worker::RecordEvent(WorkerEvent event, const Run& run) {
   WorkerLogEntry line;
   line.at = m_now;
-  line.act = act;
+  line.act = event;
   line.worker = m_options.name;
   line.key = work::KeyOf(run.order.spec);
   line.epoch = run.order.epoch;
--- a/src/cassiastile/standin/worker_agent.cpp
+++ b/src/cassiastile/standin/worker_agent.cpp
@@ -10,7 +10,10 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTick{50};
+// The least time between two polls of the agent, which otherwise polls at once
+// when a run ends.
 constexpr std::chrono::milliseconds kMinPollGap{100};
+// The time until the next poll after one without an answer.
 constexpr std::chrono::milliseconds kRetryAfter{500};
 constexpr int kOk = 200;
 
@@ -98,7 +101,7 @@
   }
   for (const std::string& pool : pools) {
     if (!PollPool(pool)) {
-      m_control = (m_control + 1) % m_options.control.size();
+      m_next_control = (m_next_control + 1) % m_options.control.size();
     }
   }
 }
@@ -114,7 +117,7 @@
     call.body = work::EncodePoll(m_worker.MakePoll(pool));
   }
   call.method = "POST";
-  call.url = "http://" + m_options.control[m_control] + "/v1/workers/" +
+  call.url = "http://" + m_options.control[m_next_control] + "/v1/workers/" +
              m_options.worker.name + "/poll";
   call.headers.emplace_back("Content-Type", "application/json");
   call.timeout = m_options.poll_timeout;
@@ -130,7 +133,7 @@
     return false;
   }
   const std::lock_guard lock(m_mutex);
-  m_worker.Take(*answer, sent, m_clock.Now());
+  m_worker.ApplyAnswer(*answer, sent, m_clock.Now());
   m_poll_after = answer->poll_after;
   return answer->shard_epoch != 0;
 }
--- a/src/cassiastile/standin/worker_cluster_test.hpp
+++ b/src/cassiastile/standin/worker_cluster_test.hpp
@@ -119,7 +119,7 @@
     clock.Advance(by);
     std::vector<SentPoll> polls = workers->CollectPolls(clock.Now());
     for (const SentPoll& poll : polls) {
-      const std::size_t to = both_answer ? poll.worker % 2 : current;
+      const std::size_t to = split_polls ? poll.worker % 2 : current;
       const auto result =
           m_owners[to]->Handle({poll.poll}, Now(), m_leases[to]).front();
       workers->Deliver(poll, result.answer, clock.Now());
@@ -145,10 +145,10 @@
     return work::DecodeTask((*row)->value).value();
   }
 
-  std::size_t CountLog(const std::string& key, WorkerEvent act) const {
+  std::size_t CountLog(const std::string& key, WorkerEvent event) const {
     std::size_t count = 0;
     for (const WorkerLogEntry& line : log) {
-      count += line.key == key && line.act == act ? 1 : 0;
+      count += line.key == key && line.act == event ? 1 : 0;
     }
     return count;
   }
@@ -161,11 +161,13 @@
   std::unique_ptr<WorkerFleet> workers;
   std::vector<WorkerLogEntry> log;
   std::set<std::string> acknowledged;
-  std::map<std::string, std::int64_t>
-      running;  // By team, from the workers' log.
+  // Runs by team, from the workers' log.
+  std::map<std::string, std::int64_t> running;
   std::map<std::string, std::int64_t> peak_running;
-  std::size_t current = 0;
-  bool both_answer = false;  // Workers poll either process.
+  std::size_t current = 0;  // The process that gets submissions and polls.
+  // Whether half of the workers poll each process; otherwise all poll the
+  // current one.
+  bool split_polls = false;
 
  private:
   void RecordEvent(const WorkerLogEntry& line) {
--- a/src/cassiastile/standin/worker_fleet.cpp
+++ b/src/cassiastile/standin/worker_fleet.cpp
@@ -6,6 +6,7 @@
 
 namespace {
 
+// The time until the next poll after one without an answer.
 constexpr base::Duration kRetryAfter = std::chrono::milliseconds(500);
 // The least time between two polls of a worker, which otherwise polls at once
 // when a run ends.
@@ -55,7 +56,7 @@
     return;
   }
   Member& member = m_members[poll.worker];
-  member.worker.Take(*answer, poll.sent, now);
+  member.worker.ApplyAnswer(*answer, poll.sent, now);
   member.next_poll = now + answer->poll_after;
 }
 
--- a/src/cassiastile/standin/worker_property_test.cpp
+++ b/src/cassiastile/standin/worker_property_test.cpp
@@ -32,11 +32,11 @@
   kStoreUp,
   kLoseMessages,
   kTakeOver,
-  kAskBoth,
-  kAskOne,
+  kPollBoth,
+  kPollCurrent,
   kDrain,
-  kReturn,
-  kEdit,
+  kEndDrains,
+  kChangeLimit,
   kCount,
 };
 
@@ -110,31 +110,31 @@
             {.lose_poll = 0.2, .lose_answer = 0.2});
       case Action::kTakeOver:
         return m_cluster.TakeOver(index % 2);
-      case Action::kAskBoth:
-        m_cluster.both_answer = true;
+      case Action::kPollBoth:
+        m_cluster.split_polls = true;
         return;
-      case Action::kAskOne:
-        m_cluster.both_answer = false;
+      case Action::kPollCurrent:
+        m_cluster.split_polls = false;
         return;
       case Action::kDrain:
         m_cluster.draining.insert(worker.Name());
         return m_cluster.Apply();
-      case Action::kReturn:
+      case Action::kEndDrains:
         m_cluster.draining.clear();
         return m_cluster.Apply();
-      case Action::kEdit:
+      case Action::kChangeLimit:
         return m_cluster.SetLimit("a", kLimitA - index);
       case Action::kCount:
         return;
     }
   }
 
-  // Ends all faults and runs until every task that can end has ended.
+  // Ends all faults and runs long enough for every task that can end.
   void StopFaults() {
     m_cluster.table.SetFaults({});
     m_cluster.workers->SetFaults({});
     m_cluster.TakeOver(m_cluster.current);
-    m_cluster.both_answer = false;
+    m_cluster.split_polls = false;
     m_cluster.draining.clear();
     m_cluster.SetLimit("a", kLimitA);
     for (std::size_t index = 0; index < m_cluster.workers->Count(); ++index) {
@@ -178,12 +178,12 @@
     const auto task = cluster.Stored(key);
     RC_ASSERT(task.has_value());
     RC_ASSERT(!task->reason.empty());
-    const bool over = task->state == TaskState::kEnded;
+    const bool ended = task->state == TaskState::kEnded;
     const bool in_doubt =
         task->state == TaskState::kInDoubt && !task->spec.idempotent;
-    RC_LOG() << key << " is " << work::NameOf(task->state) << " since "
-             << task->reason << "\n";
-    RC_ASSERT(over || in_doubt);
+    RC_LOG() << key << " is " << work::NameOf(task->state)
+             << ", reason: " << task->reason << "\n";
+    RC_ASSERT(ended || in_doubt);
     if (!task->spec.idempotent) {
       RC_ASSERT(CountFreshStarts(cluster, key) <= 1U);
     }
--- a/src/cassiastile/standin/worker_task_test.cpp
+++ b/src/cassiastile/standin/worker_task_test.cpp
@@ -122,7 +122,7 @@
   EXPECT_EQ(cluster.CountLog("q/1", WorkerEvent::kStopped), 1U);
 }
 
-TEST(TaskLifecycleTest, PoisonTaskStopsAfterMaxAttempts) {
+TEST(TaskLifecycleTest, FailingTaskEndsAfterMaxTries) {
   TaskCluster cluster;
   work::TaskSpec spec = MakeSpec("1");
   spec.payload = R"({"fail": true})";
@@ -132,7 +132,7 @@
   EXPECT_EQ(cluster.CountLog("q/1", WorkerEvent::kStarted), 3U);
 }
 
-TEST(TaskLifecycleTest, UnplaceableTaskIsRefusedOrReported) {
+TEST(TaskLifecycleTest, UnschedulableTaskIsRefusedOrExplained) {
   TaskCluster cluster;
   work::TaskSpec spec = MakeSpec("1");
   spec.declared.accelerators = 1;
