--- a/include/cassiastile/standin/backend.hpp
+++ b/include/cassiastile/standin/backend.hpp
@@ -40,8 +40,8 @@
 // request with the request's own body after the service time, stops at the
 // timeout the request names, and logs what it executes. Faults are set by calls
 // here or by POST /admin/fault with {"fault", "count", "service_ms",
-// "silence"}; "silence": true calls BlackholeConnections. GET /admin/log returns
-// the log; GET /healthz answers while it runs. Thread-safe.
+// "silence"}; "silence": true calls BlackholeConnections. GET /admin/log
+// returns the log; GET /healthz answers while it runs. Thread-safe.
 class Backend {
  public:
   // Fails when the address can't be bound.
