--- a/src/cassiastile/work/task_shard_poll.cpp
+++ b/src/cassiastile/work/task_shard_poll.cpp
@@ -22,14 +22,14 @@
 }
 
 bool IsRunOf(const Task& task, const WorkerPoll& poll, std::uint64_t epoch) {
-  return MayRun(task) && task.lease.worker == poll.worker &&
+  return MayBeRunning(task) && task.lease.worker == poll.worker &&
          task.lease.incarnation == poll.incarnation &&
          task.lease.epoch == epoch;
 }
 
 std::set<std::string> KeysOf(const WorkerPoll& poll) {
   std::set<std::string> keys;
-  for (const HeldTask& held : poll.held) {
+  for (const HeldRun& held : poll.held) {
     keys.insert(held.key);
   }
   for (const EndedRun& ended : poll.ended) {
@@ -50,8 +50,9 @@
        poll.sequence <= worker.sequence)) {
     return {Verdict::kStale, "a later poll was seen", ""};
   }
-  m_changed = m_changed || !worker.polled || worker.leaving != poll.leaving ||
-              worker.incarnation != poll.incarnation;
+  m_pass_needed = m_pass_needed || !worker.polled ||
+                  worker.leaving != poll.leaving ||
+                  worker.incarnation != poll.incarnation;
   worker.incarnation = poll.incarnation;
   worker.sequence = poll.sequence;
   worker.last_poll = m_moment.now;
@@ -59,9 +60,9 @@
   worker.leaving = poll.leaving;
   OnNewIncarnation(poll);
   for (const EndedRun& ended : poll.ended) {
-    OnEnded(poll, ended);
+    OnReportedEnd(poll, ended);
   }
-  for (const HeldTask& held : poll.held) {
+  for (const HeldRun& held : poll.held) {
     OnReportedRun(poll, held);
   }
   if (poll.pool == m_pool) {
@@ -85,15 +86,15 @@
       m_health.RecordEnd(observation.worker, observation.spec.team + "/" + kind,
                          observation.succeeded, m_moment.now);
   if (observation.succeeded) {
-    m_sizes.ObserveSeconds(observation.spec, observation.seconds);
+    m_sizes.ObserveRunTime(observation.spec, observation.seconds);
   }
   if (quarantined) {
     Task task;
     task.spec = observation.spec;
-    Decide(base::DecisionKind::kChange, task,
-           "worker " + observation.worker + " quarantined",
-           {"worker fails what succeeds elsewhere", "", m_version,
-            m_health.Evidence(observation.worker)});
+    AddDecision(base::DecisionKind::kChange, task,
+                "worker " + observation.worker + " quarantined",
+                {"worker fails what succeeds elsewhere", "", m_fleet_version,
+                 m_health.Evidence(observation.worker)});
   }
 }
 
@@ -124,7 +125,7 @@
   }
 }
 
-void TaskShard::OnReportedRun(const WorkerPoll& poll, const HeldTask& held) {
+void TaskShard::OnReportedRun(const WorkerPoll& poll, const HeldRun& held) {
   const TaskEntry* found = m_tasks.Find(held.key);
   if (found == nullptr || !IsRunOf(found->task, poll, held.epoch)) {
     return;
@@ -152,27 +153,27 @@
 }
 
 void TaskShard::OnMeasured(TaskEntry& entry, const Resources& usage) {
-  Account(entry);
+  AccrueCharge(entry);
   if (!entry.measured) {
     const Resources used = usage * Seconds(m_moment.now - entry.started);
     m_observations.emplace_back(UsageObservation{entry.task.spec, usage});
     m_observations.emplace_back(
-        ChargeCorrection{entry.task.spec.team, used - entry.accounted});
-    entry.accounted = used;
+        ChargeCorrection{entry.task.spec.team, used - entry.charged_usage});
+    entry.charged_usage = used;
     entry.measured = true;
   }
-  m_changed = true;
+  m_pass_needed = true;
   entry.charged = usage;
   entry.placed = usage;
 }
 
-void TaskShard::Account(TaskEntry& entry) const {
-  const double passed = Seconds(m_moment.now - entry.accounted_at);
-  entry.accounted = entry.accounted + entry.charged * passed;
-  entry.accounted_at = m_moment.now;
+void TaskShard::AccrueCharge(TaskEntry& entry) const {
+  const double passed = Seconds(m_moment.now - entry.charged_until);
+  entry.charged_usage = entry.charged_usage + entry.charged * passed;
+  entry.charged_until = m_moment.now;
 }
 
-void TaskShard::OnEnded(const WorkerPoll& poll, const EndedRun& ended) {
+void TaskShard::OnReportedEnd(const WorkerPoll& poll, const EndedRun& ended) {
   const TaskEntry* found = m_tasks.Find(ended.key);
   if (found == nullptr) {
     return;
@@ -187,19 +188,20 @@
 void TaskShard::OnRunEnd(TaskEntry entry, const EndedRun& ended) {
   const std::string worker = entry.task.lease.worker;
   if (ended.used != Resources{} || ended.end == RunEnd::kNotStarted) {
-    Account(entry);
-    m_observations.emplace_back(
-        ChargeCorrection{entry.task.spec.team, ended.used - entry.accounted});
+    AccrueCharge(entry);
+    m_observations.emplace_back(ChargeCorrection{
+        entry.task.spec.team, ended.used - entry.charged_usage});
   }
   switch (ended.end) {
     case RunEnd::kSucceeded:
       m_observations.emplace_back(
           RunEndObservation{entry.task.spec, worker, true, ended.seconds});
       entry.task.progress = 1;
-      End(std::move(entry), TaskOutcome::kSucceeded, "succeeded on " + worker);
+      EndTask(std::move(entry), TaskOutcome::kSucceeded,
+              "succeeded on " + worker);
       return;
     case RunEnd::kFailed:
-      OnFailed(std::move(entry), ended);
+      OnRunFailed(std::move(entry), ended);
       return;
     case RunEnd::kCheckpointed:
       entry.task.checkpoint = ended.checkpoint;
@@ -218,7 +220,7 @@
   }
 }
 
-void TaskShard::OnFailed(TaskEntry entry, const EndedRun& ended) {
+void TaskShard::OnRunFailed(TaskEntry entry, const EndedRun& ended) {
   const std::string worker = entry.task.lease.worker;
   m_observations.emplace_back(
       RunEndObservation{entry.task.spec, worker, false, 0});
@@ -239,11 +241,11 @@
   const std::string why =
       fmt::format("failed on {}: {}", worker, ended.message);
   if (!entry.task.spec.idempotent) {
-    End(std::move(entry), TaskOutcome::kFailed, why);
+    EndTask(std::move(entry), TaskOutcome::kFailed, why);
   } else if (tries_exhausted) {
     const std::size_t count = failed_on.size();
-    End(std::move(entry), TaskOutcome::kFailed,
-        fmt::format("given up after {} tries; last {}", count, why));
+    EndTask(std::move(entry), TaskOutcome::kFailed,
+            fmt::format("given up after {} tries; last {}", count, why));
   } else {
     Requeue(std::move(entry), why);
   }
@@ -289,7 +291,7 @@
     return;
   }
   double unthrottled = 0;
-  for (const HeldTask& held : poll.held) {
+  for (const HeldRun& held : poll.held) {
     const TaskEntry* found = m_tasks.Find(held.key);
     unthrottled += held.usage.cores / (found == nullptr ? 1 : found->throttle);
   }
@@ -297,7 +299,7 @@
   const bool over = unthrottled > cores * kThrottleSlack;
   const double fraction =
       over ? std::max(kMinThrottle, cores / unthrottled) : 1;
-  for (const HeldTask& held : poll.held) {
+  for (const HeldRun& held : poll.held) {
     const TaskEntry* found = m_tasks.Find(held.key);
     if (found == nullptr || found->task.spec.urgent ||
         found->throttle == fraction) {
@@ -316,15 +318,16 @@
     return;
   }
   entry.task.state = TaskState::kInDoubt;
-  Decide(base::DecisionKind::kChange, entry.task, "in doubt",
-         {"non-idempotent run not confirmed as stopped", "", m_version, why});
+  AddDecision(base::DecisionKind::kChange, entry.task, "in doubt",
+              {"non-idempotent run not confirmed as stopped", "",
+               m_fleet_version, why});
   Write(std::move(entry), why);
 }
 
 void TaskShard::OnRunStopped(TaskEntry entry,
                              bool started,
                              const std::string& why) {
-  m_changed = true;
+  m_pass_needed = true;
   const bool may_repeat = entry.task.spec.idempotent || !started;
   if (may_repeat || entry.task.cancel_requested) {
     Requeue(std::move(entry), why);
@@ -334,8 +337,9 @@
   entry.task.lease.worker.clear();
   const std::string evidence =
       why + "; it is stopped, may have run in part, and is not idempotent";
-  Decide(base::DecisionKind::kChange, entry.task, "in doubt",
-         {"non-idempotent task runs at most once", "", m_version, evidence});
+  AddDecision(
+      base::DecisionKind::kChange, entry.task, "in doubt",
+      {"non-idempotent task runs at most once", "", m_fleet_version, evidence});
   Write(std::move(entry), evidence);
 }
 
@@ -346,7 +350,7 @@
   if (removed == 0) {
     return;
   }
-  m_changed = true;
+  m_pass_needed = true;
   std::string reason = entry.task.reason;
   Write(std::move(entry), std::move(reason));
 }
@@ -389,7 +393,7 @@
       answer.start.push_back({task.spec, task.lease.epoch, task.checkpoint});
     }
   }
-  for (const HeldTask& held : poll.held) {
+  for (const HeldRun& held : poll.held) {
     const RunRef run{held.key, held.epoch};
     const TaskEntry* entry = m_tasks.Find(held.key);
     const bool wanted = entry != nullptr &&
