--- a/spec/claim.h
+++ b/spec/claim.h
@@ -1,7 +1,8 @@
 /* Claim before send: two entry hosts receive the same request with the same
    idempotency key, and each claims the key in the table before it sends the
    request. Claims may be delayed, answers may be lost, and a host may die at
-   any moment. */
+   any moment. Each model defines RESOLVE(i): what host i does when the answer
+   to its claim was lost. */
 
 mtype = { fresh, claiming, unknown, claimed, sent, refused, finished };
 
@@ -10,7 +11,8 @@
 bool in_flight[2];        /* the claim was sent and may still apply */
 bool applied[2];
 bool answered[2];         /* the table has answered */
-bool nonce_used[2];       /* by an empty transaction: the claim can't apply */
+bool nonce_used[2];       /* by an empty transaction, so that the claim, which
+                             has the same nonce, can't apply any more */
 bool not_run[2];          /* the caller was told "not run" */
 byte sends;
 
@@ -35,6 +37,7 @@
      :: d_step { in_flight[i] -> apply(i) }
      :: d_step { (state[i] == claiming && answered[i]) ->
           state[i] = (applied[i] -> claimed : refused) }
+     /* the answer is lost or late */
      :: d_step { state[i] == claiming -> state[i] = unknown }
      :: d_step { state[i] == unknown -> RESOLVE(i) }
      :: d_step { state[i] == claimed -> state[i] = sent; sends++ }
--- a/spec/config_freshness.h
+++ b/spec/config_freshness.h
@@ -1,27 +1,31 @@
 /* Configuration acceptance with bounded freshness: three members, version 1 in
-   force, version 2 proposed by one of them. Ages count ticks and saturate, so
+   force, version 2 proposed by member 0. Ages count ticks and saturate, so
    that runs are unbounded while the number of states is finite. Messages may
    be lost, repeated, delayed and relayed. One member may restart without its
    state; member 2 never does, because 1 and 2 are symmetric. Any member may
    lose access to the store at any time.
 
    A member acts on version 1 while its last confirmation is at most F ticks
-   old. */
+   old. Each model defines MAY_COMMIT, whether version 2 may be committed, and
+   MAY_VOTE(i), whether restarted member i may vote again. */
 
 #define N 3
 #define F 1                 /* freshness bound, in ticks */
 #define STALE (F + 1)       /* too old to act on; ages saturate here */
-#define W 0                 /* longest time from first promise to commit */
-#define DELAY (W + 1)       /* least uptime of a restarted member that votes */
+#define W 0                 /* longest time from first promise to commit, in
+                               ticks */
+#define DELAY (W + 1)       /* least uptime of a restarted voter, in ticks */
 #define MAX_UPTIME (DELAY + STALE) /* uptimes saturate here */
 
 byte head[N];      /* newest version known; 0 none */
-byte in_force[N];
+byte in_force[N];  /* version that the member acts on; 0 none */
 bool promised[N];  /* to stop confirming version 1 */
 bool voter[N];     /* its agreement counts towards a majority */
 byte uptime[N];
-byte store_age[N]; /* age of the newest store read that returned head[i] */
-byte agreed[N * N]; /* age of j's agreement with head[i], as known to i */
+byte store_age[N]; /* age of the newest store read that returned head[i]; see
+                      learn() for a head that isn't in force yet */
+byte agreement_age[N * N]; /* at i * N + j: age of j's agreement with head[i],
+                              as known to i */
 
 bool committed;
 byte committed_age;
@@ -31,24 +35,33 @@
 byte restarts;
 
 #define AGREES(j) (head[j] == 1 && !promised[j] && voter[j])
-#define AG(i, j) agreed[(i) * N + (j)]
+#define AGREEMENT_AGE(i, j) agreement_age[(i) * N + (j)]
 #define MIN(a, b) ((a) < (b) -> (a) : (b))
 #define MAX(a, b) ((a) < (b) -> (b) : (a))
 /* the two other members */
 #define J(i) (((i) + 1) % N)
 #define K(i) (((i) + 2) % N)
-#define MAJORITY_AGE(i) (AGREES(i) -> MIN(AG(i, J(i)), AG(i, K(i))) \
-                                   : MAX(AG(i, J(i)), AG(i, K(i))))
+/* Age of the agreement of a majority: of i and one other if i agrees itself,
+   otherwise of both others. */
+#define MAJORITY_AGE(i) \
+  (AGREES(i) -> MIN(AGREEMENT_AGE(i, J(i)), AGREEMENT_AGE(i, K(i))) \
+              : MAX(AGREEMENT_AGE(i, J(i)), AGREEMENT_AGE(i, K(i))))
+/* Age of the last confirmation: by a store read or, for version 1, by a
+   majority. */
 #define CONFIRMED(i) (head[i] == 1 -> MIN(store_age[i], MAJORITY_AGE(i)) \
                                    : store_age[i])
 #define ACTS_ON_OLD(i) (in_force[i] == 1 && CONFIRMED(i) <= F)
 
 inline clear_ages(i) {
-  store_age[i] = STALE; AG(i, 0) = STALE; AG(i, 1) = STALE; AG(i, 2) = STALE
+  store_age[i] = STALE;
+  AGREEMENT_AGE(i, 0) = STALE;
+  AGREEMENT_AGE(i, 1) = STALE;
+  AGREEMENT_AGE(i, 2) = STALE
 }
 
-/* When a newer head is learnt, the confirmation of the version in force keeps
-   its age. */
+/* A member that learns of version 2 may go on acting on version 1 until version
+   2 is in force. Until then store_age is the age of its last confirmation of
+   version 1, which keeps its age. */
 inline learn(i, version) {
   if
   :: version > head[i] ->
@@ -91,14 +104,14 @@
   if
   :: head[j] == 1 && head[i] == 1 ->
      store_age[i] = MIN(store_age[i], store_age[j]);
-     AG(i, 0) = MIN(AG(i, 0), AG(j, 0));
-     AG(i, 1) = MIN(AG(i, 1), AG(j, 1));
-     AG(i, 2) = MIN(AG(i, 2), AG(j, 2));
+     AGREEMENT_AGE(i, 0) = MIN(AGREEMENT_AGE(i, 0), AGREEMENT_AGE(j, 0));
+     AGREEMENT_AGE(i, 1) = MIN(AGREEMENT_AGE(i, 1), AGREEMENT_AGE(j, 1));
+     AGREEMENT_AGE(i, 2) = MIN(AGREEMENT_AGE(i, 2), AGREEMENT_AGE(j, 2));
      if
-     :: AGREES(j) -> AG(i, j) = 0
+     :: AGREES(j) -> AGREEMENT_AGE(i, j) = 0
      :: else
      fi;
-     AG(i, i) = STALE
+     AGREEMENT_AGE(i, i) = STALE
   :: else
   fi
 }
@@ -115,7 +128,9 @@
 inline tick() {
   for (n : 0 .. N - 1) {
     advance(store_age[n], STALE); advance(uptime[n], MAX_UPTIME);
-    advance(AG(n, 0), STALE); advance(AG(n, 1), STALE); advance(AG(n, 2), STALE)
+    advance(AGREEMENT_AGE(n, 0), STALE);
+    advance(AGREEMENT_AGE(n, 1), STALE);
+    advance(AGREEMENT_AGE(n, 2), STALE)
   }
   n = 0;
   if
--- a/spec/grant.h
+++ b/spec/grant.h
@@ -1,8 +1,10 @@
 /* Grant accounting: two holders share a limit through one row of the table.
    Answers may be lost. A holder may die while its work runs on; the end of that
-   work must be confirmed before the holder's grants go to others. */
+   work must be confirmed before the holder's grants go to others. Each model
+   defines LOST(i), what holder i does when an answer was lost, and
+   MAY_RECLAIM(i), whether the grants of dead holder i may be reclaimed. */
 
-#define LIMIT 2
+#define LIMIT 2           /* grants of both holders together */
 #define MAX_GRANTS 2      /* the most that one holder asks for */
 
 mtype = { idle, acquire, release };
@@ -13,11 +15,11 @@
 bool dead[2];
 mtype op[2] = idle;
 bool applied[2];
-bool done[2];             /* the table has processed the operation */
+bool answered[2];         /* the table has answered */
 byte deaths;
 
 inline apply(i) {
-  done[i] = true;
+  answered[i] = true;
   if
   :: op[i] == acquire && granted[0] + granted[1] < LIMIT ->
      granted[i]++; applied[i] = true
@@ -26,7 +28,7 @@
   fi
 }
 
-inline answer(i) {
+inline receive_answer(i) {
   if
   :: op[i] == acquire && applied[i] -> known[i]++
   :: else
@@ -35,9 +37,10 @@
 }
 
 inline finish(i) {
-  op[i] = idle; applied[i] = false; done[i] = false
+  op[i] = idle; applied[i] = false; answered[i] = false
 }
 
+/* The grants of a dead holder become free, and the holder starts anew. */
 inline reclaim(i) {
   granted[i] = 0; known[i] = 0; dead[i] = false
 }
@@ -55,13 +58,14 @@
           op[i] = acquire }
      :: d_step { (!dead[i] && op[i] == idle && running[i] < known[i]) ->
           known[i]--; op[i] = release }
-     :: d_step { (op[i] != idle && !done[i]) -> apply(i) }
-     :: d_step { done[i] && !dead[i] -> answer(i) }
-     :: d_step { done[i] && !dead[i] -> LOST(i) }
+     :: d_step { (op[i] != idle && !answered[i]) -> apply(i) }
+     :: d_step { answered[i] && !dead[i] -> receive_answer(i) }
+     :: d_step { answered[i] && !dead[i] -> LOST(i) }
      :: d_step { (!dead[i] && running[i] < known[i]) -> running[i]++ }
      :: d_step { running[i] > 0 -> running[i]-- }
      :: d_step { (!dead[i] && deaths < 2) -> dead[i] = true; deaths++ }
-     :: d_step { (dead[i] && (op[i] == idle || done[i]) && MAY_RECLAIM(i)) ->
+     :: d_step { (dead[i] && (op[i] == idle || answered[i]) &&
+                  MAY_RECLAIM(i)) ->
           finish(i); reclaim(i) }
      :: else
      fi;
--- a/spec/grant_accounting_broken.pml
+++ b/spec/grant_accounting_broken.pml
@@ -1,4 +1,4 @@
-/* Broken: a dead holder's grants are released while its work still runs. */
-#define LOST(i) answer(i)
+/* Broken: a dead holder's grants are reclaimed while its work still runs. */
+#define LOST(i) receive_answer(i)
 #define MAY_RECLAIM(i) true
 #include "grant.h"
--- a/spec/office_chain.h
+++ b/spec/office_chain.h
@@ -3,8 +3,11 @@
    it. A commit may be applied late; its answer may be lost and the commit sent
    again. Start orders may be carried out late. A worker keeps the highest
    fencing token that it saw and the highest run that ended or was stopped on
-   it. */
+   it. Each model defines EXPECT(i), whether the table applies the commit of
+   host i, and CLOSE(w, i), what host i does to stop its tracked run on worker
+   w. */
 
+/* bounds of the model: no commit is applied and no run started beyond them */
 #define MAX_VERSION 8
 #define MAX_RUN 3
 
@@ -12,28 +15,29 @@
 
 /* the table */
 byte version = 1;         /* of the leadership row */
-byte holder = 0;
-byte rec_run = 0;         /* the recorded run that may be alive; 0 none */
-byte rec_worker = 0;
-byte last_run = 0;
+byte holder = 0;          /* host that holds the leadership; 0 none */
+byte recorded_run = 0;    /* may be alive; 0 none */
+byte recorded_worker = 0;
+byte last_run = 0;        /* newest run recorded, alive or not; 0 none */
 bool end_recorded = false; /* the successful end is recorded */
 
 /* hosts, by index 1 and 2 */
 bool is_leader[3];
 byte token[3];            /* fencing token */
-byte known_version[3];    /* of the row, after the host's last commit */
-byte tracked_run[3];      /* the run that it believes is alive; 0 none */
+byte known_version[3];    /* of the row, as the next commit expects it */
+byte tracked_run[3];      /* the run that it believes may be alive; 0 none */
 byte tracked_worker[3];
-byte newest_run[3];
+byte newest_run[3];       /* last_run, as known to the host */
 bool knows_end[3];        /* it knows of the recorded successful end */
-bool adopted[3];          /* the worker has confirmed or denied the run */
+bool adopted[3];          /* it took over no run, the worker confirmed the
+                             run, or it started one itself; never read */
 
 /* the commit in progress of each host */
 mtype op[3] = none;
 byte op_expect[3];
 byte op_run[3];
 byte op_worker[3];
-bool op_sent[3];          /* an attempt is in flight and may be applied */
+bool op_in_flight[3];     /* an attempt is in flight and may be applied */
 bool op_applied[3];       /* one of the attempts was applied */
 
 /* start orders in flight, at most one for each host */
@@ -52,7 +56,7 @@
 inline begin(i, kind, r, w) {
   op[i] = kind; op_expect[i] = known_version[i];
   op_run[i] = r; op_worker[i] = w;
-  op_sent[i] = true; op_applied[i] = false
+  op_in_flight[i] = true; op_applied[i] = false
 }
 
 inline apply(i) {
@@ -62,27 +66,29 @@
      if
      :: op[i] == elect -> holder = i
      :: op[i] == start ->
-        rec_run = op_run[i]; rec_worker = op_worker[i]; last_run = op_run[i]
-     :: op[i] == discard -> rec_run = 0
-     :: op[i] == record_end -> end_recorded = true; rec_run = 0
+        recorded_run = op_run[i]; recorded_worker = op_worker[i];
+        last_run = op_run[i]
+     :: op[i] == discard -> recorded_run = 0
+     :: op[i] == record_end -> end_recorded = true; recorded_run = 0
      fi
   :: else
   fi;
-  op_sent[i] = false
+  op_in_flight[i] = false
 }
 
 /* The answer says that the commit was applied, or reports a conflict, which
-   shows whether an earlier attempt was applied. */
-inline answer(i) {
+   shows whether an earlier attempt was applied. If none was, the host no longer
+   leads. */
+inline receive_answer(i) {
   if
   :: op_applied[i] ->
      known_version[i] = op_expect[i] + 1;
      if
      :: op[i] == elect ->
         is_leader[i] = true; token[i] = known_version[i];
-        tracked_run[i] = rec_run; tracked_worker[i] = rec_worker;
+        tracked_run[i] = recorded_run; tracked_worker[i] = recorded_worker;
         newest_run[i] = last_run;
-        knows_end[i] = end_recorded; adopted[i] = (rec_run == 0)
+        knows_end[i] = end_recorded; adopted[i] = (recorded_run == 0)
      :: op[i] == start ->
         tracked_run[i] = op_run[i]; tracked_worker[i] = op_worker[i];
         newest_run[i] = op_run[i]; adopted[i] = true;
@@ -109,8 +115,8 @@
   order_pending[i] = false
 }
 
-/* The leader asks the worker about its run, which raises the worker's fencing
-   token. */
+/* The leader asks the worker about the tracked run, which raises the worker's
+   fencing token. */
 inline query_worker(i) {
   w = tracked_worker[i];
   if
@@ -120,8 +126,8 @@
      :: w_run[w] == tracked_run[i] -> adopted[i] = true
      :: w_run[w] != tracked_run[i] && w_done[w] -> begin(i, record_end, 0, 0)
      :: w_run[w] != tracked_run[i] && !w_done[w] ->
-        /* the worker doesn't have it: it is stopped there, so that a late order
-           can't start it any more */
+        /* the worker doesn't list the run: it is stopped there, so that a late
+           start order can't start it any more */
         CLOSE(w, i);
         begin(i, discard, 0, 0)
      fi
@@ -141,10 +147,10 @@
        begin(i, start, newest_run[i] + 1, w) }
   :: atomic { is_leader[i] && op[i] == none && tracked_run[i] != 0 ->
        query_worker(i) }
-  :: atomic { op[i] != none && op_sent[i] -> apply(i) }
-  :: atomic { op[i] != none && !op_sent[i] -> answer(i) }
+  :: atomic { op[i] != none && op_in_flight[i] -> apply(i) }
+  :: atomic { op[i] != none && !op_in_flight[i] -> receive_answer(i) }
   /* the answer is lost and the commit sent again */
-  :: atomic { op[i] != none && !op_sent[i] -> op_sent[i] = true }
+  :: atomic { op[i] != none && !op_in_flight[i] -> op_in_flight[i] = true }
   :: atomic { order_pending[i] -> deliver(i) }
   od
 }
--- a/spec/shard_lease.h
+++ b/spec/shard_lease.h
@@ -1,14 +1,16 @@
 /* Shard leases: two processes, one shard. An owner may be paused between its
    check and its write, a write may be delayed in the table, and its answer may
-   be lost. Ages count ticks and saturate. */
+   be lost. Ages count ticks and saturate. Each model defines PRECONDITION(i):
+   whether the table applies a write of work by process i. */
 
-#define L 2               /* the lease, in ticks */
+#define L 2               /* duration of a lease, in ticks */
 #define EXPIRED (L + 1)   /* ages saturate here */
-#define MAX_EPOCH 3
+#define MAX_EPOCH 3       /* bounds the model: no lease is taken beyond it */
 
 mtype = { idle, take, renew, work };
 
-/* the table */
+/* the table: the lease row. The renewal row is modelled only by unseen and
+   op_stale, which tell whether it changed. */
 byte owner;               /* 0 none, 1 or 2 */
 byte epoch;
 
@@ -23,10 +25,11 @@
 /* the write in progress of each process */
 mtype op[3] = idle;
 byte op_epoch[3];
-bool op_stale[3];         /* the renewal row changed since the write was made */
+bool op_stale[3];         /* the renewal row changed since the scan that the
+                             write is based on */
 byte op_age[3];
 bool applied[3];
-bool done[3];             /* the table has answered */
+bool answered[3];         /* the table has answered */
 
 #define OTHER(i) (3 - (i))
 #define HOLDS_LEASE(i) (seen_owner[i] == i && renewal_age[i] < L)
@@ -38,16 +41,16 @@
 
 inline begin(i, kind) {
   op[i] = kind; op_epoch[i] = seen_epoch[i]; op_stale[i] = unseen[i];
-  op_age[i] = 0; applied[i] = false; done[i] = false
+  op_age[i] = 0; applied[i] = false; answered[i] = false
 }
 
 inline finish(i) {
   op[i] = idle; op_epoch[i] = 0; op_stale[i] = false;
-  op_age[i] = 0; applied[i] = false; done[i] = false
+  op_age[i] = 0; applied[i] = false; answered[i] = false
 }
 
 inline apply(i) {
-  done[i] = true;
+  answered[i] = true;
   if
   :: op[i] == take && op_epoch[i] == epoch && !op_stale[i] ->
      owner = i; epoch++; applied[i] = true; touch_renewal(i)
@@ -60,7 +63,7 @@
   fi
 }
 
-inline answer(i) {
+inline receive_answer(i) {
   if
   :: applied[i] && op[i] == take ->
      seen_owner[i] = i; seen_epoch[i] = op_epoch[i] + 1;
@@ -112,9 +115,9 @@
           begin(i, take) }
      :: d_step { (op[i] == idle && seen_owner[i] == i) -> begin(i, renew) }
      :: d_step { (op[i] == idle && HOLDS_LEASE(i)) -> begin(i, work) }
-     :: d_step { (op[i] != idle && !done[i]) -> apply(i) }
-     :: d_step { done[i] -> answer(i) }
-     :: d_step { done[i] -> finish(i) }   /* the answer is lost */
+     :: d_step { (op[i] != idle && !answered[i]) -> apply(i) }
+     :: d_step { answered[i] -> receive_answer(i) }
+     :: d_step { answered[i] -> finish(i) }   /* the answer is lost */
      :: else
      fi;
      i = 0;
