--- a/spec/config_freshness.h
+++ b/spec/config_freshness.h
@@ -12,8 +12,7 @@
 #define N 3
 #define F 1                 /* freshness bound, in ticks */
 #define STALE (F + 1)       /* too old to act on; ages saturate here */
-#define W 0                 /* longest time from first promise to commit, in
-                               ticks */
+#define W 0                 /* most ticks from first promise to commit */
 #define DELAY (W + 1)       /* least uptime of a restarted voter, in ticks */
 #define MAX_UPTIME (DELAY + STALE) /* uptimes saturate here */
 
@@ -60,8 +59,8 @@
 }
 
 /* A member that learns of version 2 may go on acting on version 1 until version
-   2 is in force. Until then store_age is the age of its last confirmation of
-   version 1, which keeps its age. */
+   2 is in force. Until then store_age goes on counting from its last
+   confirmation of version 1. */
 inline learn(i, version) {
   if
   :: version > head[i] ->
