--- a/include/cassiastile/host/config_watcher.hpp
+++ b/include/cassiastile/host/config_watcher.hpp
@@ -21,6 +21,7 @@
     std::function<void()> on_waves;
   };
 
+  // `ports`, `loop` and `log` must outlive the watcher.
   ConfigWatcher(HostPorts& ports, Loop& loop, EventLog& log, Listener listener);
 
   // Reads the whole operators' table, then follows its feed; both are retried
@@ -33,12 +34,14 @@
 
   // Version of the configuration in force; 0 while there is none.
   std::uint64_t Version() const;
+  // The configuration in force as the operators wrote it; empty while there is
+  // none.
   const std::string& Text() const { return m_text; }
   // Null until the first configuration has been read.
   std::shared_ptr<const jobs::FleetConfig> Config() const { return m_config; }
   // Requested maintenance waves by number.
   const std::map<std::uint64_t, WaveRequest>& Waves() const { return m_waves; }
-  // Whether the store answered a read or feed within the last 2.5 seconds.
+  // Whether the store answered a read or a feed within the last 2.5 seconds.
   bool IsStoreReachable() const;
 
  private:
@@ -53,9 +56,9 @@
   std::shared_ptr<const jobs::FleetConfig> m_config;
   std::string m_text;
   std::map<std::uint64_t, WaveRequest> m_waves;
-  std::uint64_t m_position = 0;
+  std::uint64_t m_feed_version = 0;
   base::TimePoint m_store_answered_at{};
-  bool m_failing = false;
+  bool m_feed_failing = false;
   Lifetime m_lifetime;
 };
 
--- a/include/cassiastile/host/dispatcher.hpp
+++ b/include/cassiastile/host/dispatcher.hpp
@@ -35,7 +35,9 @@
   std::string worker_table;
   std::string operator_table;
   std::string status_table;
+  // Key of the configuration in the operators' table.
   std::string config_key;
+  // Keys of waves start with it, in the operators' and in the status table.
   std::string wave_prefix;
 };
 
@@ -43,8 +45,9 @@
 // worker leases, sends start and stop orders, and answers job requests.
 class Dispatcher {
  public:
-  // `transactions` must have acquired leadership. `on_leadership_lost` runs
-  // when a commit finds that another host has taken it.
+  // `transactions` must have acquired leadership; the references must outlive
+  // the dispatcher. `on_leadership_lost` runs when a commit finds that another
+  // host has taken the leadership.
   Dispatcher(HostPorts& ports,
              Loop& loop,
              EventLog& log,
@@ -98,8 +101,7 @@
   using Responder = std::function<void(JobAnswer)>;
 
   // dispatcher.cpp
-  // Reads all rows of a part, retrying until the store answers; used when a
-  // term begins and after a feed's history was compacted.
+  // Reads all rows of a part, retrying until the store answers.
   void ReadUntilAnswered(const std::string& table,
                          const std::string& part,
                          const std::function<void(RowPage)>& on_rows);
@@ -113,13 +115,15 @@
   void Plan();
   void Tick();
   void ReadMachineRows();
-  void ReadLearnt();
-  void StoreLearnt();
+  void ReadDurations();
+  void StoreDurations();
   void CommitPending();
   void HandleCommitted(const jobs::Batch& batch);
   void LogAccepted(const std::string& id);
   void LogFinished(const std::string& id, jobs::JobPhase phase);
   void LoseLeadership();
+  // Whether the term was confirmed recently enough to extend worker leases and
+  // to send orders.
   bool MayGiveOrders() const;
 
   // dispatcher_jobs.cpp
@@ -150,15 +154,15 @@
   std::function<void()> m_on_leadership_lost;
   std::shared_ptr<const jobs::FleetConfig> m_config;
   jobs::Scheduler m_scheduler;
-  MachineController m_machines;
+  MachineController m_machine_controller;
   bool m_serving = false;
   bool m_term_over = false;
   bool m_plan_requested = false;
   std::map<std::string, StoredJob> m_recovered;
-  std::uint64_t m_stored_revision = 0;  // Of the durations last stored.
-  base::TimePoint m_learnt_stored_at{};
-  std::map<std::string, jobs::WorkerEntry> m_entries;
-  std::uint64_t m_workers_version = 0;
+  std::uint64_t m_stored_durations_revision = 0;
+  base::TimePoint m_durations_stored_at{};
+  std::map<std::string, jobs::WorkerEntry> m_worker_entries;
+  std::uint64_t m_worker_feed_version = 0;
   std::map<std::string, Link> m_links;
   // Callers to answer once the acceptance or the cancellation is stored, by
   // job.
--- a/include/cassiastile/host/event_log.hpp
+++ b/include/cassiastile/host/event_log.hpp
@@ -16,13 +16,13 @@
 // Writes one JSON object per line: the event, its subject and the inputs of the
 // decision. Lines are buffered in memory and written without blocking. When the
 // reader falls behind, lines are dropped, and their number is logged once the
-// buffer has room again.
+// buffer has room again. Use it on the host's loop only.
 class EventLog {
  public:
   // Writes bytes without blocking and returns how many were accepted.
   using Sink = std::function<std::size_t(std::string_view)>;
 
-  // `metrics` must outlive the log.
+  // `clock` and `metrics` must outlive the log.
   EventLog(const base::Clock& clock,
            std::string host,
            HostMetrics& metrics,
@@ -44,7 +44,7 @@
   Sink m_sink;
   std::string m_buffer;
   std::uint64_t m_dropped = 0;
-  std::uint64_t m_reported = 0;
+  std::uint64_t m_dropped_logged = 0;
 };
 
 // Returns a sink for standard output and makes that descriptor non-blocking.
--- a/include/cassiastile/host/host_node.hpp
+++ b/include/cassiastile/host/host_node.hpp
@@ -37,9 +37,10 @@
 
 // One entry host: serves callers' requests, follows the configuration and,
 // while it is the leader, schedules jobs on the workers. Any host can become
-// the leader; a row in the platform's table says who is.
+// the leader; a row in the table store says which one is.
 class HostNode {
  public:
+  // The references must outlive the node.
   HostNode(HostPorts ports,
            PeerPort& peers,
            Loop& loop,
@@ -71,13 +72,13 @@
 
   // Null unless this host is the leader.
   const Dispatcher* LeaderDispatcher() const { return m_dispatcher.get(); }
-  const ConfigWatcher& Config() const { return m_config; }
+  const ConfigWatcher& Config() const { return m_config_watcher; }
   const HostSettings& Settings() const { return m_settings; }
 
  private:
   struct Peer {
     std::string endpoint;
-    base::TimePoint heard{};
+    base::TimePoint heard_at{};
     bool store_answers = false;
     double processor_share = 0;
   };
@@ -94,10 +95,11 @@
   void MergeGossip(const GossipMessage& gossip);
   void HandleAnnouncement(const LeaderAnnouncement& announcement);
   void WatchLeader();
+  // Reads the leader's record, and acquires leadership if it is vacant.
   void CheckLeader();
-  void HandleLeaderRecord(const ObservedLeaderRecord& view);
-  std::string AcquisitionReason(const ObservedLeaderRecord& view) const;
-  void AcquireLeadership(const ObservedLeaderRecord& view);
+  void HandleLeaderRecord(const ObservedLeaderRecord& observed);
+  std::string AcquisitionReason(const ObservedLeaderRecord& observed) const;
+  void AcquireLeadership(const ObservedLeaderRecord& observed);
   // Which peers HasStrongerPeer counts: those that recently reached the store,
   // or all.
   enum class PeerFilter : std::uint8_t { kReachesStore, kAll };
@@ -114,13 +116,13 @@
   bool IsLeader() const { return m_dispatcher != nullptr; }
 
   HostPorts m_ports;
-  PeerPort& m_peers;
+  PeerPort& m_peer_port;
   Loop& m_loop;
   EventLog& m_log;
   HostSettings m_settings;
   base::Random m_random;
   std::string m_incarnation;
-  ConfigWatcher m_config;
+  ConfigWatcher m_config_watcher;
   JobFrontend m_frontend;
   std::map<std::string, Peer> m_known_peers;  // By host.
   LeaderAnnouncement m_leader;
@@ -132,16 +134,18 @@
   base::TimePoint m_leader_heard_at{};
   ObservedLeaderRecord m_last_record;
   base::TimePoint m_record_changed_at{};
-  bool m_checking = false;
-  // Of the next read of the leader's row.
-  std::chrono::milliseconds m_read_timeout{500};
+  bool m_reading_record = false;
+  // Of the next read of the leader's record.
+  std::chrono::milliseconds m_record_read_timeout{500};
   bool m_acquiring = false;
   std::unique_ptr<LeaderTransactions> m_candidate;
   std::unique_ptr<Dispatcher> m_dispatcher;
   // Since when a peer has a newer configuration.
   base::TimePoint m_config_behind_since{};
   base::TimePoint m_config_requested_at{};
+  // Since when the leader's record has allowed another host to take over.
   base::TimePoint m_vacant_since{};
+  // Since when this leader has known a stronger peer.
   base::TimePoint m_weaker_since{};
   bool m_stopping = false;
   bool m_resigning = false;
--- a/include/cassiastile/host/job_frontend.hpp
+++ b/include/cassiastile/host/job_frontend.hpp
@@ -34,7 +34,7 @@
 
   // The leader as this host knows it, and the age of that information.
   struct LeaderView {
-    std::string holder;
+    std::string host;  // Empty if no leader is known.
     std::uint64_t fence = 0;
     std::chrono::milliseconds heard_ago{0};
   };
--- a/include/cassiastile/host/leader_transactions.hpp
+++ b/include/cassiastile/host/leader_transactions.hpp
@@ -40,14 +40,16 @@
 // later one or after another host has become the leader.
 class LeaderTransactions {
  public:
+  // `self` is the record to write while this host is the leader. The references
+  // must outlive this object.
   LeaderTransactions(RowStore& store,
                      Loop& loop,
                      EventLog& log,
                      LeaderRecord self);
 
-  // Acquires leadership if the record is still at the version `seen`. On
-  // success the term's fencing token is the version of the record that acquired
-  // it.
+  // Acquires leadership if the record is still as `seen`; `done` gets whether
+  // it did. The version of the record that this writes is the term's fencing
+  // token.
   void Acquire(const ObservedLeaderRecord& seen,
                std::function<void(bool)> done);
   std::uint64_t FencingToken() const { return m_fencing_token; }
@@ -58,7 +60,7 @@
   void Commit(std::vector<Row> puts,
               std::vector<Row> deletes,
               std::function<void(bool)> done);
-  // Resigns: stores a record without a host.
+  // Stores a record without a host, so that another host can take over at once.
   void Resign(std::function<void(bool)> done);
   bool IsBusy() const { return m_busy; }
 
@@ -82,7 +84,7 @@
   Loop& m_loop;
   EventLog& m_log;
   LeaderRecord m_record;
-  std::uint64_t m_version = 0;
+  std::uint64_t m_record_version = 0;
   std::uint64_t m_fencing_token = 0;
   bool m_busy = false;
   RowTransaction m_transaction;
--- a/include/cassiastile/host/machine_controller.hpp
+++ b/include/cassiastile/host/machine_controller.hpp
@@ -13,13 +13,13 @@
 
 namespace cassiastile::host {
 
-// Settings of the controller; `holder` is the host's name in orders.
+// Settings of the controller.
 struct MachineControllerOptions {
-  std::string holder;
+  std::string host;  // The leader's name in orders.
   // How long orders of a previous leader may still be in flight.
   std::chrono::milliseconds order_settle_time{3000};
   // Whether to move machines between pools.
-  bool moves = true;
+  bool moves_machines = true;
 };
 
 // Carries out maintenance waves and moves machines between pools during one
@@ -30,6 +30,8 @@
   // stored.
   using StoreRow = std::function<void(Row, std::function<void()>)>;
 
+  // The references must outlive the controller. `encode_wave_state` encodes a
+  // wave's number and whether it is done, for the status table.
   MachineController(
       MachinePort& port,
       RowStore& store,
@@ -40,7 +42,7 @@
       StoreRow store_row,
       std::string status_table,
       std::string wave_prefix,
-      std::function<std::string(std::uint64_t, bool)> encode_state);
+      std::function<std::string(std::uint64_t, bool)> encode_wave_state);
 
   // Restores a row that a previous leader stored: recent machine orders or a
   // wave's progress. Call it before Begin.
@@ -61,13 +63,13 @@
  private:
   using PoolLoads = jobs::Scheduler::PoolLoads;
 
-  enum class Pending : std::uint8_t { kNone, kMaintain, kMove };
+  enum class PendingOrder : std::uint8_t { kNone, kMaintain, kMove };
 
   struct TrackedMachine {
     Machine machine;
     bool listed = false;
     jobs::WorkerId incarnation;  // Of the worker at the time of the order.
-    Pending pending = Pending::kNone;  // Order whose outcome is open.
+    PendingOrder pending = PendingOrder::kNone;  // Order whose outcome is open.
     bool accepted = false;
     base::TimePoint ordered_at{};
     base::TimePoint accepted_at{};
@@ -87,6 +89,7 @@
     // When this leader first saw the request, from which `due` is counted.
     base::TimePoint seen_at{};
     bool done = false;
+    // Whether the status table has the state, and whether a write is in flight.
     bool running_stored = false;
     bool done_stored = false;
     bool storing = false;
@@ -95,28 +98,33 @@
   void ListMachines();
   void HandleMachineList(std::vector<Machine> machines,
                          base::TimePoint asked_at);
-  void ClearSettledOrder(TrackedMachine& known, base::TimePoint asked_at);
+  void ClearSettledOrder(TrackedMachine& tracked, base::TimePoint asked_at);
   void RunWave(Wave& wave, const PoolLoads& pools, base::TimePoint now);
   void MoveMachines(const PoolLoads& loads, base::TimePoint now);
   void LogLoads(const PoolLoads& loads);
   static Row MakeWaveRow(const Wave& wave);
-  void Maintain(Wave& wave, TrackedMachine& known);
-  void SendMaintain(std::uint64_t wave, const std::string& name, bool first);
+  void Maintain(Wave& wave, TrackedMachine& tracked);
+  // `first_order` tells whether the wave has not ordered this machine before.
+  void SendMaintain(std::uint64_t wave,
+                    const std::string& name,
+                    bool first_order);
   // Tells the scheduler which silent workers are gone, since their machine is
   // removed, down or runs another worker.
   void ReportLostWorkers(base::TimePoint asked_at);
-  void Move(TrackedMachine& known, const jobs::MachineMove& move);
-  void SetCordoned(TrackedMachine& known, bool cordoned, base::TimePoint now);
+  void Move(TrackedMachine& tracked, const jobs::MachineMove& move);
+  void SetCordoned(TrackedMachine& tracked, bool cordoned, base::TimePoint now);
+  // Whether no order of a previous leader to the machine can still be in
+  // flight.
   bool MayOrder(const std::string& machine) const;
   // Stores the time of an order together with `rows`, then sends it.
   void RecordOrder(const std::string& machine,
                    std::vector<Row> rows,
                    std::function<void()> order);
   void SendMove(const jobs::MachineMove& move);
-  void StoreWave(Wave& wave, bool done);
-  const jobs::WorkerState* WorkerOf(const TrackedMachine& known) const;
+  void StoreWaveState(Wave& wave, bool done);
+  const jobs::WorkerState* WorkerOf(const TrackedMachine& tracked) const;
 
-  MachinePort& m_port;
+  MachinePort& m_machine_port;
   RowStore& m_store;
   StoreRow m_store_row;
   Loop& m_loop;
@@ -125,7 +133,7 @@
   MachineControllerOptions m_options;
   std::string m_status_table;
   std::string m_wave_prefix;
-  std::function<std::string(std::uint64_t, bool)> m_encode_state;
+  std::function<std::string(std::uint64_t, bool)> m_encode_wave_state;
   std::shared_ptr<const jobs::FleetConfig> m_config;
   std::map<std::string, TrackedMachine> m_machines;
   std::map<std::uint64_t, Wave> m_waves;
--- a/include/cassiastile/host/peer_message.hpp
+++ b/include/cassiastile/host/peer_message.hpp
@@ -14,9 +14,10 @@
 
 // The leader as the sender knows it.
 struct LeaderAnnouncement {
-  std::uint64_t fence = 0;  // Grows with each term; 0 if unknown.
-  std::string host;         // Empty after the leader resigned.
-  std::string endpoint;     // Of the leader's peer interface.
+  // The term's fencing token, which grows with each term; 0 if unknown.
+  std::uint64_t fence = 0;
+  std::string host;      // Empty after the leader resigned.
+  std::string endpoint;  // Of the leader's peer interface.
 
   template <class Archive>
   void serialize(Archive& archive) {
@@ -108,12 +109,12 @@
 base::Result<JobRequest> DecodeJobRequest(const std::string& bytes);
 base::Result<JobAnswer> DecodeJobAnswer(const std::string& bytes);
 
-// The leader's record in the platform's table.
+// The leader's record in the table store.
 struct LeaderRecord {
   std::string host;  // Empty after the leader resigned.
   std::string endpoint;
   std::string incarnation;   // Unique per process.
-  std::uint64_t commit = 0;  // Commits of all terms so far.
+  std::uint64_t commit = 0;  // Number of this commit, counted over all terms.
 
   template <class Archive>
   void serialize(Archive& archive) {
--- a/include/cassiastile/host/ports.hpp
+++ b/include/cassiastile/host/ports.hpp
@@ -17,7 +17,8 @@
 // never within the call itself.
 namespace cassiastile::host {
 
-// A row of the platform's transactional table.
+// A row of the platform's transactional table store. Rows are read by table and
+// part, in the order of their keys.
 struct Row {
   std::string table;
   std::string part;
@@ -47,11 +48,11 @@
   enum class Outcome : std::uint8_t {
     kApplied,
     kConflict,    // An expectation failed; nothing was written.
-    kNotApplied,  // The store refused; nothing was written.
+    kNotApplied,  // Not sent, or refused; nothing was written.
     kUnknown,     // No answer; it may still be applied later.
   };
   Outcome outcome = Outcome::kUnknown;
-  std::uint64_t version = 0;
+  std::uint64_t version = 0;         // Of the applied transaction.
   std::vector<Row> current;          // On conflict: the expected rows now.
   std::chrono::milliseconds now{0};  // The store's steady clock.
 };
@@ -96,8 +97,9 @@
                     std::function<void(base::Result<FeedPage>)> done) = 0;
 };
 
-// Reads all pages of a part. The result has the first page's version, so that a
-// feed from there misses no change made during the read. `done` runs once.
+// Reads all pages of a part; `done` runs once, with the rows or the first
+// error. The result has the first page's version, so that a feed from there
+// misses no change made during the read. `store` must outlive the read.
 void ReadAllRows(RowStore& store,
                  const std::string& table,
                  const std::string& part,
@@ -180,8 +182,8 @@
 
 // The leader on whose behalf machine orders are given.
 struct OrderAuthority {
-  std::string holder;
-  std::uint64_t fence = 0;
+  std::string host;
+  std::uint64_t fence = 0;  // The term's fencing token.
 };
 
 // The platform's machine service.
@@ -205,7 +207,8 @@
 
 // Placements that the placement advisor allows, and how long they are valid.
 struct AdviceReply {
-  std::vector<std::pair<std::string, std::string>> allowed;  // Id, ticket.
+  // Worker id and ticket.
+  std::vector<std::pair<std::string, std::string>> allowed;
   std::chrono::milliseconds validity{0};
 };
 
@@ -221,8 +224,10 @@
 struct WaveRequest {
   std::uint64_t wave = 0;
   std::vector<std::string> machines;
-  std::chrono::seconds due{0};  // Counted from when it was written.
-  std::uint32_t max_down = 1;   // Machines in maintenance at once.
+  // Time for the whole wave; a leader counts it from when it first sees the
+  // request.
+  std::chrono::seconds due{0};
+  std::uint32_t max_down = 1;  // Machines in maintenance at once.
 };
 
 }  // namespace cassiastile::host
--- a/include/cassiastile/host/worker_lease.hpp
+++ b/include/cassiastile/host/worker_lease.hpp
@@ -12,8 +12,8 @@
 inline constexpr std::chrono::milliseconds kWorkerLease{5000};
 
 // Latest time at which a worker may still run after an extension sent at
-// `sent_at`. Its clock may be 2 % slow, which 3 % of the lease cover, and is
-// known only up to the latency of one call.
+// `sent_at`. `kClockSlack` covers a worker's clock that is 2 % slow, and
+// `kMargin` the latency of one call, up to which that clock is known.
 constexpr base::TimePoint LeaseEnd(base::TimePoint sent_at) {
   constexpr std::chrono::milliseconds kClockSlack = kWorkerLease * 3 / 100;
   constexpr std::chrono::milliseconds kMargin{400};
--- a/src/cassiastile/host/config_watcher.cpp
+++ b/src/cassiastile/host/config_watcher.cpp
@@ -11,7 +11,7 @@
 // Short because a connection may silently stop working, and a change must be in
 // force on all hosts within two seconds.
 constexpr std::chrono::milliseconds kFeedWait{900};
-constexpr std::chrono::milliseconds kRetry{150};
+constexpr std::chrono::milliseconds kRetryDelay{150};
 constexpr std::chrono::milliseconds kReachableFor{2500};
 
 }  // namespace
@@ -42,11 +42,12 @@
   ReadAllRows(m_ports.store, m_ports.operator_table, "",
               m_lifetime.Guard([this](base::Result<RowPage> page) {
                 if (!page) {
-                  m_loop.After(kRetry, m_lifetime.Guard([this] { ReadAll(); }));
+                  m_loop.After(kRetryDelay,
+                               m_lifetime.Guard([this] { ReadAll(); }));
                   return;
                 }
                 m_store_answered_at = m_loop.GetClock().Now();
-                m_position = page->version;
+                m_feed_version = page->version;
                 ApplyRows(page->rows);
                 FollowFeed();
               }));
@@ -54,32 +55,32 @@
 
 void ConfigWatcher::FollowFeed() {
   m_ports.store.Feed(
-      m_ports.operator_table, m_position, kFeedWait,
+      m_ports.operator_table, m_feed_version, kFeedWait,
       m_lifetime.Guard([this](base::Result<FeedPage> page) {
         if (!page) {
-          if (!std::exchange(m_failing, true)) {
+          if (!std::exchange(m_feed_failing, true)) {
             m_log.Write("config.feed_lost", {{"error", page.error().message}});
           }
-          m_loop.After(kRetry, m_lifetime.Guard([this] { FollowFeed(); }));
+          m_loop.After(kRetryDelay, m_lifetime.Guard([this] { FollowFeed(); }));
           return;
         }
-        if (std::exchange(m_failing, false)) {
-          m_log.Write("config.feed_regained", {{"position", m_position}});
+        if (std::exchange(m_feed_failing, false)) {
+          m_log.Write("config.feed_regained", {{"position", m_feed_version}});
         }
         m_store_answered_at = m_loop.GetClock().Now();
         if (page->history_compacted) {
-          m_log.Write("config.feed_forgotten", {{"position", m_position}});
+          m_log.Write("config.feed_forgotten", {{"position", m_feed_version}});
           ReadAll();
           return;
         }
-        m_position = std::max(m_position, page->version);
+        m_feed_version = std::max(m_feed_version, page->version);
         ApplyRows(page->rows);
         FollowFeed();
       }));
 }
 
 void ConfigWatcher::ApplyRows(const std::vector<Row>& rows) {
-  bool waves = false;
+  bool waves_changed = false;
   for (const Row& row : rows) {
     if (row.deleted) {
       continue;
@@ -93,10 +94,10 @@
         continue;
       }
       m_waves[wave->wave] = std::move(*wave);
-      waves = true;
+      waves_changed = true;
     }
   }
-  if (waves) {
+  if (waves_changed) {
     m_listener.on_waves();
   }
 }
--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -13,7 +13,7 @@
 
 // Events that arrive within this time are planned together.
 constexpr std::chrono::milliseconds kPlanDelay{5};
-constexpr std::chrono::milliseconds kTick{20};
+constexpr std::chrono::milliseconds kTickInterval{20};
 // Rows that no caller waits for are batched with later ones.
 constexpr std::chrono::milliseconds kDeferredCommitDelay{40};
 // An idle leader still rewrites its record, so that other hosts see that it is
@@ -21,24 +21,24 @@
 constexpr std::chrono::milliseconds kRenewalInterval{500};
 // The store accepts 100 entries per transaction; the leader's record and the
 // rows of waves come on top of these.
-constexpr std::size_t kMaxRows = 80;
+constexpr std::size_t kMaxJobRows = 80;
 // Commits that fail for longer than this count as an outage of the store.
 constexpr std::chrono::milliseconds kOutageAfter{400};
 // A leader that can't confirm its term keeps extending worker leases for this
 // long. A new leader waits this long, and then for one lease, before it gives
 // up silent workers.
 constexpr std::chrono::milliseconds kUnconfirmedTerm{8000};
-constexpr std::chrono::milliseconds kReadRetry{200};
+constexpr std::chrono::milliseconds kReadRetryDelay{200};
 constexpr std::chrono::milliseconds kWorkerFeedWait{1000};
 constexpr std::chrono::milliseconds kWorkerFeedPause{200};
 // Learnt durations change slowly, so they are stored rarely.
-constexpr std::chrono::milliseconds kLearntInterval{3000};
+constexpr std::chrono::milliseconds kDurationsInterval{3000};
 constexpr char kDurationsKey[] = "durations";
 constexpr char kRecordSuffix[] = ".r";
 constexpr char kProgressSuffix[] = ".p";
 constexpr std::size_t kSuffixLength = 2;
 
-jobs::SchedulerOptions MakeOptions(const HostSettings& settings) {
+jobs::SchedulerOptions MakeSchedulerOptions(const HostSettings& settings) {
   jobs::SchedulerOptions options;
   options.keep_finished = settings.finished_state;
   return options;
@@ -59,14 +59,14 @@
       m_transactions(std::move(transactions)),
       m_on_leadership_lost(std::move(on_leadership_lost)),
       m_config(std::make_shared<jobs::FleetConfig>()),
-      m_scheduler(MakeOptions(settings)),
-      m_machines(
+      m_scheduler(MakeSchedulerOptions(settings)),
+      m_machine_controller(
           ports.machines,
           ports.store,
           loop,
           log,
           m_scheduler,
-          {.holder = settings.host,
+          {.host = settings.host,
            .order_settle_time = settings.machine_order_lease},
           [this](Row row, std::function<void()> stored) {
             m_pending_rows.emplace_back(std::move(row), std::move(stored));
@@ -96,20 +96,21 @@
     const std::string& table,
     const std::string& part,
     const std::function<void(RowPage)>& on_rows) {
-  ReadAllRows(
-      m_ports.store, table, part,
-      m_lifetime.Guard([this, table, part,
-                        on_rows](base::Result<RowPage> page) {
-        if (page) {
-          on_rows(std::move(*page));
-          return;
-        }
-        m_log.Write("office.read_failed",
-                    {{"table", table}, {"error", page.error().message}});
-        m_loop.After(kReadRetry, m_lifetime.Guard([this, table, part, on_rows] {
-          ReadUntilAnswered(table, part, on_rows);
-        }));
-      }));
+  ReadAllRows(m_ports.store, table, part,
+              m_lifetime.Guard(
+                  [this, table, part, on_rows](base::Result<RowPage> page) {
+                    if (page) {
+                      on_rows(std::move(*page));
+                      return;
+                    }
+                    m_log.Write(
+                        "office.read_failed",
+                        {{"table", table}, {"error", page.error().message}});
+                    m_loop.After(kReadRetryDelay,
+                                 m_lifetime.Guard([this, table, part, on_rows] {
+                                   ReadUntilAnswered(table, part, on_rows);
+                                 }));
+                  }));
 }
 
 void Dispatcher::ReadJobs() {
@@ -127,13 +128,13 @@
 void Dispatcher::ReadMachineRows() {
   ReadUntilAnswered(kMachineTable, kLeaderPart, [this](const RowPage& page) {
     for (const Row& row : page.rows) {
-      m_machines.Recover(row);
+      m_machine_controller.Recover(row);
     }
-    ReadLearnt();
+    ReadDurations();
   });
 }
 
-void Dispatcher::ReadLearnt() {
+void Dispatcher::ReadDurations() {
   ReadUntilAnswered(kLearntTable, kLeaderPart, [this](const RowPage& page) {
     for (const Row& row : page.rows) {
       auto durations = jobs::DurationModel::Decode(row.value);
@@ -147,15 +148,15 @@
   });
 }
 
-void Dispatcher::StoreLearnt() {
+void Dispatcher::StoreDurations() {
   const base::TimePoint now = m_loop.GetClock().Now();
   const std::uint64_t revision = m_scheduler.Durations().Revision();
-  if (!m_serving || revision == m_stored_revision ||
-      now - m_learnt_stored_at < kLearntInterval) {
+  if (!m_serving || revision == m_stored_durations_revision ||
+      now - m_durations_stored_at < kDurationsInterval) {
     return;
   }
-  m_stored_revision = revision;
-  m_learnt_stored_at = now;
+  m_stored_durations_revision = revision;
+  m_durations_stored_at = now;
   m_pending_rows.emplace_back(Row{kLearntTable, kLeaderPart, kDurationsKey,
                                   m_scheduler.Durations().Encode(), 0, false},
                               [] {});
@@ -163,8 +164,8 @@
 
 void Dispatcher::ReadWorkers() {
   ReadUntilAnswered(m_ports.worker_table, "", [this](const RowPage& page) {
-    m_entries.clear();
-    m_workers_version = page.version;
+    m_worker_entries.clear();
+    m_worker_feed_version = page.version;
     ApplyWorkerRows(page.rows);
     if (!m_serving) {
       StartServing();
@@ -175,14 +176,15 @@
 
 void Dispatcher::FeedWorkers() {
   m_ports.store.Feed(
-      m_ports.worker_table, m_workers_version, kWorkerFeedWait,
+      m_ports.worker_table, m_worker_feed_version, kWorkerFeedWait,
       m_lifetime.Guard([this](base::Result<FeedPage> page) {
         if (page && page->history_compacted) {
           ReadWorkers();
           return;
         }
         if (page) {
-          m_workers_version = std::max(m_workers_version, page->version);
+          m_worker_feed_version =
+              std::max(m_worker_feed_version, page->version);
           ApplyWorkerRows(page->rows);
         }
         m_loop.After(kWorkerFeedPause,
@@ -193,18 +195,18 @@
 void Dispatcher::ApplyWorkerRows(const std::vector<Row>& rows) {
   for (const Row& row : rows) {
     if (row.deleted) {
-      m_entries.erase(row.key);
+      m_worker_entries.erase(row.key);
       m_log.Write("worker.left_list", {{"worker", row.key}});
       continue;
     }
     auto entry = m_ports.decode_worker(row.key, row.value);
     if (!entry) {
       m_log.Write("worker.bad_entry", {{"error", entry.error().message}});
-      m_entries.erase(row.key);
+      m_worker_entries.erase(row.key);
       continue;
     }
-    const auto known = m_entries.find(row.key);
-    if (known == m_entries.end() || known->second.id != entry->id ||
+    const auto known = m_worker_entries.find(row.key);
+    if (known == m_worker_entries.end() || known->second.id != entry->id ||
         known->second.draining != entry->draining) {
       m_log.Write("worker.listed", {{"worker", row.key},
                                     {"born", entry->id.incarnation_ms},
@@ -213,10 +215,10 @@
                                     {"draining", entry->draining},
                                     {"row_version", row.version}});
     }
-    m_entries[row.key] = std::move(*entry);
+    m_worker_entries[row.key] = std::move(*entry);
   }
   std::vector<jobs::WorkerEntry> entries;
-  for (const auto& [id, entry] : m_entries) {
+  for (const auto& [id, entry] : m_worker_entries) {
     entries.push_back(entry);
   }
   m_scheduler.WorkersListed(entries, m_loop.GetClock().Now());
@@ -260,11 +262,11 @@
   m_scheduler.Recover(std::move(recovered), now, m_loop.GetClock().WallNow(),
                       latest_lease_end);
   m_serving = true;
-  m_machines.Begin(FencingToken(),
-                   [this] { return m_transactions->StoreNow(); });
+  m_machine_controller.Begin(FencingToken(),
+                             [this] { return m_transactions->StoreNow(); });
   m_log.Write("office.serving", {{"fence", FencingToken()},
                                  {"jobs", count},
-                                 {"workers", m_entries.size()},
+                                 {"workers", m_worker_entries.size()},
                                  {"config_version", m_config->version}});
   Tick();
 }
@@ -272,12 +274,12 @@
 void Dispatcher::ApplyConfig(std::shared_ptr<const jobs::FleetConfig> config) {
   m_config = std::move(config);
   m_scheduler.ApplyConfig(m_config);
-  m_machines.ApplyConfig(m_config);
+  m_machine_controller.ApplyConfig(m_config);
   RequestPlan();
 }
 
 void Dispatcher::ApplyWaves(const std::map<std::uint64_t, WaveRequest>& waves) {
-  m_machines.ApplyWaves(waves);
+  m_machine_controller.ApplyWaves(waves);
 }
 
 bool Dispatcher::IsStoreUnavailable() const {
@@ -317,10 +319,10 @@
     return;
   }
   PollWorkers();
-  m_machines.Tick(!IsStoreUnavailable() && MayGiveOrders());
-  StoreLearnt();
+  m_machine_controller.Tick(!IsStoreUnavailable() && MayGiveOrders());
+  StoreDurations();
   CommitPending();
-  m_loop.After(kTick, m_lifetime.Guard([this] { Tick(); }));
+  m_loop.After(kTickInterval, m_lifetime.Guard([this] { Tick(); }));
 }
 
 void Dispatcher::CommitPending() {
@@ -336,7 +338,7 @@
     return;
   }
   m_last_commit_at = now;
-  const jobs::Batch batch = m_scheduler.TakeBatch(kMaxRows, now);
+  const jobs::Batch batch = m_scheduler.TakeBatch(kMaxJobRows, now);
   std::vector<Row> puts;
   std::vector<Row> deletes;
   for (const jobs::JobRow& row : batch.rows) {
--- a/src/cassiastile/host/dispatcher_workers.cpp
+++ b/src/cassiastile/host/dispatcher_workers.cpp
@@ -20,9 +20,9 @@
 // once it is stored; polling sooner would return the same ends.
 constexpr std::chrono::milliseconds kUnstoredEndsPause{150};
 constexpr std::chrono::milliseconds kMaxFailurePause{500};
-constexpr std::uint32_t kSilentAfter = 2;
+constexpr std::uint32_t kFailuresUntilSilent = 2;
 
-nlohmann::json Describe(const jobs::TaskId& task, std::uint32_t run) {
+nlohmann::json DescribeRun(const jobs::TaskId& task, std::uint32_t run) {
   return {{"job", task.job},
           {"task", {task.occurrence, task.step, task.index}},
           {"run", run}};
@@ -69,9 +69,9 @@
       Extend(link, false);
     }
   }
-  std::erase_if(m_links, [this](const auto& row) {
-    return !row.second.polling && !row.second.probing &&
-           !m_scheduler.Workers().contains(row.first);
+  std::erase_if(m_links, [this](const auto& entry) {
+    return !entry.second.polling && !entry.second.probing &&
+           !m_scheduler.Workers().contains(entry.first);
   });
 }
 
@@ -121,14 +121,14 @@
     ++link.failures;
     link.next_poll_at =
         now + std::min(kMaxFailurePause, kPollPause * link.failures * 4);
-    if (link.failures == kSilentAfter) {
+    if (link.failures == kFailuresUntilSilent) {
       link.silent = true;
       m_log.Write("worker.silent", {{"worker", id},
                                     {"error", result.error().message},
                                     {"fenced", result.error().fenced}});
     }
     m_scheduler.WorkerSilent(id, now);
-    m_machines.WorkerSilent();
+    m_machine_controller.WorkerSilent();
     if (result.error().fenced) {
       // Commits at once, to learn whether leadership is lost.
       m_last_commit_at = {};
@@ -150,7 +150,7 @@
     const auto worker = m_scheduler.Workers().find(id);
     if (worker != m_scheduler.Workers().end() &&
         end.sequence > worker->second.last_end) {
-      nlohmann::json line = Describe(end.task, end.run);
+      nlohmann::json line = DescribeRun(end.task, end.run);
       line["worker"] = id;
       line["how"] = base::FindName(jobs::kRunEndNames, end.how);
       m_log.Write("run.ended", std::move(line));
@@ -216,7 +216,7 @@
       link.address, order, FencingToken(), until,
       m_lifetime.Guard([this, now, worker = order.worker, task = order.task,
                         run = order.run](jobs::StartResult result) {
-        nlohmann::json line = Describe(task, run);
+        nlohmann::json line = DescribeRun(task, run);
         line["worker"] = worker.id;
         line["result"] = base::FindName(jobs::kStartResultNames, result);
         const base::TimePoint answered = m_loop.GetClock().Now();
@@ -232,6 +232,7 @@
         }
         m_scheduler.StartAnswered(worker, task, run, result, answered);
         if (result == jobs::StartResult::kFenced) {
+          // Commits at once, to learn whether leadership is lost.
           m_last_commit_at = {};
         }
         if (result != jobs::StartResult::kRunning) {
@@ -246,7 +247,7 @@
       !MayGiveOrders()) {
     return;
   }
-  nlohmann::json line = Describe(order.task, order.run);
+  nlohmann::json line = DescribeRun(order.task, order.run);
   line["worker"] = order.worker.id;
   line["reason"] = base::FindName(jobs::kStopReasonNames, order.reason);
   m_log.Write("run.stop", std::move(line));
--- a/src/cassiastile/host/event_log.cpp
+++ b/src/cassiastile/host/event_log.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 // Holds about one second of lines at the highest rate seen in tests.
-constexpr std::size_t kMaxBuffered = 512U << 10U;
-constexpr std::size_t kAtomicWrite = PIPE_BUF;
+constexpr std::size_t kMaxBufferedBytes = 512U << 10U;
+constexpr std::size_t kAtomicWriteBytes = PIPE_BUF;
 
 // Returns the field of a line that names its outcome; empty if there is none.
 std::string OutcomeOf(const nlohmann::json& fields) {
@@ -40,13 +40,13 @@
 
 void EventLog::Write(std::string_view event, nlohmann::json fields) {
   m_metrics.Count(event, OutcomeOf(fields));
-  if (m_buffer.size() > kMaxBuffered) {
+  if (m_buffer.size() > kMaxBufferedBytes) {
     ++m_dropped;
     return;
   }
-  if (m_reported != m_dropped) {
-    const std::uint64_t lost = m_dropped - m_reported;
-    m_reported = m_dropped;
+  if (m_dropped_logged != m_dropped) {
+    const std::uint64_t lost = m_dropped - m_dropped_logged;
+    m_dropped_logged = m_dropped;
     Write("log.dropped", {{"lines", lost}});
   }
   fields["at"] = base::FormatWallTime(m_clock.WallNow());
@@ -74,7 +74,7 @@
     while (taken < bytes.size()) {
       // Writes whole lines of at most PIPE_BUF bytes in total, which a pipe
       // accepts completely or not at all.
-      std::string_view chunk = bytes.substr(taken, kAtomicWrite);
+      std::string_view chunk = bytes.substr(taken, kAtomicWriteBytes);
       if (const std::size_t end = chunk.rfind('\n');
           end != std::string_view::npos) {
         chunk = chunk.substr(0, end + 1);
--- a/src/cassiastile/host/event_log_test.cpp
+++ b/src/cassiastile/host/event_log_test.cpp
@@ -27,7 +27,7 @@
                  [this](std::string_view bytes) { return Take(bytes); }};
 };
 
-TEST_F(EventLogTest, WritesOneObjectALine) {
+TEST_F(EventLogTest, WritesOneJsonObjectPerLine) {
   m_log.Write("job.accepted", {{"job", "a"}});
   m_log.Flush();
   const auto line = nlohmann::json::parse(m_written);
@@ -36,7 +36,7 @@
   EXPECT_EQ(line["job"], "a");
 }
 
-TEST_F(EventLogTest, BlockedReaderDropsLinesAndTheirCountIsLogged) {
+TEST_F(EventLogTest, LinesDroppedForABlockedReaderAreCountedInTheLog) {
   m_room = 0;
   constexpr int kLines = 20000;
   for (int i = 0; i < kLines; ++i) {
@@ -53,7 +53,7 @@
   EXPECT_THAT(m_written, HasSubstr("\"number\":20000"));
 }
 
-TEST_F(EventLogTest, CountsByOutcome) {
+TEST_F(EventLogTest, CountsEventsByOutcome) {
   m_log.Write("run.ended", {{"how", "done"}});
   m_log.Write("run.ended", {{"how", "failed"}});
   m_log.Write("run.ended", {{"how", "done"}});
--- a/src/cassiastile/host/host_node.cpp
+++ b/src/cassiastile/host/host_node.cpp
@@ -13,6 +13,7 @@
 // hosts within a few rounds.
 constexpr std::chrono::milliseconds kGossipInterval{500};
 constexpr std::size_t kGossipFanout = 2;
+// While the leader asks for a takeover.
 constexpr std::size_t kTakeoverFanout = 8;
 constexpr std::chrono::milliseconds kFindPeersInterval{3000};
 constexpr std::chrono::milliseconds kTableHeadStart{400};
@@ -21,7 +22,9 @@
 // factor.
 constexpr double kStrongerFactor = 1.5;
 constexpr std::chrono::milliseconds kPeerTimeout{4000};
+// How long a weaker host lets stronger peers try to become the leader first.
 constexpr std::chrono::milliseconds kStrongerPeerHeadStart{400};
+// How long a leader knows a stronger peer before it resigns.
 constexpr std::chrono::milliseconds kYieldAfter{1500};
 constexpr std::chrono::milliseconds kWatchInterval{250};
 // The leader rewrites its record twice a second; one whose record has not
@@ -49,13 +52,13 @@
                    JobFrontendFormat format,
                    base::Random random)
     : m_ports(std::move(ports)),
-      m_peers(peers),
+      m_peer_port(peers),
       m_loop(loop),
       m_log(log),
       m_settings(std::move(settings)),
       m_random(random),
       m_incarnation(base::MakeId(m_random)),
-      m_config(
+      m_config_watcher(
           m_ports,
           loop,
           log,
@@ -70,7 +73,7 @@
            .on_waves =
                [this] {
                  if (IsLeader()) {
-                   m_dispatcher->ApplyWaves(m_config.Waves());
+                   m_dispatcher->ApplyWaves(m_config_watcher.Waves());
                  }
                }}),
       m_frontend(
@@ -98,7 +101,7 @@
               {{"availability_zone", m_settings.availability_zone},
                {"life", m_incarnation},
                {"peer_endpoint", OwnEndpoint()}});
-  m_config.Begin();
+  m_config_watcher.Begin();
   RegisterEndpoint();
   FindPeers();
   WatchLeader();
@@ -162,12 +165,12 @@
 }
 
 void HostNode::SendGossip(const std::string& endpoint) {
-  SendGossip(endpoint, MakeGossip(m_config.Version(), false));
+  SendGossip(endpoint, MakeGossip(m_config_watcher.Version(), false));
 }
 
 void HostNode::SendGossip(const std::string& endpoint,
                           const GossipMessage& gossip) {
-  m_peers.Gossip(
+  m_peer_port.Gossip(
       endpoint, gossip,
       m_lifetime.Guard(
           [this, endpoint](
@@ -200,14 +203,14 @@
   GossipMessage gossip;
   gossip.host = m_settings.host;
   gossip.endpoint = OwnEndpoint();
-  gossip.config_version = m_config.Version();
+  gossip.config_version = m_config_watcher.Version();
   if (with_config && gossip.config_version > known_version) {
-    gossip.config = m_config.Text();
+    gossip.config = m_config_watcher.Text();
   }
   gossip.leader = m_leader;
   gossip.is_leader = IsLeader() && !m_resigning;
   gossip.requests_takeover = IsLeader() && m_dispatcher->IsStoreUnavailable();
-  gossip.store_answers = m_config.IsStoreReachable();
+  gossip.store_answers = m_config_watcher.IsStoreReachable();
   gossip.processor_share = m_settings.processor_share;
   return gossip;
 }
@@ -223,13 +226,13 @@
   }
   Peer& peer = m_known_peers[gossip.host];
   peer.endpoint = gossip.endpoint;
-  peer.heard = m_loop.GetClock().Now();
+  peer.heard_at = m_loop.GetClock().Now();
   peer.store_answers = gossip.store_answers;
   peer.processor_share = gossip.processor_share;
-  if (gossip.config_version <= m_config.Version()) {
+  if (gossip.config_version <= m_config_watcher.Version()) {
     m_config_behind_since = {};
   } else if (!gossip.config.empty()) {
-    m_config.ApplyConfigText(gossip.config, gossip.host);
+    m_config_watcher.ApplyConfigText(gossip.config, gossip.host);
   } else {
     FetchConfig(gossip.endpoint);
   }
@@ -260,7 +263,7 @@
     return;
   }
   m_config_requested_at = now;
-  GossipMessage gossip = MakeGossip(m_config.Version(), false);
+  GossipMessage gossip = MakeGossip(m_config_watcher.Version(), false);
   gossip.wants_config = true;
   SendGossip(endpoint, gossip);
 }
@@ -296,42 +299,43 @@
 }
 
 void HostNode::CheckLeader() {
-  if (m_checking || m_acquiring || IsLeader() || m_stopping) {
+  if (m_reading_record || m_acquiring || IsLeader() || m_stopping) {
     return;
   }
-  m_checking = true;
+  m_reading_record = true;
   m_ports.store.Read(
-      kLeaderTable, kLeaderPart, "", m_read_timeout,
+      kLeaderTable, kLeaderPart, "", m_record_read_timeout,
       m_lifetime.Guard([this](const base::Result<RowPage>& page) {
-        m_checking = false;
+        m_reading_record = false;
         if (!page) {
-          m_read_timeout = m_read_timeout == kMaxReadTimeout
-                               ? kFirstReadTimeout
-                               : std::min(2 * m_read_timeout, kMaxReadTimeout);
+          m_record_read_timeout =
+              m_record_read_timeout == kMaxReadTimeout
+                  ? kFirstReadTimeout
+                  : std::min(2 * m_record_read_timeout, kMaxReadTimeout);
           return;
         }
-        m_read_timeout = kFirstReadTimeout;
-        ObservedLeaderRecord view;
+        m_record_read_timeout = kFirstReadTimeout;
+        ObservedLeaderRecord observed;
         for (const Row& row : page->rows) {
           if (row.key == kLeaderKey) {
-            view = DecodeLeaderRow(row);
+            observed = DecodeLeaderRow(row);
           }
         }
-        HandleLeaderRecord(view);
+        HandleLeaderRecord(observed);
       }));
 }
 
-void HostNode::HandleLeaderRecord(const ObservedLeaderRecord& view) {
+void HostNode::HandleLeaderRecord(const ObservedLeaderRecord& observed) {
   const base::TimePoint now = m_loop.GetClock().Now();
   const std::string gone = std::exchange(m_replaceable_leader, "");
-  const bool process_gone = !gone.empty() && view.record.host == gone;
-  if (view.version != m_last_record.version ||
+  const bool process_gone = !gone.empty() && observed.record.host == gone;
+  if (observed.version != m_last_record.version ||
       m_record_changed_at == base::TimePoint{}) {
-    m_last_record = view;
+    m_last_record = observed;
     m_record_changed_at = now;
   }
-  const bool vacant = view.version == 0 || view.record.host.empty() ||
-                      view.record.host == m_settings.host;
+  const bool vacant = observed.version == 0 || observed.record.host.empty() ||
+                      observed.record.host == m_settings.host;
   if (!vacant && !process_gone && now - m_record_changed_at <= kLeaderTimeout) {
     m_vacant_since = {};
     return;
@@ -347,15 +351,15 @@
                  m_lifetime.Guard([this] { CheckLeader(); }));
     return;
   }
-  AcquireLeadership(view);
+  AcquireLeadership(observed);
 }
 
 bool HostNode::HasStrongerPeer(PeerFilter filter) const {
   const base::TimePoint now = m_loop.GetClock().Now();
   return std::ranges::any_of(m_known_peers, [this, now,
-                                             filter](const auto& row) {
-    const Peer& peer = row.second;
-    return now - peer.heard < kPeerTimeout &&
+                                             filter](const auto& entry) {
+    const Peer& peer = entry.second;
+    return now - peer.heard_at < kPeerTimeout &&
            (peer.store_answers || filter == PeerFilter::kAll) &&
            peer.processor_share > kStrongerFactor * m_settings.processor_share;
   });
@@ -375,14 +379,14 @@
 }
 
 std::string HostNode::AcquisitionReason(
-    const ObservedLeaderRecord& view) const {
-  if (view.version == 0) {
+    const ObservedLeaderRecord& observed) const {
+  if (observed.version == 0) {
     return "no record";
   }
-  if (view.record.host.empty()) {
+  if (observed.record.host.empty()) {
     return "resigned";
   }
-  if (view.record.host == m_settings.host) {
+  if (observed.record.host == m_settings.host) {
     return "former life";
   }
   return m_loop.GetClock().Now() - m_record_changed_at > kLeaderTimeout
@@ -390,18 +394,18 @@
              : "process gone or without store";
 }
 
-void HostNode::AcquireLeadership(const ObservedLeaderRecord& view) {
-  if (m_config.Config() == nullptr || m_stopping) {
+void HostNode::AcquireLeadership(const ObservedLeaderRecord& observed) {
+  if (m_config_watcher.Config() == nullptr || m_stopping) {
     return;
   }
   m_acquiring = true;
-  m_log.Write("office.take", {{"why", AcquisitionReason(view)},
-                              {"seen_version", view.version},
-                              {"seen_holder", view.record.host}});
+  m_log.Write("office.take", {{"why", AcquisitionReason(observed)},
+                              {"seen_version", observed.version},
+                              {"seen_holder", observed.record.host}});
   m_candidate = std::make_unique<LeaderTransactions>(
       m_ports.store, m_loop, m_log,
       LeaderRecord{m_settings.host, OwnEndpoint(), m_incarnation, 0});
-  m_candidate->Acquire(view, m_lifetime.Guard([this](bool taken) {
+  m_candidate->Acquire(observed, m_lifetime.Guard([this](bool taken) {
     m_acquiring = false;
     if (taken) {
       BecomeLeader();
@@ -418,8 +422,8 @@
       m_ports, m_loop, m_log, m_settings, std::move(m_candidate), [this] {
         m_loop.After({}, m_lifetime.Guard([this] { HandleLeadershipLost(); }));
       });
-  m_dispatcher->ApplyConfig(m_config.Config());
-  m_dispatcher->ApplyWaves(m_config.Waves());
+  m_dispatcher->ApplyConfig(m_config_watcher.Config());
+  m_dispatcher->ApplyWaves(m_config_watcher.Waves());
   m_dispatcher->Begin();
   for (const auto& [host, peer] : m_known_peers) {
     SendGossip(peer.endpoint);
@@ -459,7 +463,7 @@
     respond({.kind = JobAnswerKind::kNotLeader});
     return;
   }
-  m_peers.ForwardJob(
+  m_peer_port.ForwardJob(
       m_leader.endpoint, request, timeout,
       [respond](const tl::expected<JobAnswer, PeerPort::Failure>& answer) {
         if (answer) {
@@ -487,7 +491,7 @@
 }
 
 bool HostNode::IsReady() const {
-  return !m_stopping && m_config.Config() != nullptr;
+  return !m_stopping && m_config_watcher.Config() != nullptr;
 }
 
 void HostNode::BeginStop() {
--- a/src/cassiastile/host/host_node_test.cpp
+++ b/src/cassiastile/host/host_node_test.cpp
@@ -90,7 +90,7 @@
 // The table returns one page per read; a leader that read only the first would
 // miss workers.
 TEST(HostNodeTest, NewLeaderReadsAllPagesOfTheWorkerTable) {
-  VirtualWorld world({.workers_of_service = 40});
+  VirtualWorld world({.workers_per_service = 40});
   // Short enough that idle machines have not moved to other pools yet.
   world.RunFor(milliseconds(500));
   ASSERT_TRUE(world.LeaderIndex().has_value());
@@ -212,7 +212,7 @@
 TEST(HostNodeTest, ConfigurationComesFromTheTableWhenItAnswers) {
   VirtualWorld world;
   world.RunFor(kSettled);
-  world.Faults().slow_feeds = milliseconds(60);
+  world.Faults().feed_delay = milliseconds(60);
   for (int i = 0; i < 5; ++i) {
     world.PublishNextConfig();
     world.RunFor(milliseconds(700));
@@ -259,9 +259,9 @@
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(random);
   };
   world.RunFor(kSettled);
-  world.Faults().orders_late = 0.05;
-  world.Faults().store_lost = 0.05;
-  world.Faults().store_late = 0.02;
+  world.Faults().late_start_chance = 0.05;
+  world.Faults().lost_answer_chance = 0.05;
+  world.Faults().late_commit_chance = 0.02;
   std::vector<std::string> jobs;
   for (int round = 0; round < 30; ++round) {
     for (int i = 0; i < 2; ++i) {
@@ -307,8 +307,8 @@
         break;
     }
   }
-  const std::string faulty = testing::PrintToString(world.Violations());
-  EXPECT_THAT(world.Violations(), IsEmpty()) << faulty;
+  const std::string violations = testing::PrintToString(world.Violations());
+  EXPECT_THAT(world.Violations(), IsEmpty()) << violations;
   world.Faults() = {};
   for (std::size_t i = 0; i < 6; ++i) {
     world.StartHost(i);
--- a/src/cassiastile/host/job_frontend.cpp
+++ b/src/cassiastile/host/job_frontend.cpp
@@ -222,7 +222,7 @@
   m_log.Write(event, {{"job", job},
                       {"verb", base::FindName(kJobVerbNames, verb)},
                       {"waited_ms", waited.count()},
-                      {"holder", leader_view.holder},
+                      {"holder", leader_view.host},
                       {"fence", leader_view.fence},
                       {"heard_ms_ago", leader_view.heard_ago.count()}});
 }
--- a/src/cassiastile/host/leader_transactions.cpp
+++ b/src/cassiastile/host/leader_transactions.cpp
@@ -17,12 +17,12 @@
 }  // namespace
 
 ObservedLeaderRecord DecodeLeaderRow(const Row& row) {
-  ObservedLeaderRecord view;
-  view.version = row.version;
+  ObservedLeaderRecord observed;
+  observed.version = row.version;
   if (auto record = DecodeLeaderRecord(row.value)) {
-    view.record = std::move(*record);
+    observed.record = std::move(*record);
   }
-  return view;
+  return observed;
 }
 
 LeaderTransactions::LeaderTransactions(RowStore& store,
@@ -33,10 +33,10 @@
 
 void LeaderTransactions::Acquire(const ObservedLeaderRecord& seen,
                                  std::function<void(bool)> done) {
-  m_version = seen.version;
+  m_record_version = seen.version;
   m_record.commit = seen.record.commit;
   Commit({}, {}, [this, done = std::move(done)](bool applied) {
-    m_fencing_token = m_version;
+    m_fencing_token = m_record_version;
     done(applied);
   });
 }
@@ -49,7 +49,7 @@
   ++m_record.commit;
   m_transaction = {};
   m_transaction.expect.push_back(
-      {kLeaderTable, kLeaderPart, kLeaderKey, m_version});
+      {kLeaderTable, kLeaderPart, kLeaderKey, m_record_version});
   m_transaction.puts = std::move(puts);
   m_transaction.puts.push_back(
       {kLeaderTable, kLeaderPart, kLeaderKey, Encode(m_record), 0, false});
@@ -86,7 +86,7 @@
     m_store_clock_at = m_loop.GetClock().Now();
   }
   if (reply.outcome == Outcome::kApplied) {
-    m_version = reply.version;
+    m_record_version = reply.version;
     m_confirmed_at = sent_at;
     m_log.Metrics().Observe(Latency::kCommit,
                             m_loop.GetClock().Now() - sent_at);
@@ -94,16 +94,16 @@
     return;
   }
   if (reply.outcome == Outcome::kConflict) {
-    ObservedLeaderRecord view;
+    ObservedLeaderRecord observed;
     for (const Row& row : reply.current) {
       if (row.key == kLeaderKey && !row.deleted) {
-        view = DecodeLeaderRow(row);
+        observed = DecodeLeaderRow(row);
       }
     }
-    const bool own = view.record == m_record;
+    const bool own = observed.record == m_record;
     if (own) {
       // An earlier attempt of this commit was applied, but its answer was lost.
-      m_version = view.version;
+      m_record_version = observed.version;
       m_confirmed_at = sent_at;
     }
     Finish(own);
--- a/src/cassiastile/host/machine_controller.cpp
+++ b/src/cassiastile/host/machine_controller.cpp
@@ -16,6 +16,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds kPlanInterval{100};
+// Between reads of the machine list: while a wave or an order is open,
+// otherwise, and once after a worker did not answer.
 constexpr std::chrono::milliseconds kListInterval{500};
 constexpr std::chrono::milliseconds kQuietListInterval{2000};
 constexpr std::chrono::milliseconds kSoonListInterval{200};
@@ -59,8 +61,8 @@
     StoreRow store_row,
     std::string status_table,
     std::string wave_prefix,
-    std::function<std::string(std::uint64_t, bool)> encode_state)
-    : m_port(port),
+    std::function<std::string(std::uint64_t, bool)> encode_wave_state)
+    : m_machine_port(port),
       m_store(store),
       m_store_row(std::move(store_row)),
       m_loop(loop),
@@ -69,7 +71,7 @@
       m_options(std::move(options)),
       m_status_table(std::move(status_table)),
       m_wave_prefix(std::move(wave_prefix)),
-      m_encode_state(std::move(encode_state)),
+      m_encode_wave_state(std::move(encode_wave_state)),
       m_config(std::make_shared<jobs::FleetConfig>()) {}
 
 void MachineController::Recover(const Row& row) {
@@ -113,8 +115,8 @@
                                     std::vector<Row> rows,
                                     std::function<void()> order) {
   const auto now = m_store_now();
-  std::erase_if(m_last_order_at, [this, now](const auto& row) {
-    return now - row.second > m_options.order_settle_time + kSettleMargin;
+  std::erase_if(m_last_order_at, [this, now](const auto& entry) {
+    return now - entry.second > m_options.order_settle_time + kSettleMargin;
   });
   m_last_order_at[machine] = now;
   std::string lines;
@@ -153,11 +155,12 @@
   }
   m_planned_at = now;
   const bool open_wave = std::ranges::any_of(
-      m_waves, [](const auto& row) { return !row.second.done; });
-  const bool pending = std::ranges::any_of(m_machines, [](const auto& row) {
-    return row.second.pending != Pending::kNone;
-  });
-  auto interval = open_wave || pending ? kListInterval : kQuietListInterval;
+      m_waves, [](const auto& entry) { return !entry.second.done; });
+  const bool open_order =
+      std::ranges::any_of(m_machines, [](const auto& entry) {
+        return entry.second.pending != PendingOrder::kNone;
+      });
+  auto interval = open_wave || open_order ? kListInterval : kQuietListInterval;
   if (m_list_soon) {
     interval = kSoonListInterval;
   }
@@ -175,7 +178,7 @@
   for (auto& [number, wave] : m_waves) {
     RunWave(wave, loads, now);
   }
-  if (m_options.moves) {
+  if (m_options.moves_machines) {
     MoveMachines(loads, now);
   }
 }
@@ -185,7 +188,7 @@
   m_list_soon = false;
   const base::TimePoint asked_at = m_loop.GetClock().Now();
   m_listed_at = asked_at;
-  m_port.List(m_lifetime.Guard(
+  m_machine_port.List(m_lifetime.Guard(
       [this, asked_at](base::Result<std::vector<Machine>> machines) {
         m_listing = false;
         if (!machines) {
@@ -198,31 +201,31 @@
 
 void MachineController::HandleMachineList(std::vector<Machine> machines,
                                           base::TimePoint asked_at) {
-  for (auto& [name, known] : m_machines) {
-    known.listed = false;
+  for (auto& [name, tracked] : m_machines) {
+    tracked.listed = false;
   }
   for (Machine& machine : machines) {
-    TrackedMachine& known = m_machines[machine.name];
-    known.machine = std::move(machine);
-    known.listed = true;
-    ClearSettledOrder(known, asked_at);
+    TrackedMachine& tracked = m_machines[machine.name];
+    tracked.machine = std::move(machine);
+    tracked.listed = true;
+    ClearSettledOrder(tracked, asked_at);
   }
   m_has_list = true;
   ReportLostWorkers(asked_at);
 }
 
-void MachineController::ClearSettledOrder(TrackedMachine& known,
+void MachineController::ClearSettledOrder(TrackedMachine& tracked,
                                           base::TimePoint asked_at) {
-  if (known.pending == Pending::kNone) {
+  if (tracked.pending == PendingOrder::kNone) {
     return;
   }
-  const bool up = known.machine.state == MachineState::kUp;
-  const bool accepted = known.accepted && asked_at > known.accepted_at;
-  const bool given_up = asked_at > known.ordered_at + kUnknownOrderTimeout;
+  const bool up = tracked.machine.state == MachineState::kUp;
+  const bool accepted = tracked.accepted && asked_at > tracked.accepted_at;
+  const bool given_up = asked_at > tracked.ordered_at + kUnknownOrderTimeout;
   if (up && (accepted || given_up)) {
-    known.pending = Pending::kNone;
-    known.destination.clear();
-    SetCordoned(known, false, asked_at);
+    tracked.pending = PendingOrder::kNone;
+    tracked.destination.clear();
+    SetCordoned(tracked, false, asked_at);
   }
 }
 
@@ -236,15 +239,15 @@
       continue;
     }
     const auto found = m_machines.find(worker.entry.machine);
-    const bool gone = found == m_machines.end() || !found->second.listed;
-    const bool over = gone ||
-                      found->second.machine.state == MachineState::kDown ||
-                      (!found->second.machine.worker.empty() &&
-                       found->second.machine.worker != id);
-    if (over) {
+    const bool unlisted = found == m_machines.end() || !found->second.listed;
+    const bool is_lost = unlisted ||
+                         found->second.machine.state == MachineState::kDown ||
+                         (!found->second.machine.worker.empty() &&
+                          found->second.machine.worker != id);
+    if (is_lost) {
       m_log.Write("worker.gone", {{"worker", id},
                                   {"machine", worker.entry.machine},
-                                  {"machine_listed", !gone},
+                                  {"machine_listed", !unlisted},
                                   {"runs", worker.runs.size()}});
       lost.push_back(worker.entry.id);
     }
@@ -255,17 +258,17 @@
 }
 
 const jobs::WorkerState* MachineController::WorkerOf(
-    const TrackedMachine& known) const {
+    const TrackedMachine& tracked) const {
   // Looks in the workers' table, which is more recent than the machine list.
-  return m_scheduler.FindWorkerOnMachine(known.machine.name);
+  return m_scheduler.FindWorkerOnMachine(tracked.machine.name);
 }
 
-void MachineController::SetCordoned(TrackedMachine& known,
+void MachineController::SetCordoned(TrackedMachine& tracked,
                                     bool cordoned,
                                     base::TimePoint now) {
-  known.cordoned = cordoned;
-  known.cordoned_at = now;
-  if (const jobs::WorkerState* worker = WorkerOf(known)) {
+  tracked.cordoned = cordoned;
+  tracked.cordoned_at = now;
+  if (const jobs::WorkerState* worker = WorkerOf(tracked)) {
     m_scheduler.SetCordoned(worker->entry.id.id, cordoned);
   }
 }
@@ -275,12 +278,12 @@
                                 base::TimePoint now) {
   if (wave.done) {
     if (!wave.done_stored && !wave.storing) {
-      StoreWave(wave, true);
+      StoreWaveState(wave, true);
     }
     return;
   }
   if (!wave.running_stored && !wave.storing) {
-    StoreWave(wave, false);
+    StoreWaveState(wave, false);
   }
   std::vector<jobs::WaveMachine> machines;
   bool all_begun = true;
@@ -289,32 +292,33 @@
     if (found == m_machines.end() || !found->second.listed) {
       continue;  // The machine was removed.
     }
-    TrackedMachine& known = found->second;
+    TrackedMachine& tracked = found->second;
     jobs::WaveMachine& machine = machines.emplace_back();
     machine.name = name;
     machine.begun = wave.begun[name];
-    machine.down = known.pending == Pending::kMaintain ||
-                   known.machine.state == MachineState::kMaintenance;
-    machine.busy = known.machine.state != MachineState::kUp ||
-                   known.pending == Pending::kMove || now < known.retry_at ||
-                   !MayOrder(name);
-    machine.cordoned = known.cordoned;
-    machine.cordoned_at = known.cordoned_at;
-    if (const jobs::WorkerState* worker = WorkerOf(known)) {
+    machine.down = tracked.pending == PendingOrder::kMaintain ||
+                   tracked.machine.state == MachineState::kMaintenance;
+    machine.busy = tracked.machine.state != MachineState::kUp ||
+                   tracked.pending == PendingOrder::kMove ||
+                   now < tracked.retry_at || !MayOrder(name);
+    machine.cordoned = tracked.cordoned;
+    machine.cordoned_at = tracked.cordoned_at;
+    if (const jobs::WorkerState* worker = WorkerOf(tracked)) {
       const std::string& id = worker->entry.id.id;
-      if (known.cordoned && !machine.begun && !machine.down && !machine.busy) {
+      if (tracked.cordoned && !machine.begun && !machine.down &&
+          !machine.busy) {
         m_scheduler.Evacuate(id, now);
       }
       machine.finite_cpu = worker->used.cpu - worker->long_running_used.cpu;
       machine.idle = worker->runs.empty();
-      machine.needed = IsNeeded(pools, known.machine.pool);
+      machine.needed = IsNeeded(pools, tracked.machine.pool);
     }
     machine.can_drain = m_scheduler.CanDrainMachine(name);
     all_begun = all_begun && machine.begun;
     if (!machine.begun && !machine.can_drain &&
-        now - known.blocked_logged_at > kBlockedLogInterval) {
-      known.blocked_logged_at = now;
-      const jobs::WorkerState* worker = WorkerOf(known);
+        now - tracked.blocked_logged_at > kBlockedLogInterval) {
+      tracked.blocked_logged_at = now;
+      const jobs::WorkerState* worker = WorkerOf(tracked);
       const std::string id = worker == nullptr ? "" : worker->entry.id.id;
       const auto blocker = m_scheduler.DrainBlocker(name);
       m_log.Write("wave.blocked", {{"machine", name},
@@ -337,11 +341,11 @@
     SetCordoned(m_machines[name], true, now);
   }
   for (const std::string& name : plan.maintain) {
-    TrackedMachine& known = m_machines[name];
+    TrackedMachine& tracked = m_machines[name];
     // Machines ordered earlier in this loop may have changed what can be
     // drained.
     if (m_scheduler.CanDrainMachine(name)) {
-      Maintain(wave, known);
+      Maintain(wave, tracked);
     }
   }
 }
@@ -357,17 +361,17 @@
           std::move(lines), 0,           false};
 }
 
-void MachineController::Maintain(Wave& wave, TrackedMachine& known) {
+void MachineController::Maintain(Wave& wave, TrackedMachine& tracked) {
   const std::uint64_t number = wave.request.wave;
-  const std::string name = known.machine.name;
-  known.pending = Pending::kMaintain;
-  known.accepted = false;
-  known.ordered_at = m_loop.GetClock().Now();
-  const jobs::WorkerState* worker = WorkerOf(known);
-  known.incarnation = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
-  m_scheduler.MarkVacated(known.incarnation.id, known.ordered_at);
-  const bool first = wave.ordered.insert(name).second;
-  if (!first) {
+  const std::string name = tracked.machine.name;
+  tracked.pending = PendingOrder::kMaintain;
+  tracked.accepted = false;
+  tracked.ordered_at = m_loop.GetClock().Now();
+  const jobs::WorkerState* worker = WorkerOf(tracked);
+  tracked.incarnation = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
+  m_scheduler.MarkVacated(tracked.incarnation.id, tracked.ordered_at);
+  const bool first_order = wave.ordered.insert(name).second;
+  if (!first_order) {
     RecordOrder(name, {},
                 [this, number, name] { SendMaintain(number, name, false); });
     return;
@@ -378,12 +382,13 @@
 
 void MachineController::SendMaintain(std::uint64_t number,
                                      const std::string& name,
-                                     bool first) {
+                                     bool first_order) {
   m_machines[name].ordered_at = m_loop.GetClock().Now();
-  m_port.Maintain(
-      name, number, {m_options.holder, m_fencing_token},
-      m_lifetime.Guard([this, number, name, first](MachineOrderResult result) {
-        TrackedMachine& machine = m_machines[name];
+  m_machine_port.Maintain(
+      name, number, {m_options.host, m_fencing_token},
+      m_lifetime.Guard([this, number, name,
+                        first_order](MachineOrderResult result) {
+        TrackedMachine& tracked = m_machines[name];
         const base::TimePoint now = m_loop.GetClock().Now();
         m_log.Write("machine.upkeep", {{"machine", name},
                                        {"wave", number},
@@ -392,28 +397,28 @@
         if (result == MachineOrderResult::kAccepted) {
           m_waves[number].begun[name] = true;
           m_store_row(MakeWaveRow(m_waves[number]), [] {});
-          machine.accepted = true;
-          machine.accepted_at = now;
+          tracked.accepted = true;
+          tracked.accepted_at = now;
           // After a repeated order the worker may be a newer incarnation: the
           // machine may have been maintained long ago.
-          if (first && !machine.incarnation.id.empty()) {
-            m_scheduler.WorkerTerminated(machine.incarnation, now);
+          if (first_order && !tracked.incarnation.id.empty()) {
+            m_scheduler.WorkerTerminated(tracked.incarnation, now);
           }
         } else if (result == MachineOrderResult::kRefused) {
-          machine.pending = Pending::kNone;
-          machine.retry_at = now + kRefusedPause;
-          SetCordoned(machine, false, now);
+          tracked.pending = PendingOrder::kNone;
+          tracked.retry_at = now + kRefusedPause;
+          SetCordoned(tracked, false, now);
         }
       }));
 }
 
-void MachineController::StoreWave(Wave& wave, bool done) {
+void MachineController::StoreWaveState(Wave& wave, bool done) {
   wave.storing = true;
   const std::uint64_t number = wave.request.wave;
   RowTransaction transaction;
   transaction.puts.push_back({m_status_table, "",
                               m_wave_prefix + std::to_string(number),
-                              m_encode_state(number, done), 0, false});
+                              m_encode_wave_state(number, done), 0, false});
   m_store.Commit(
       std::move(transaction), kStoreTimeout,
       m_lifetime.Guard([this, number, done](const TransactionReply& reply) {
@@ -440,29 +445,29 @@
     pools[service.name].standby = service.standby;
   }
   std::vector<jobs::PoolMachine> machines;
-  for (auto& [name, known] : m_machines) {
-    if (!known.listed) {
+  for (auto& [name, tracked] : m_machines) {
+    if (!tracked.listed) {
       continue;
     }
     jobs::PoolMachine& machine = machines.emplace_back();
     machine.name = name;
-    machine.pool = known.machine.pool;
-    machine.capacity = known.machine.capacity;
-    const jobs::WorkerState* worker = WorkerOf(known);
-    if (known.pending == Pending::kMove) {
-      machine.pool = known.destination;
+    machine.pool = tracked.machine.pool;
+    machine.capacity = tracked.machine.capacity;
+    const jobs::WorkerState* worker = WorkerOf(tracked);
+    if (tracked.pending == PendingOrder::kMove) {
+      machine.pool = tracked.destination;
       machine.arriving = true;
       continue;
     }
     const bool standby = pools[machine.pool].standby;
     const bool idle = worker == nullptr ? standby : worker->runs.empty();
-    if (!idle || known.idle_since == base::TimePoint{}) {
-      known.idle_since = now;
+    if (!idle || tracked.idle_since == base::TimePoint{}) {
+      tracked.idle_since = now;
     }
-    machine.idle_since = known.idle_since;
-    machine.movable = idle && known.pending == Pending::kNone &&
-                      known.machine.state == MachineState::kUp &&
-                      !known.cordoned && now >= known.retry_at &&
+    machine.idle_since = tracked.idle_since;
+    machine.movable = idle && tracked.pending == PendingOrder::kNone &&
+                      tracked.machine.state == MachineState::kUp &&
+                      !tracked.cordoned && now >= tracked.retry_at &&
                       MayOrder(name);
   }
   std::map<std::string, jobs::Resources> arriving;
@@ -497,40 +502,40 @@
   }
 }
 
-void MachineController::Move(TrackedMachine& known,
+void MachineController::Move(TrackedMachine& tracked,
                              const jobs::MachineMove& move) {
-  known.pending = Pending::kMove;
-  known.accepted = false;
-  known.ordered_at = m_loop.GetClock().Now();
-  known.destination = move.to;
-  const jobs::WorkerState* worker = WorkerOf(known);
-  known.incarnation = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
-  SetCordoned(known, true, known.ordered_at);
+  tracked.pending = PendingOrder::kMove;
+  tracked.accepted = false;
+  tracked.ordered_at = m_loop.GetClock().Now();
+  tracked.destination = move.to;
+  const jobs::WorkerState* worker = WorkerOf(tracked);
+  tracked.incarnation = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
+  SetCordoned(tracked, true, tracked.ordered_at);
   RecordOrder(move.machine, {}, [this, move] { SendMove(move); });
 }
 
 void MachineController::SendMove(const jobs::MachineMove& move) {
-  m_port.Move(move.machine, move.to, {m_options.holder, m_fencing_token},
-              m_lifetime.Guard([this, move](MachineOrderResult result) {
-                TrackedMachine& machine = m_machines[move.machine];
-                const base::TimePoint now = m_loop.GetClock().Now();
-                m_log.Write("machine.move",
-                            {{"machine", move.machine},
-                             {"from", move.from},
-                             {"to", move.to},
-                             {"fence", m_fencing_token},
-                             {"result", static_cast<int>(result)}});
-                if (result == MachineOrderResult::kAccepted) {
-                  machine.accepted = true;
-                  machine.accepted_at = now;
-                  machine.idle_since = {};
-                  m_scheduler.WorkerTerminated(machine.incarnation, now);
-                } else if (result == MachineOrderResult::kRefused) {
-                  machine.pending = Pending::kNone;
-                  machine.retry_at = now + kRefusedPause;
-                  SetCordoned(machine, false, now);
-                }
-              }));
+  m_machine_port.Move(
+      move.machine, move.to, {m_options.host, m_fencing_token},
+      m_lifetime.Guard([this, move](MachineOrderResult result) {
+        TrackedMachine& tracked = m_machines[move.machine];
+        const base::TimePoint now = m_loop.GetClock().Now();
+        m_log.Write("machine.move", {{"machine", move.machine},
+                                     {"from", move.from},
+                                     {"to", move.to},
+                                     {"fence", m_fencing_token},
+                                     {"result", static_cast<int>(result)}});
+        if (result == MachineOrderResult::kAccepted) {
+          tracked.accepted = true;
+          tracked.accepted_at = now;
+          tracked.idle_since = {};
+          m_scheduler.WorkerTerminated(tracked.incarnation, now);
+        } else if (result == MachineOrderResult::kRefused) {
+          tracked.pending = PendingOrder::kNone;
+          tracked.retry_at = now + kRefusedPause;
+          SetCordoned(tracked, false, now);
+        }
+      }));
 }
 
 }  // namespace cassiastile::host
--- a/src/cassiastile/host/settings.cpp
+++ b/src/cassiastile/host/settings.cpp
@@ -25,7 +25,7 @@
     if (member->is_string()) {
       value = member->get<std::string>();
     } else {
-      Add(name, "must be a string");
+      AddError(name, "must be a string");
     }
   }
 
@@ -39,7 +39,7 @@
         member->get<std::int64_t>() <= kMaxPort) {
       value = member->get<std::uint16_t>();
     } else {
-      Add(name, "must be a port number from 1 to 65535");
+      AddError(name, "must be a port number from 1 to 65535");
     }
   }
 
@@ -53,7 +53,7 @@
     if (endpoint) {
       value = *endpoint;
     } else {
-      Add(name, endpoint.error().message);
+      AddError(name, endpoint.error().message);
     }
   }
 
@@ -74,34 +74,34 @@
       return false;
     }
     if (!member->is_number() || member->get<double>() < 0) {
-      Add(name, "must be a non-negative number");
+      AddError(name, "must be a non-negative number");
       return false;
     }
     value = member->get<double>();
     return true;
   }
 
-  const std::string& Findings() const { return m_findings; }
+  const std::string& Errors() const { return m_errors; }
 
  private:
   const Json* Find(const char* name) {
     const auto found = m_json.find(name);
     if (found == m_json.end()) {
-      Add(name, "is missing");
+      AddError(name, "is missing");
       return nullptr;
     }
     return &*found;
   }
 
-  void Add(const char* name, std::string_view finding) {
-    if (!m_findings.empty()) {
-      m_findings += "; ";
+  void AddError(const char* name, std::string_view finding) {
+    if (!m_errors.empty()) {
+      m_errors += "; ";
     }
-    m_findings += fmt::format("{} {}", name, finding);
+    m_errors += fmt::format("{} {}", name, error);
   }
 
   const Json& m_json;
-  std::string m_findings;
+  std::string m_errors;
 };
 
 constexpr std::int64_t kMillisecond = 1;
@@ -150,8 +150,8 @@
   reader.Time("machine_order_lease_ms", kMillisecond,
               settings.machine_order_lease);
   reader.Number("processor_share", settings.processor_share);
-  if (!reader.Findings().empty()) {
-    return base::Fail(base::ErrorCode::kInvalid, reader.Findings());
+  if (!reader.Errors().empty()) {
+    return base::Fail(base::ErrorCode::kInvalid, reader.Errors());
   }
   return settings;
 }
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -21,10 +21,10 @@
 constexpr milliseconds kCallTimeout{800};
 constexpr std::int64_t kWorkerCpu = 16000;
 constexpr std::int64_t kWorkerMemory = 65536;
-constexpr char kConfigTable[] = "operators";
-constexpr char kWorkersTable[] = "workers";
-constexpr char kStatus[] = "status";
-constexpr char kSpare[] = "spare";
+constexpr char kOperatorTable[] = "operators";
+constexpr char kWorkerTable[] = "workers";
+constexpr char kStatusTable[] = "status";
+constexpr char kSparePool[] = "spare";
 
 std::string ServiceName(std::size_t index) {
   return "service-" + std::to_string(index);
@@ -93,7 +93,7 @@
                              .advice = {}});
     config.services.push_back({.name = ServiceName(i)});
   }
-  config.services.push_back({.name = kSpare, .standby = true});
+  config.services.push_back({.name = kSparePool, .standby = true});
   config.BuildIndex();
   return config;
 }
@@ -178,8 +178,9 @@
       });
       return;
     }
-    const bool late = m_world.Chance(m_world.m_faults.store_late);
-    const bool lost = late || m_world.Chance(m_world.m_faults.store_lost);
+    const bool late = m_world.Chance(m_world.m_faults.late_commit_chance);
+    const bool lost =
+        late || m_world.Chance(m_world.m_faults.lost_answer_chance);
     const auto delay = late
                            ? std::chrono::microseconds(m_world.RandomLateness())
                            : kStoreLatency / 2;
@@ -210,7 +211,8 @@
     }
     m_world.Post(kStoreLatency, [this, table, part, from, done] {
       if (IsUnavailable()) {
-        done(base::Fail(base::ErrorCode::kUnavailable, "away"));
+        done(base::Fail(base::ErrorCode::kUnavailable,
+                        "the store is unavailable"));
         return;
       }
       constexpr std::size_t kPage = 50;
@@ -226,7 +228,8 @@
     ++m_world.m_store_calls;
     done = m_loop.Guard(std::move(done));
     auto answered = std::make_shared<bool>(false);
-    const auto probe = [this, table, after, done, answered](bool last) {
+    const auto answer_if_ready = [this, table, after, done,
+                                  answered](bool last) {
       if (*answered) {
         return true;
       }
@@ -237,16 +240,18 @@
       *answered = true;
       // Hosts' links differ in speed: the delay grows with the last digit of
       // the host's name.
-      const auto delay = m_world.m_faults.slow_feeds * (m_host.back() - '0');
+      const auto delay = m_world.m_faults.feed_delay * (m_host.back() - '0');
       m_world.Post(kStoreLatency + delay, [done, page] { done(page); });
       return true;
     };
-    if (!probe(false)) {
-      m_world.m_feeds.emplace_back([probe] { return probe(false); });
+    if (!answer_if_ready(false)) {
+      m_world.m_feeds.emplace_back(
+          [answer_if_ready] { return answer_if_ready(false); });
     }
-    m_world.Post(wait, [this, probe, answered, done] {
-      if (!probe(true) && !std::exchange(*answered, true)) {
-        done(base::Fail(base::ErrorCode::kUnavailable, "away"));
+    m_world.Post(wait, [this, answer_if_ready, answered, done] {
+      if (!answer_if_ready(true) && !std::exchange(*answered, true)) {
+        done(base::Fail(base::ErrorCode::kUnavailable,
+                        "the store is unavailable"));
       }
     });
   }
@@ -294,14 +299,14 @@
         if (std::exchange(*answered, true)) {
           return;
         }
-        VirtualWorld::Worker* still = Find(address);
-        if (still == nullptr) {
+        VirtualWorld::Worker* current = Find(address);
+        if (current == nullptr) {
           done(tl::unexpected(WorkerCallFailure{.message = "silent"}));
           return;
         }
-        still->model->Advance(m_world.m_loop.Now());
+        current->model->Advance(m_world.m_loop.Now());
         const jobs::WorkerReport report =
-            still->model->Report(m_world.m_loop.Now());
+            current->model->Report(m_world.m_loop.Now());
         m_world.Post(kCallLatency, [done, report] { done(report); });
       };
       if (extension.wait.count() == 0 || worker->model->HasEnds()) {
@@ -319,7 +324,7 @@
              milliseconds until,
              std::function<void(jobs::StartResult)> done) override {
     done = m_loop.Guard(std::move(done));
-    if (m_world.Chance(m_world.m_faults.orders_late)) {
+    if (m_world.Chance(m_world.m_faults.late_start_chance)) {
       m_world.Post(m_world.RandomLateness(),
                    [this, address, order, fence, until] {
                      if (VirtualWorld::Worker* worker = Find(address)) {
@@ -365,10 +370,10 @@
  private:
   VirtualWorld::Worker* Find(const WorkerAddress& address) {
     const auto found = m_world.m_workers.find(address.id.id);
-    const bool there = found != m_world.m_workers.end() &&
-                       found->second->alive &&
-                       !m_world.m_faults.silent_workers.contains(address.id.id);
-    return there ? found->second.get() : nullptr;
+    const bool reachable =
+        found != m_world.m_workers.end() && found->second->alive &&
+        !m_world.m_faults.silent_workers.contains(address.id.id);
+    return reachable ? found->second.get() : nullptr;
   }
 
   VirtualWorld& m_world;
@@ -508,9 +513,9 @@
                            [](std::uint64_t, bool done) {
                              return std::string(done ? "done" : "running");
                            },
-                       .worker_table = kWorkersTable,
-                       .operator_table = kConfigTable,
-                       .status_table = kStatus,
+                       .worker_table = kWorkerTable,
+                       .operator_table = kOperatorTable,
+                       .status_table = kStatusTable,
                        .config_key = "config",
                        .wave_prefix = "wave/"},
              peers,
@@ -610,12 +615,12 @@
     StartWorker(name);
   };
   for (std::size_t service = 0; service < options.services; ++service) {
-    for (std::size_t i = 0; i < options.workers_of_service; ++i) {
+    for (std::size_t i = 0; i < options.workers_per_service; ++i) {
       add(ServiceName(service));
     }
   }
   for (std::size_t i = 0; i < options.spare_machines; ++i) {
-    add(kSpare);
+    add(kSparePool);
   }
   m_hosts.resize(options.hosts);
   for (std::size_t i = 0; i < options.hosts; ++i) {
@@ -635,9 +640,9 @@
   m_loop.After(delay, std::move(run));
 }
 
-bool VirtualWorld::Chance(double share) {
-  return share > 0 &&
-         std::uniform_real_distribution<double>(0, 1)(m_random) < share;
+bool VirtualWorld::Chance(double probability) {
+  return probability > 0 &&
+         std::uniform_real_distribution<double>(0, 1)(m_random) < probability;
 }
 
 milliseconds VirtualWorld::RandomLateness() {
@@ -645,8 +650,8 @@
       std::uniform_int_distribution<int>(2000, 12000)(m_random));
 }
 
-void VirtualWorld::Violate(std::string what) {
-  m_checker.Violate(std::move(what));
+void VirtualWorld::AddViolation(std::string what) {
+  m_checker.AddViolation(std::move(what));
 }
 
 TransactionReply VirtualWorld::Apply(const RowTransaction& transaction) {
@@ -675,7 +680,7 @@
 void VirtualWorld::StartWorker(const std::string& name) {
   Machine& machine = m_machines.at(name);
   machine.state = MachineState::kUp;
-  if (machine.pool == kSpare) {
+  if (machine.pool == kSparePool) {
     return;
   }
   auto worker = std::make_unique<Worker>();
@@ -701,7 +706,7 @@
 
 void VirtualWorld::ListWorker(const jobs::WorkerEntry& entry) {
   RowTransaction transaction;
-  transaction.puts.push_back({kWorkersTable, "", entry.id.id,
+  transaction.puts.push_back({kWorkerTable, "", entry.id.id,
                               fmt::format("{} {} {}", entry.id.incarnation_ms,
                                           entry.service, entry.machine),
                               0, false});
@@ -712,7 +717,7 @@
   worker.alive = false;
   worker.model->Die();
   RowTransaction transaction;
-  transaction.deletes.push_back({kWorkersTable, "", worker.id, "", 0, false});
+  transaction.deletes.push_back({kWorkerTable, "", worker.id, "", 0, false});
   constexpr milliseconds kEntryExpiry{4500};
   Post(kEntryExpiry, [this, transaction] { Apply(transaction); });
 }
@@ -724,7 +729,7 @@
   worker.model->Advance(m_loop.Now());
   const jobs::JobSpec* spec = m_checker.SpecOf(order.task.job);
   if (spec == nullptr) {
-    Violate("a task of an unknown job was started: " + order.task.job);
+    AddViolation("a task of an unknown job was started: " + order.task.job);
     return jobs::StartResult::kRejected;
   }
   const auto result = worker.model->Start(order, spec->steps[order.task.step],
@@ -810,11 +815,13 @@
 std::string VirtualWorld::Submit(std::size_t service,
                                  std::size_t steps,
                                  std::uint32_t tasks,
-                                 milliseconds each) {
-  return SubmitText(
-      service,
-      fmt::format("{} {} {} 0 {}", steps, tasks, each.count(), m_tasks.size()),
-      steps * tasks);
+                                 milliseconds task_duration) {
+  // The last number makes the payload unique, so that the checker notices a
+  // start with the payload of another job.
+  return SubmitText(service,
+                    fmt::format("{} {} {} 0 {}", steps, tasks,
+                                task_duration.count(), m_tasks.size()),
+                    steps * tasks);
 }
 
 std::string VirtualWorld::SubmitLongRunning(std::size_t service,
@@ -930,7 +937,7 @@
   m_config_version += 2;
   RowTransaction transaction;
   transaction.puts.push_back(
-      {kConfigTable, "", "config",
+      {kOperatorTable, "", "config",
        fmt::format("{} {}", m_config_version, m_options.services), 0, false});
   Apply(transaction);
 }
@@ -942,7 +949,7 @@
     text += " " + machine;
   }
   RowTransaction transaction;
-  transaction.puts.push_back({kConfigTable, "", "wave/1", text, 0, false});
+  transaction.puts.push_back({kOperatorTable, "", "wave/1", text, 0, false});
   Apply(transaction);
 }
 
@@ -963,7 +970,8 @@
 }
 
 bool VirtualWorld::WaveIsDone(std::uint64_t wave) const {
-  const Row* row = m_table.Find(kStatus, "", "wave/" + std::to_string(wave));
+  const Row* row =
+      m_table.Find(kStatusTable, "", "wave/" + std::to_string(wave));
   return row != nullptr && row->value == "done";
 }
 
--- a/src/cassiastile/host/virtual_world_bench.hpp
+++ b/src/cassiastile/host/virtual_world_bench.hpp
@@ -44,14 +44,18 @@
   std::priority_queue<Event, std::vector<Event>, std::greater<>> m_events;
 };
 
-// Faults to inject; all shares are probabilities from 0 to 1.
+// Faults to inject; chances are probabilities from 0 to 1.
 struct WorldFaults {
-  bool store_down = false;
-  bool store_silent = false;                // Calls get no answer.
-  std::chrono::milliseconds slow_feeds{0};  // Times the host's number.
-  double store_lost = 0;   // Commits applied without an answer.
-  double store_late = 0;   // Commits applied seconds later.
-  double orders_late = 0;  // Starts carried out seconds later.
+  bool store_down = false;    // Commits and reads fail at once.
+  bool store_silent = false;  // Calls get no answer.
+  // Of a feed's answer, multiplied by the last digit of the host's name.
+  std::chrono::milliseconds feed_delay{0};
+  // Commits applied without an answer.
+  double lost_answer_chance = 0;
+  // Commits applied 2 to 12 s later, without an answer.
+  double late_commit_chance = 0;
+  // Starts carried out 2 to 12 s later, without an answer.
+  double late_start_chance = 0;
   std::set<std::string> hosts_without_store;
   std::set<std::string> silent_workers;  // Unreachable, but running.
 };
@@ -60,9 +64,10 @@
 struct WorldOptions {
   std::uint64_t seed = 1;
   std::size_t hosts = 6;
-  std::size_t strong_hosts = 0;  // The first ones have a larger processor.
+  // How many of the hosts, from the first on, have a larger processor share.
+  std::size_t strong_hosts = 0;
   std::size_t services = 2;
-  std::size_t workers_of_service = 4;
+  std::size_t workers_per_service = 4;
   std::size_t spare_machines = 2;
   bool keep_log = false;
 };
@@ -76,11 +81,11 @@
   void RunFor(std::chrono::milliseconds time) { m_loop.RunFor(time); }
   // Submits a job to a random live host and returns its id. It has `steps`
   // steps, one after the other, with `tasks` parallel tasks each; a task takes
-  // `each`.
+  // `task_duration`.
   std::string Submit(std::size_t service,
                      std::size_t steps,
                      std::uint32_t tasks,
-                     std::chrono::milliseconds each);
+                     std::chrono::milliseconds task_duration);
   // Submits the same job again and returns the HTTP status, or 0 if there was
   // no answer.
   int SubmitAgain(const std::string& job);
@@ -135,7 +140,8 @@
   struct Machine;
 
   void Post(std::chrono::microseconds delay, std::function<void()> run);
-  bool Chance(double share);
+  // Draws true with this probability.
+  bool Chance(double probability);
   std::chrono::milliseconds RandomLateness();
 
   // The table.
@@ -158,10 +164,12 @@
   void AnswerPolls(Worker& worker);
   void RecordAnswer(const std::string& job, int status);
   std::chrono::milliseconds StoreClock() const;
-  void Violate(std::string what);
+  void AddViolation(std::string what);
   wire::HttpRequest MakeRequest(const std::string& method,
                                 const std::string& job) const;
   std::string MakeJobId();
+  // Sends a request to the first live host and returns the HTTP status after
+  // 1.6 s, or 0 if there was no answer by then.
   int Call(const wire::HttpRequest& request, std::string* body = nullptr);
   std::string SubmitText(std::size_t service,
                          const std::string& text,
