--- a/include/cassiastile/platform/circuit_breaker.hpp
+++ b/include/cassiastile/platform/circuit_breaker.hpp
@@ -21,10 +21,10 @@
 struct CircuitBreakerOptions {
   std::uint32_t failures_to_open = 5;  // Consecutive failures.
   // How long the breaker stays open. The time doubles after each failed probe,
-  // up to `longest_open`; random jitter adds up to half of it, so that hosts
+  // up to `max_open_time`; random jitter adds up to half of it, so that hosts
   // don't return together.
-  base::Duration shortest_open = std::chrono::milliseconds(500);
-  base::Duration longest_open = std::chrono::seconds(2);
+  base::Duration min_open_time = std::chrono::milliseconds(500);
+  base::Duration max_open_time = std::chrono::seconds(2);
 };
 
 // Stops calls to a service that keeps failing. Not thread-safe.
@@ -33,12 +33,12 @@
   CircuitBreaker(CircuitBreakerOptions options, std::uint64_t seed);
 
   // Whether a call may be made now. A call let through in the half-open state
-  // must be followed by Succeed or Fail.
+  // must be followed by RecordSuccess or RecordFailure.
   bool Allow(base::TimePoint now);
-  // Reports that an allowed call succeeded; closes the breaker.
-  void Succeed();
-  // Reports that an allowed call failed; may open the breaker.
-  void Fail(base::TimePoint now);
+  // Closes the breaker after an allowed call succeeded.
+  void RecordSuccess();
+  // Counts an allowed call that failed; may open the breaker.
+  void RecordFailure(base::TimePoint now);
 
   BreakerState State() const;
 
@@ -49,7 +49,7 @@
   base::Random m_random;
   BreakerState m_state = BreakerState::kClosed;
   std::uint32_t m_failures = 0;
-  base::Duration m_open_for{};
+  base::Duration m_open_time{};
   base::TimePoint m_open_until{};
 };
 
--- a/include/cassiastile/platform/decision_log.hpp
+++ b/include/cassiastile/platform/decision_log.hpp
@@ -21,7 +21,7 @@
 struct DecisionLogOptions {
   std::string process;  // Unique per start of a process, such as "e1-3".
   std::chrono::milliseconds flush_interval{1000};
-  std::size_t batch_decisions = 500;
+  std::size_t max_batch = 500;
   // Limit of decisions that wait to be stored. Beyond it the oldest are dropped
   // and counted.
   std::size_t max_unstored = 20000;
@@ -43,7 +43,7 @@
 // memory. Thread-safe.
 class DecisionLog final : public base::DecisionSink {
  public:
-  // The store outlives the log.
+  // `objects` must outlive the log.
   static std::unique_ptr<DecisionLog> Create(ObjectStore& objects,
                                              DecisionLogOptions options);
   // Stores the waiting decisions, until the store fails.
@@ -81,7 +81,7 @@
   std::deque<Numbered> m_unstored;
   std::deque<base::Decision> m_recent;
   DecisionLogCounts m_counts;
-  std::mutex m_flush_mutex;
+  std::mutex m_flush_mutex;  // Held while a batch is stored.
   std::thread m_thread;
 };
 
--- a/include/cassiastile/platform/http_platform.hpp
+++ b/include/cassiastile/platform/http_platform.hpp
@@ -15,16 +15,16 @@
 // Connection settings of the platform's HTTP services. docs/PLATFORM.md
 // describes the calls.
 struct HttpPlatformOptions {
-  // Not owned; must outlive all users of the link.
+  // Not owned; must outlive the objects made with it.
   wire::HttpClient* client = nullptr;
-  std::string address;  // IP:PORT
-  std::chrono::milliseconds timeout{800};
+  std::string address;                     // IP:PORT
+  std::chrono::milliseconds timeout{800};  // Of a whole call.
 };
 
 // The platform's table over HTTP.
 class HttpTable final : public Table {
  public:
-  explicit HttpTable(HttpPlatformOptions link);
+  explicit HttpTable(HttpPlatformOptions options);
 
   base::Result<std::optional<Row>> Get(const std::string& key) override;
   base::Result<std::vector<Row>> Scan(const std::string& prefix,
@@ -35,13 +35,13 @@
       const std::string& nonce) override;
 
  private:
-  HttpPlatformOptions m_link;
+  HttpPlatformOptions m_options;
 };
 
 // The platform's object store over HTTP.
 class HttpObjects final : public ObjectStore {
  public:
-  explicit HttpObjects(HttpPlatformOptions link);
+  explicit HttpObjects(HttpPlatformOptions options);
 
   base::Result<void> Put(const std::string& name,
                          const std::string& content) override;
@@ -50,24 +50,24 @@
       const std::string& prefix) override;
 
  private:
-  HttpPlatformOptions m_link;
+  HttpPlatformOptions m_options;
 };
 
 // The platform's host list over HTTP.
 class HttpHostList final : public HostList {
  public:
-  explicit HttpHostList(HttpPlatformOptions link);
+  explicit HttpHostList(HttpPlatformOptions options);
 
   base::Result<std::vector<ListedHost>> List() override;
 
  private:
-  HttpPlatformOptions m_link;
+  HttpPlatformOptions m_options;
 };
 
 // The platform's machine service over HTTP.
 class HttpMachines final : public Machines {
  public:
-  explicit HttpMachines(HttpPlatformOptions link);
+  explicit HttpMachines(HttpPlatformOptions options);
 
   base::Result<void> SetDraining(const std::string& host,
                                  bool draining) override;
@@ -76,7 +76,7 @@
   base::Result<MachineStatus> Status(const std::string& host) override;
 
  private:
-  HttpPlatformOptions m_link;
+  HttpPlatformOptions m_options;
 };
 
 }  // namespace cassiastile::platform
--- a/include/cassiastile/platform/machines.hpp
+++ b/include/cassiastile/platform/machines.hpp
@@ -42,6 +42,7 @@
   virtual base::Result<void> Reboot(const std::string& host,
                                     std::uint64_t boots) = 0;
 
+  // Fails with kNotFound for an unknown machine.
   virtual base::Result<MachineStatus> Status(const std::string& host) = 0;
 };
 
--- a/include/cassiastile/platform/objects.hpp
+++ b/include/cassiastile/platform/objects.hpp
@@ -13,9 +13,12 @@
  public:
   virtual ~ObjectStore() = default;
 
+  // Stores an object, and replaces one of the same name.
   virtual base::Result<void> Put(const std::string& name,
                                  const std::string& content) = 0;
+  // Fails with kNotFound if there is no such object.
   virtual base::Result<std::string> Get(const std::string& name) = 0;
+  // Returns the names that start with `prefix`, in ascending order.
   virtual base::Result<std::vector<std::string>> List(
       const std::string& prefix) = 0;
 };
--- a/include/cassiastile/platform/store_guard.hpp
+++ b/include/cassiastile/platform/store_guard.hpp
@@ -15,7 +15,7 @@
 // Limits of a StoreGuard.
 struct StoreGuardOptions {
   // For a whole call, including waits and retries.
-  base::Duration deadline = std::chrono::seconds(2);
+  base::Duration call_timeout = std::chrono::seconds(2);
   base::Duration first_backoff = std::chrono::milliseconds(20);
   base::Duration longest_backoff = std::chrono::milliseconds(400);
   // This process's share of the rates that the table allows all hosts together.
@@ -32,8 +32,8 @@
 struct StoreGuardCounts {
   std::uint64_t calls = 0;
   std::uint64_t attempts = 0;
-  std::uint64_t resolved =
-      0;  // Calls that lost an answer and got one by a retry.
+  // Calls that lost an answer and got one by a retry.
+  std::uint64_t resolved = 0;
   std::uint64_t unknown = 0;  // Calls that ended with an unknown outcome.
   // Attempts not made because the breaker was open, or because the rate limit
   // would have delayed them beyond the call's deadline.
@@ -80,11 +80,14 @@
   };
 
   template <typename Value, typename Call>
-  base::Result<Value> Run(CallKind kind, const Call& call);
+  base::Result<Value> CallWithRetries(CallKind kind, const Call& call);
 
   Admission Admit(CallKind kind);
+  // Returns false if the attempt must not be made; see `failed_fast`.
   bool WaitForAdmission(CallKind kind, base::TimePoint deadline);
-  bool Backoff(std::uint32_t attempt, base::TimePoint deadline);
+  // Returns false if the retry budget is used up or the wait would end after
+  // the deadline.
+  bool WaitBeforeRetry(std::uint32_t attempt, base::TimePoint deadline);
   void RecordAttempt(bool answered);
   void RecordCall(bool was_unknown, bool is_unknown);
 
@@ -96,8 +99,8 @@
   mutable std::mutex m_mutex;
   base::Random m_random;
   CircuitBreaker m_breaker;
-  TokenBucket m_writes;
-  TokenBucket m_reads;
+  TokenBucket m_write_tokens;
+  TokenBucket m_read_tokens;
   double m_retry_tokens;
   bool m_reachable = false;
   StoreGuardCounts m_counts;
--- a/src/cassiastile/platform/circuit_breaker.cpp
+++ b/src/cassiastile/platform/circuit_breaker.cpp
@@ -35,13 +35,13 @@
   return false;
 }
 
-void CircuitBreaker::Succeed() {
+void CircuitBreaker::RecordSuccess() {
   m_state = BreakerState::kClosed;
   m_failures = 0;
-  m_open_for = base::Duration::zero();
+  m_open_time = base::Duration::zero();
 }
 
-void CircuitBreaker::Fail(base::TimePoint now) {
+void CircuitBreaker::RecordFailure(base::TimePoint now) {
   ++m_failures;
   const bool probe_failed = m_state == BreakerState::kHalfOpen;
   if (probe_failed || m_failures >= m_options.failures_to_open) {
@@ -54,11 +54,11 @@
 }
 
 void CircuitBreaker::Open(base::TimePoint now) {
-  m_open_for = std::clamp(2 * m_open_for, m_options.shortest_open,
-                          m_options.longest_open);
+  m_open_time = std::clamp(2 * m_open_time, m_options.min_open_time,
+                           m_options.max_open_time);
   std::uniform_int_distribution<base::Duration::rep> jitter(
-      0, m_open_for.count() / 2);
-  m_open_until = now + m_open_for + base::Duration(jitter(m_random));
+      0, m_open_time.count() / 2);
+  m_open_until = now + m_open_time + base::Duration(jitter(m_random));
   m_state = BreakerState::kOpen;
 }
 
--- a/src/cassiastile/platform/decision_log.cpp
+++ b/src/cassiastile/platform/decision_log.cpp
@@ -35,7 +35,7 @@
   json batch = json::parse(*content, nullptr, false);
   if (!batch.is_object() || !batch.contains("decisions")) {
     return base::Fail(base::ErrorCode::kInternal,
-                      "The object " + name + " is damaged.");
+                      "The object " + name + " is not a batch of decisions.");
   }
   return batch;
 }
@@ -147,8 +147,7 @@
 // exactly what it holds even when older decisions were dropped.
 std::vector<DecisionLog::Numbered> DecisionLog::NextBatch() const {
   const std::lock_guard lock(m_mutex);
-  const std::size_t count =
-      std::min(m_unstored.size(), m_options.batch_decisions);
+  const std::size_t count = std::min(m_unstored.size(), m_options.max_batch);
   return {m_unstored.begin(),
           m_unstored.begin() + static_cast<std::ptrdiff_t>(count)};
 }
--- a/src/cassiastile/platform/decision_log_test.cpp
+++ b/src/cassiastile/platform/decision_log_test.cpp
@@ -22,7 +22,7 @@
   DecisionLogOptions options;
   options.process = "e1-1";
   options.flush_interval = std::chrono::hours(1);
-  options.batch_decisions = 4;
+  options.max_batch = 4;
   options.max_unstored = max_unstored;
   return DecisionLog::Create(objects, options);
 }
--- a/src/cassiastile/platform/http_platform.cpp
+++ b/src/cassiastile/platform/http_platform.cpp
@@ -37,10 +37,11 @@
       return response;
     case kNotFound:
       return base::Fail(base::ErrorCode::kNotFound,
-                        "The platform has no such thing.");
+                        "The platform has no object or machine of this name.");
     case kConflict:
-      return base::Fail(base::ErrorCode::kConflict,
-                        "The platform's state has changed.");
+      return base::Fail(
+          base::ErrorCode::kConflict,
+          "A precondition of the call does not hold at the platform.");
     case kServiceUnavailable:
       return base::Fail(base::ErrorCode::kUnavailable,
                         "The platform's service is unavailable.");
@@ -48,7 +49,7 @@
       return base::Fail(effect == CallEffect::kWrites
                             ? base::ErrorCode::kUnknown
                             : base::ErrorCode::kUnavailable,
-                        "The platform's service answered " +
+                        "The platform's service answered with HTTP status " +
                             std::to_string(response.status) + ".");
   }
 }
@@ -56,21 +57,22 @@
 // The HTTP library may resend a call by itself when a kept-alive connection
 // turns out to be closed. All of these calls are idempotent: a transaction by
 // its nonce, a reboot by the boot count.
-base::Result<wire::HttpResponse> CallPlatform(const HttpPlatformOptions& link,
-                                              CallEffect effect,
-                                              const std::string& method,
-                                              const std::string& path,
-                                              std::string body = {}) {
+base::Result<wire::HttpResponse> CallPlatform(
+    const HttpPlatformOptions& options,
+    CallEffect effect,
+    const std::string& method,
+    const std::string& path,
+    std::string body = {}) {
   wire::HttpCall call;
   call.method = method;
-  call.url = "http://" + link.address + path;
+  call.url = "http://" + options.address + path;
   call.body = std::move(body);
-  call.timeout = link.timeout;
-  call.connect_timeout = link.timeout;
+  call.timeout = options.timeout;
+  call.connect_timeout = options.timeout;
   if (!call.body.empty()) {
     call.headers.emplace_back("Content-Type", "application/json");
   }
-  wire::HttpOutcome outcome = link.client->Call(std::move(call));
+  wire::HttpOutcome outcome = options.client->Call(std::move(call));
   if (!outcome) {
     return base::Fail(CodeOfFailure(outcome.error(), effect),
                       "The platform's service did not answer: " +
@@ -93,7 +95,7 @@
     return base::Fail(
         effect == CallEffect::kWrites ? base::ErrorCode::kUnknown
                                       : base::ErrorCode::kUnavailable,
-        std::string("The platform's answer can't be read: ") + error.what());
+        std::string("The platform's answer can't be decoded: ") + error.what());
   }
 }
 
@@ -111,11 +113,12 @@
 
 }  // namespace
 
-HttpTable::HttpTable(HttpPlatformOptions link) : m_link(std::move(link)) {}
+HttpTable::HttpTable(HttpPlatformOptions options)
+    : m_options(std::move(options)) {}
 
 base::Result<std::optional<Row>> HttpTable::Get(const std::string& key) {
   const auto answer =
-      CallPlatform(m_link, CallEffect::kReads, "GET",
+      CallPlatform(m_options, CallEffect::kReads, "GET",
                    "/v1/table/row?key=" + wire::EncodePercent(key));
   if (IsNotFound(answer)) {
     return std::optional<Row>();
@@ -129,7 +132,7 @@
                                                const std::string& after,
                                                std::size_t limit) {
   const auto answer =
-      CallPlatform(m_link, CallEffect::kReads, "GET",
+      CallPlatform(m_options, CallEffect::kReads, "GET",
                    "/v1/table/rows?prefix=" + wire::EncodePercent(prefix) +
                        "&after=" + wire::EncodePercent(after) +
                        "&limit=" + std::to_string(limit));
@@ -140,7 +143,7 @@
 
 base::Result<Commit> HttpTable::Apply(const Transaction& transaction) {
   const auto answer =
-      CallPlatform(m_link, CallEffect::kWrites, "POST",
+      CallPlatform(m_options, CallEffect::kWrites, "POST",
                    "/v1/table/transactions", json(transaction).dump());
   return ReadAnswer<Commit>(answer, CallEffect::kWrites, [](const json& body) {
     return Commit{body.at("sequence").get<std::uint64_t>()};
@@ -150,7 +153,7 @@
 base::Result<std::optional<Commit>> HttpTable::FindNonce(
     const std::string& nonce) {
   const auto answer =
-      CallPlatform(m_link, CallEffect::kReads, "GET",
+      CallPlatform(m_options, CallEffect::kReads, "GET",
                    "/v1/table/nonces/" + wire::EncodePercent(nonce));
   if (IsNotFound(answer)) {
     return std::optional<Commit>();
@@ -161,17 +164,18 @@
       });
 }
 
-HttpObjects::HttpObjects(HttpPlatformOptions link) : m_link(std::move(link)) {}
+HttpObjects::HttpObjects(HttpPlatformOptions options)
+    : m_options(std::move(options)) {}
 
 base::Result<void> HttpObjects::Put(const std::string& name,
                                     const std::string& content) {
-  return CheckAnswered(CallPlatform(m_link, CallEffect::kWrites, "PUT",
+  return CheckAnswered(CallPlatform(m_options, CallEffect::kWrites, "PUT",
                                     "/v1/objects/" + name, content));
 }
 
 base::Result<std::string> HttpObjects::Get(const std::string& name) {
   auto answer =
-      CallPlatform(m_link, CallEffect::kReads, "GET", "/v1/objects/" + name);
+      CallPlatform(m_options, CallEffect::kReads, "GET", "/v1/objects/" + name);
   if (!answer) {
     return tl::unexpected(answer.error());
   }
@@ -181,7 +185,7 @@
 base::Result<std::vector<std::string>> HttpObjects::List(
     const std::string& prefix) {
   const auto answer =
-      CallPlatform(m_link, CallEffect::kReads, "GET",
+      CallPlatform(m_options, CallEffect::kReads, "GET",
                    "/v1/objects?prefix=" + wire::EncodePercent(prefix));
   return ReadAnswer<std::vector<std::string>>(
       answer, CallEffect::kReads, [](const json& body) {
@@ -189,26 +193,26 @@
       });
 }
 
-HttpHostList::HttpHostList(HttpPlatformOptions link)
-    : m_link(std::move(link)) {}
+HttpHostList::HttpHostList(HttpPlatformOptions options)
+    : m_options(std::move(options)) {}
 
 base::Result<std::vector<ListedHost>> HttpHostList::List() {
   const auto answer =
-      CallPlatform(m_link, CallEffect::kReads, "GET", "/v1/hosts");
+      CallPlatform(m_options, CallEffect::kReads, "GET", "/v1/hosts");
   return ReadAnswer<std::vector<ListedHost>>(
       answer, CallEffect::kReads, [](const json& body) {
         return body.at("hosts").get<std::vector<ListedHost>>();
       });
 }
 
-HttpMachines::HttpMachines(HttpPlatformOptions link)
-    : m_link(std::move(link)) {}
+HttpMachines::HttpMachines(HttpPlatformOptions options)
+    : m_options(std::move(options)) {}
 
 base::Result<void> HttpMachines::SetDraining(const std::string& host,
                                              bool draining) {
   const json body{{"draining", draining}};
   return CheckAnswered(CallPlatform(
-      m_link, CallEffect::kWrites, "POST",
+      m_options, CallEffect::kWrites, "POST",
       "/v1/machines/" + wire::EncodePercent(host) + "/draining", body.dump()));
 }
 
@@ -216,12 +220,12 @@
                                         std::uint64_t boots) {
   const json body{{"boots", boots}};
   return CheckAnswered(CallPlatform(
-      m_link, CallEffect::kWrites, "POST",
+      m_options, CallEffect::kWrites, "POST",
       "/v1/machines/" + wire::EncodePercent(host) + "/reboot", body.dump()));
 }
 
 base::Result<MachineStatus> HttpMachines::Status(const std::string& host) {
-  const auto answer = CallPlatform(m_link, CallEffect::kReads, "GET",
+  const auto answer = CallPlatform(m_options, CallEffect::kReads, "GET",
                                    "/v1/machines/" + wire::EncodePercent(host));
   return ReadAnswer<MachineStatus>(
       answer, CallEffect::kReads,
--- a/src/cassiastile/platform/memory_platform_test.cpp
+++ b/src/cassiastile/platform/memory_platform_test.cpp
@@ -5,14 +5,14 @@
 namespace cassiastile::platform {
 namespace {
 
-Transaction SetOnce(const std::string& nonce, const std::string& value) {
+Transaction Insert(const std::string& nonce, const std::string& value) {
   return Transaction{nonce, {{"row", 0}}, {{"row", value}}};
 }
 
 TEST(MemoryTableTest, SecondWriterOfTheSameVersionConflicts) {
   MemoryTable table;
-  ASSERT_TRUE(table.Apply(SetOnce("a", "1")).has_value());
-  const auto second = table.Apply(SetOnce("b", "2"));
+  ASSERT_TRUE(table.Apply(Insert("a", "1")).has_value());
+  const auto second = table.Apply(Insert("b", "2"));
   ASSERT_FALSE(second.has_value());
   EXPECT_EQ(second.error().code, base::ErrorCode::kConflict);
   EXPECT_EQ(table.Get("row").value()->value, "1");
@@ -21,7 +21,7 @@
 TEST(MemoryTableTest, LostAnswerLeavesTheWriteInPlace) {
   MemoryTable table;
   table.SetFaults({.lose_answer = 1});
-  const auto lost = table.Apply(SetOnce("a", "1"));
+  const auto lost = table.Apply(Insert("a", "1"));
   ASSERT_FALSE(lost.has_value());
   EXPECT_EQ(lost.error().code, base::ErrorCode::kUnknown);
   table.SetFaults({});
@@ -32,7 +32,7 @@
 TEST(MemoryTableTest, DelayedWriteAppliesLater) {
   MemoryTable table;
   table.SetFaults({.delay_apply = 1});
-  EXPECT_FALSE(table.Apply(SetOnce("a", "1")).has_value());
+  EXPECT_FALSE(table.Apply(Insert("a", "1")).has_value());
   table.SetFaults({});
   EXPECT_EQ(table.Get("row").value()->value, "1");
 }
@@ -40,7 +40,7 @@
 TEST(MemoryTableTest, UsedNonceBlocksADelayedWrite) {
   MemoryTable table;
   ASSERT_TRUE(table.Apply({"a", {}, {}}).has_value());
-  ASSERT_TRUE(table.Apply(SetOnce("a", "late")).has_value());
+  ASSERT_TRUE(table.Apply(Insert("a", "late")).has_value());
   EXPECT_FALSE(table.Get("row").value().has_value());
 }
 
@@ -55,7 +55,7 @@
 TEST(MemoryTableTest, OutageWritesNothing) {
   MemoryTable table;
   table.SetFaults({.down = true});
-  EXPECT_EQ(table.Apply(SetOnce("a", "1")).error().code,
+  EXPECT_EQ(table.Apply(Insert("a", "1")).error().code,
             base::ErrorCode::kUnavailable);
   table.SetFaults({});
   EXPECT_FALSE(table.Get("row").value().has_value());
--- a/src/cassiastile/platform/store_guard.cpp
+++ b/src/cassiastile/platform/store_guard.cpp
@@ -25,31 +25,31 @@
       m_options(options),
       m_random(seed),
       m_breaker(options.breaker, seed),
-      m_writes(options.writes_per_second, options.writes_per_second),
-      m_reads(options.reads_per_second, options.reads_per_second),
+      m_write_tokens(options.writes_per_second, options.writes_per_second),
+      m_read_tokens(options.reads_per_second, options.reads_per_second),
       m_retry_tokens(options.retry_burst) {}
 
 base::Result<std::optional<Row>> StoreGuard::Get(const std::string& key) {
-  return Run<std::optional<Row>>(CallKind::kRead,
-                                 [&] { return m_table.Get(key); });
+  return CallWithRetries<std::optional<Row>>(CallKind::kRead,
+                                             [&] { return m_table.Get(key); });
 }
 
 base::Result<std::vector<Row>> StoreGuard::Scan(const std::string& prefix,
                                                 const std::string& after,
                                                 std::size_t limit) {
-  return Run<std::vector<Row>>(
+  return CallWithRetries<std::vector<Row>>(
       CallKind::kRead, [&] { return m_table.Scan(prefix, after, limit); });
 }
 
 base::Result<Commit> StoreGuard::Apply(const Transaction& transaction) {
-  return Run<Commit>(CallKind::kWrite,
-                     [&] { return m_table.Apply(transaction); });
+  return CallWithRetries<Commit>(CallKind::kWrite,
+                                 [&] { return m_table.Apply(transaction); });
 }
 
 base::Result<std::optional<Commit>> StoreGuard::FindNonce(
     const std::string& nonce) {
-  return Run<std::optional<Commit>>(CallKind::kRead,
-                                    [&] { return m_table.FindNonce(nonce); });
+  return CallWithRetries<std::optional<Commit>>(
+      CallKind::kRead, [&] { return m_table.FindNonce(nonce); });
 }
 
 StoreGuardCounts StoreGuard::Counts() const {
@@ -66,10 +66,13 @@
 // answered. An attempt that fails before it reaches the store proves nothing
 // about the earlier one.
 template <typename Value, typename Call>
-base::Result<Value> StoreGuard::Run(CallKind kind, const Call& call) {
-  const base::TimePoint deadline = m_clock.Now() + m_options.deadline;
-  base::Result<Value> result = base::Fail(
-      base::ErrorCode::kUnavailable, "The store is not called while it fails.");
+base::Result<Value> StoreGuard::CallWithRetries(CallKind kind,
+                                                const Call& call) {
+  const base::TimePoint deadline = m_clock.Now() + m_options.call_timeout;
+  base::Result<Value> result =
+      base::Fail(base::ErrorCode::kUnavailable,
+                 "The store was not called: it keeps failing, or its rate "
+                 "limit would delay the call too long.");
   bool unknown = false;
   for (std::uint32_t attempt = 0; WaitForAdmission(kind, deadline); ++attempt) {
     result = call();
@@ -80,7 +83,7 @@
       return result;
     }
     unknown = unknown || result.error().code == base::ErrorCode::kUnknown;
-    if (!Backoff(attempt, deadline)) {
+    if (!WaitBeforeRetry(attempt, deadline)) {
       break;
     }
   }
@@ -96,7 +99,8 @@
 StoreGuard::Admission StoreGuard::Admit(CallKind kind) {
   const std::lock_guard lock(m_mutex);
   const base::TimePoint now = m_clock.Now();
-  TokenBucket& bucket = kind == CallKind::kWrite ? m_writes : m_reads;
+  TokenBucket& bucket =
+      kind == CallKind::kWrite ? m_write_tokens : m_read_tokens;
   const base::Duration wait = bucket.Take(now);
   if (wait > base::Duration::zero()) {
     return {false, wait};
@@ -122,7 +126,8 @@
   }
 }
 
-bool StoreGuard::Backoff(std::uint32_t attempt, base::TimePoint deadline) {
+bool StoreGuard::WaitBeforeRetry(std::uint32_t attempt,
+                                 base::TimePoint deadline) {
   constexpr std::uint32_t kMaxDoublings = 10;
   base::Duration wait{};
   {
@@ -149,9 +154,9 @@
   const std::lock_guard lock(m_mutex);
   m_reachable = answered;
   if (answered) {
-    m_breaker.Succeed();
+    m_breaker.RecordSuccess();
   } else {
-    m_breaker.Fail(m_clock.Now());
+    m_breaker.RecordFailure(m_clock.Now());
   }
 }
 
--- a/src/cassiastile/platform/store_guard_test.cpp
+++ b/src/cassiastile/platform/store_guard_test.cpp
@@ -33,7 +33,7 @@
                               public testing::WithParamInterface<MemoryFaults> {
 };
 
-TEST_P(StoreGuardAnswersTest, AreTrue) {
+TEST_P(StoreGuardAnswersTest, MatchTheTable) {
   constexpr int kRows = 100;
   StoreGuard guard = MakeGuard();
   m_table.SetFaults(GetParam());
@@ -115,7 +115,7 @@
 TEST_F(StoreGuardTest, KeepsToItsWriteRate) {
   StoreGuardOptions options;
   options.writes_per_second = 10;
-  options.deadline = seconds(60);
+  options.call_timeout = seconds(60);
   StoreGuard guard = MakeGuard(options);
   const base::TimePoint start = m_clock.Now();
   constexpr int kWrites = 110;
@@ -132,17 +132,17 @@
   CircuitBreaker breaker(options, 1);
   base::ManualClock clock;
   ASSERT_TRUE(breaker.Allow(clock.Now()));
-  breaker.Fail(clock.Now());
+  breaker.RecordFailure(clock.Now());
   EXPECT_FALSE(breaker.Allow(clock.Now()));
   clock.Advance(milliseconds(750));
   EXPECT_TRUE(breaker.Allow(clock.Now()));
   EXPECT_FALSE(breaker.Allow(clock.Now()));
-  breaker.Fail(clock.Now());
+  breaker.RecordFailure(clock.Now());
   clock.Advance(milliseconds(750));
   EXPECT_FALSE(breaker.Allow(clock.Now()));
   clock.Advance(milliseconds(750));
   EXPECT_TRUE(breaker.Allow(clock.Now()));
-  breaker.Succeed();
+  breaker.RecordSuccess();
   EXPECT_EQ(breaker.State(), BreakerState::kClosed);
 }
 
