--- a/include/cassiastile/soak/fault_plan.hpp
+++ b/include/cassiastile/soak/fault_plan.hpp
@@ -13,22 +13,22 @@
 
 // What goes wrong, or what the operators do, during a run.
 enum class FaultKind : std::uint8_t {
-  kKill,           // SIGKILL; the process restarts soon after.
-  kStop,           // SIGTERM; the process restarts soon after.
-  kPause,          // SIGSTOP for a time, then SIGCONT.
-  kReload,         // SIGHUP with changed settings.
-  kDelay,          // All data is delayed by a moment.
-  kReset,          // All connections are reset.
-  kCutToServer,    // No data reaches the server for a time.
-  kCutFromServer,  // No data comes from the server for a time.
-  kBlackhole,      // Open connections carry no data any more; new ones work.
-  kRefuse,         // The table refuses all calls for a time.
-  kLoseAnswers,    // The table leaves some applied commits unanswered.
-  kForget,         // The table discards its change history.
-  kCrash,          // A worker ends; its next incarnation begins later.
-  kLate,           // A worker carries out starts late and unanswered.
-  kConfigure,      // The operators change the configuration.
-  kWave,           // The operators request maintenance of all machines.
+  kKill,            // SIGKILL; the process restarts soon after.
+  kStop,            // SIGTERM; the process restarts soon after.
+  kPause,           // SIGSTOP for a time, then SIGCONT.
+  kReload,          // SIGHUP with changed settings.
+  kDelay,           // All data is delayed by 80 ms.
+  kReset,           // All connections are reset.
+  kCutToServer,     // No data reaches the server for a time.
+  kCutFromServer,   // No data comes from the server for a time.
+  kBlackhole,       // Open connections carry no data any more; new ones work.
+  kRefuseCalls,     // The table refuses all calls for a time.
+  kLoseAnswers,     // The table leaves some applied commits unanswered.
+  kCompactHistory,  // The table discards its change history.
+  kCrash,           // A worker ends; its next incarnation begins later.
+  kDelayStarts,     // A worker carries out starts late, without an answer.
+  kConfigure,       // The operators change the configuration.
+  kWave,            // The operators request maintenance of all machines.
 };
 
 inline constexpr std::array<base::EnumName<FaultKind>, 16> kFaultNames{{
@@ -41,11 +41,11 @@
     {FaultKind::kCutToServer, "cut there"},
     {FaultKind::kCutFromServer, "cut back"},
     {FaultKind::kBlackhole, "silence"},
-    {FaultKind::kRefuse, "refuse"},
+    {FaultKind::kRefuseCalls, "refuse"},
     {FaultKind::kLoseAnswers, "lose answers"},
-    {FaultKind::kForget, "forget"},
+    {FaultKind::kCompactHistory, "forget"},
     {FaultKind::kCrash, "crash"},
-    {FaultKind::kLate, "late"},
+    {FaultKind::kDelayStarts, "late"},
     {FaultKind::kConfigure, "configure"},
     {FaultKind::kWave, "wave"},
 }};
@@ -86,8 +86,8 @@
   std::size_t hosts = 5;
   std::size_t workers = 10;
   std::chrono::milliseconds length{10000};
-  // Mean gap between series of faults; a series has up to four.
-  std::chrono::milliseconds gap{700};
+  // Between series of faults; a series has up to four.
+  std::chrono::milliseconds mean_gap{700};
 };
 
 using FaultPlan = std::vector<Fault>;
--- a/include/cassiastile/soak/host_process.hpp
+++ b/include/cassiastile/soak/host_process.hpp
@@ -19,7 +19,7 @@
   HostProcess& operator=(const HostProcess&) = delete;
 
   // Starts `program` with the settings file `settings`, and appends its output
-  // to the file `output`. Fails with kUnavailable.
+  // to the file `output`. Fails with kUnavailable if it can't be started.
   base::Result<void> Start(const std::string& program,
                            const std::string& settings,
                            const std::string& output);
--- a/src/cassiastile/soak/callers.cpp
+++ b/src/cassiastile/soak/callers.cpp
@@ -26,7 +26,7 @@
 constexpr int kMaxAttempts = 200;
 // A host that has just stopped being the leader may still answer for a moment
 // that it doesn't know a job.
-constexpr int kMaxMissingAnswers = 3;
+constexpr int kMaxNoSuchJobAnswers = 3;
 // Every host knows an accepted job after this time.
 constexpr milliseconds kVisibilityDelay{3000};
 
@@ -47,7 +47,7 @@
 }
 
 std::size_t Callers::PickHost() {
-  return m_random() % m_fleet.Hosts();
+  return m_random() % m_fleet.HostCount();
 }
 
 jobs::JobSpec Callers::MakeSpec(bool is_long_running) {
@@ -83,7 +83,7 @@
   call.timeout = kTimeout;
   if (method == "POST") {
     call.headers.emplace_back("Content-Type", "application/json");
-    call.body = job.text;
+    call.body = job.encoded_spec;
   }
   return call;
 }
@@ -109,7 +109,7 @@
   job.is_long_running = m_random() % kLongRunningOneIn == 0;
   job.will_cancel = m_random() % kCancelledOneIn == 0;
   jobs::JobSpec spec = MakeSpec(job.is_long_running);
-  job.text = adapter::EncodeJob(spec);
+  job.encoded_spec = adapter::EncodeJob(spec);
   m_fleet.Checker().JobSubmitted(job.id, std::move(spec));
   const std::string id = job.id;
   m_jobs.emplace(id, std::move(job));
@@ -230,8 +230,8 @@
         CheckCutRequest(host, sent_at, outcome);
         Job& job = m_jobs.at(id);
         const bool gone = outcome && outcome->status == kGone;
-        job.missing_answers = gone ? job.missing_answers + 1 : 0;
-        if (job.missing_answers == kMaxMissingAnswers &&
+        job.no_such_job_answers = gone ? job.no_such_job_answers + 1 : 0;
+        if (job.no_such_job_answers == kMaxNoSuchJobAnswers &&
             m_loop.GetClock().Now() - job.accepted_at > kVisibilityDelay) {
           m_fleet.Checker().Violate("accepted job " + id + " is not known");
         }
@@ -252,8 +252,8 @@
 }
 
 bool Callers::IsSettled() const {
-  return std::ranges::all_of(m_jobs, [this](const auto& row) {
-    const Job& job = row.second;
+  return std::ranges::all_of(m_jobs, [this](const auto& entry) {
+    const Job& job = entry.second;
     switch (job.known_state) {
       case KnownState::kRefused:
       case KnownState::kDone:
--- a/src/cassiastile/soak/callers.hpp
+++ b/src/cassiastile/soak/callers.hpp
@@ -15,6 +15,7 @@
 // open.
 class Callers {
  public:
+  // The references must outlive the callers.
   Callers(asio::io_context& context,
           host::Loop& loop,
           Fleet& fleet,
@@ -44,13 +45,13 @@
   struct Job {
     std::string id;
     std::size_t queue = 0;
-    std::string text;
+    std::string encoded_spec;
     KnownState known_state = KnownState::kUnknown;
     bool may_have_arrived = false;  // Some attempt may have been accepted.
     bool is_long_running = false;
     bool will_cancel = false;
     int attempts = 0;
-    int missing_answers = 0;  // Consecutive answers that there is no such job.
+    int no_such_job_answers = 0;  // Consecutive.
     base::TimePoint accepted_at{};
   };
 
--- a/src/cassiastile/soak/fault_plan.cpp
+++ b/src/cassiastile/soak/fault_plan.cpp
@@ -47,10 +47,10 @@
     {FaultKind::kCutFromServer, Place::kWorker, 2, kLongestCut},
     {FaultKind::kBlackhole, Place::kWorker, 1, {}},
     {FaultKind::kCrash, Place::kWorker, 3, kLongestCut},
-    {FaultKind::kLate, Place::kWorker, 2, kLongestCut},
-    {FaultKind::kRefuse, Place::kTable, 2, kLongestCut},
+    {FaultKind::kDelayStarts, Place::kWorker, 2, kLongestCut},
+    {FaultKind::kRefuseCalls, Place::kTable, 2, kLongestCut},
     {FaultKind::kLoseAnswers, Place::kTable, 2, kLongestCut},
-    {FaultKind::kForget, Place::kTable, 1, {}},
+    {FaultKind::kCompactHistory, Place::kTable, 1, {}},
     {FaultKind::kConfigure, Place::kOperators, 2, {}},
 }};
 
@@ -92,14 +92,14 @@
                     0,
                     {}});
   }
-  milliseconds at(below(options.gap.count()));
+  milliseconds at(below(options.mean_gap.count()));
   while (at < options.length) {
     const FaultChoice& choice = kFaultChoices.at(choose(random));
     constexpr std::int64_t kMaxSeries = 4;
     const std::int64_t series = 1 + below(kMaxSeries) * below(2);
     for (std::int64_t i = 0; i < series; ++i) {
       Fault fault;
-      fault.at = at + milliseconds(below(options.gap.count()));
+      fault.at = at + milliseconds(below(options.mean_gap.count()));
       fault.kind = choice.kind;
       fault.place = choice.place;
       fault.target = static_cast<std::size_t>(
@@ -111,7 +111,7 @@
       }
       plan.push_back(fault);
     }
-    at += milliseconds(1 + below(2 * options.gap.count()));
+    at += milliseconds(1 + below(2 * options.mean_gap.count()));
   }
   std::ranges::stable_sort(plan, {}, &Fault::at);
   return plan;
--- a/src/cassiastile/soak/fleet.cpp
+++ b/src/cassiastile/soak/fleet.cpp
@@ -19,7 +19,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr char kSpare[] = "spare";
+constexpr char kSparePool[] = "spare";
 constexpr jobs::Resources kCapacity{8000, 16384, 0};
 constexpr milliseconds kProcessCheckInterval{20};
 constexpr milliseconds kRestartDelay{300};
@@ -31,7 +31,7 @@
 constexpr milliseconds kLinkDelay{80};
 constexpr std::size_t kWaveMaxDown = 2;
 // A fault affects connections and leases for about this long.
-constexpr milliseconds kFaultEffect{4000};
+constexpr milliseconds kFaultEffectTime{4000};
 
 // Returns ports that nothing listens on now. They lie below the kernel's
 // ephemeral ports, since an outgoing connection could take such a port while a
@@ -109,7 +109,7 @@
              std::vector<host::Machine> list;
              for (const auto& machine : m_machines) {
                list.push_back({machine->name, machine->pool, machine->state,
-                               machine->id, kCapacity});
+                               machine->worker_id, kCapacity});
              }
              return list;
            },
@@ -247,7 +247,7 @@
                              .advice = {}});
     config.services.push_back({.name = ServiceName(i)});
   }
-  config.services.push_back({.name = kSpare, .standby = true});
+  config.services.push_back({.name = kSparePool, .standby = true});
   config.customers.push_back(
       {.name = "customer", .weight = 1000, .limit = {}, .keys = {"key"}});
   m_table->Write({adapter::kOperatorTable, "", adapter::kConfigKey,
@@ -269,18 +269,19 @@
 
 void Fleet::BeginIncarnation(Machine& machine) {
   machine.state = host::MachineState::kUp;
-  if (machine.pool == kSpare) {
+  if (machine.pool == kSparePool) {
     return;
   }
   ++machine.incarnation_number;
-  if (!machine.reuses_id || machine.id.empty()) {
-    machine.id =
+  if (!machine.reuses_id || machine.worker_id.empty()) {
+    machine.worker_id =
         fmt::format("{}-life-{}", machine.name, machine.incarnation_number);
   }
   jobs::WorkerEntry entry;
-  entry.id = {machine.id, std::chrono::duration_cast<milliseconds>(
-                              m_loop.GetClock().WallNow().time_since_epoch())
-                              .count()};
+  entry.id = {machine.worker_id,
+              std::chrono::duration_cast<milliseconds>(
+                  m_loop.GetClock().WallNow().time_since_epoch())
+                  .count()};
   entry.service = machine.pool;
   entry.machine = machine.name;
   entry.endpoint = LoopbackEndpoint(machine.proxy->Port());
@@ -288,7 +289,7 @@
   entry.kind = "a";
   entry.rack = "r";
   entry.capacity = kCapacity;
-  m_table->Write({adapter::kWorkerTable, "", machine.id,
+  m_table->Write({adapter::kWorkerTable, "", machine.worker_id,
                   adapter::EncodeWorker(entry), 0, false});
   machine.worker->BeginIncarnation(std::move(entry));
 }
@@ -298,12 +299,12 @@
                            milliseconds down) {
   machine.worker->EndIncarnation();
   machine.state = state;
-  const std::string id = machine.id;
+  const std::string id = machine.worker_id;
   if (!machine.reuses_id) {
-    machine.id.clear();
+    machine.worker_id.clear();
   }
   After(kDelistDelay, [this, id, machine = &machine] {
-    if (machine->id != id) {
+    if (machine->worker_id != id) {
       m_table->Delete({adapter::kWorkerTable, "", id, "", 0, false});
     }
   });
@@ -376,11 +377,11 @@
       ApplyToWorker(*m_machines[fault.target % m_machines.size()], fault);
       return;
     case Place::kTable:
-      if (fault.kind == FaultKind::kForget) {
+      if (fault.kind == FaultKind::kCompactHistory) {
         m_table->Model().CompactHistory();
         return;
       }
-      m_table->Faults().refuses_calls = fault.kind == FaultKind::kRefuse;
+      m_table->Faults().refuses_calls = fault.kind == FaultKind::kRefuseCalls;
       m_table->Faults().loses_some_answers =
           fault.kind == FaultKind::kLoseAnswers;
       After(fault.active_for, [this] { m_table->Faults() = {}; });
@@ -450,7 +451,7 @@
       machine.reuses_id = fault.target % 2 == 0;
       EndIncarnation(machine, host::MachineState::kDown, fault.active_for);
     }
-  } else if (fault.kind == FaultKind::kLate) {
+  } else if (fault.kind == FaultKind::kDelayStarts) {
     machine.worker->Faults().delays_starts = true;
     After(fault.active_for,
           [&machine] { machine.worker->Faults().delays_starts = false; });
@@ -496,9 +497,9 @@
 bool Fleet::HasOnlyPlannedStops(std::size_t host) const {
   const base::TimePoint now = m_loop.GetClock().Now();
   const Host& each = *m_hosts[host];
-  return now - each.stopped_at < kFaultEffect &&
+  return now - each.stopped_at < kFaultEffectTime &&
          (each.last_fault_at == base::TimePoint{} ||
-          now - each.last_fault_at > kFaultEffect);
+          now - each.last_fault_at > kFaultEffectTime);
 }
 
 }  // namespace cassiastile::soak
--- a/src/cassiastile/soak/fleet.hpp
+++ b/src/cassiastile/soak/fleet.hpp
@@ -24,11 +24,14 @@
 // table, the machines and the workers.
 class Fleet {
  public:
+  // `context`, `loop` and `options` must outlive the fleet. Fails if a server
+  // or a proxy can't be started.
   static base::Result<std::unique_ptr<Fleet>> Start(asio::io_context& context,
                                                     host::Loop& loop,
                                                     const SoakOptions& options);
   ~Fleet();
 
+  // Injects a fault, or carries out an action of the operators.
   void Apply(const Fault& fault);
   // Ends all faults that have a duration. Hosts that are down restart as usual.
   void ClearFaults();
@@ -36,10 +39,10 @@
   void Stop();
   bool HasEnded() const;
 
-  std::size_t Hosts() const { return m_hosts.size(); }
+  std::size_t HostCount() const { return m_hosts.size(); }
   std::string CallersEndpoint(std::size_t host) const;
   // Whether the host had a planned stop (SIGTERM) and no other fault within the
-  // time for which a fault has effects, kFaultEffect.
+  // last 4 s, for which a fault has effects.
   bool HasOnlyPlannedStops(std::size_t host) const;
   sim::InvariantChecker& Checker() { return m_checker; }
   std::size_t ProcessStarts() const { return m_process_starts; }
@@ -70,8 +73,8 @@
     std::unique_ptr<adapter::WorkerServer> worker;
     std::unique_ptr<LoopbackProxy> proxy;
     std::uint64_t incarnation_number = 0;
-    bool reuses_id = false;  // By the next incarnation.
-    std::string id;
+    bool reuses_id = false;  // The next incarnation has the same worker id.
+    std::string worker_id;
     std::uint64_t last_wave = 0;  // The last wave that maintained it.
   };
 
