--- a/include/cassiastile/host/dispatcher.hpp
+++ b/include/cassiastile/host/dispatcher.hpp
@@ -63,13 +63,15 @@
   void ApplyConfig(std::shared_ptr<const jobs::FleetConfig> config);
   void ApplyWaves(const std::map<std::uint64_t, WaveRequest>& waves);
   // Answers a job request. `respond` runs once; with kNotLeader before the
-  // state is read and after resigning. A submission or cancellation is answered
+  // state is read, after resigning, and for a submission to a queue that the
+  // configuration doesn't have yet. A submission or cancellation is answered
   // once its row is stored, or with kOutcomeUnknown if the dispatcher is
   // destroyed first.
   void Answer(const JobRequest& request,
               const std::function<void(JobAnswer)>& respond);
-  // Stops giving orders and resigns the leadership. `done` runs when the
-  // resignation is stored or has failed.
+  // Stops giving orders and resigns the leadership, once a commit in flight is
+  // applied. `done` runs when the resignation is stored or has failed; if that
+  // commit finds that leadership is lost, `on_leadership_lost` runs instead.
   void Resign(std::function<void()> done);
 
   // Whether commits have been failing for more than 400 ms.
--- a/include/cassiastile/host/host_node.hpp
+++ b/include/cassiastile/host/host_node.hpp
@@ -72,7 +72,7 @@
 
   // Null unless this host is the leader.
   const Dispatcher* LeaderDispatcher() const { return m_dispatcher.get(); }
-  const ConfigWatcher& Config() const { return m_config_watcher; }
+  const ConfigWatcher& GetConfigWatcher() const { return m_config_watcher; }
   const HostSettings& Settings() const { return m_settings; }
 
  private:
--- a/include/cassiastile/host/job_frontend.hpp
+++ b/include/cassiastile/host/job_frontend.hpp
@@ -48,8 +48,8 @@
   // Until the first call every request is answered with 503.
   void ApplyConfig(std::shared_ptr<const jobs::FleetConfig> config);
   // Serves one request; `respond` runs once, possibly later.
-  void Handle(const wire::HttpRequest& request,
-              const wire::HttpResponder& respond);
+  void Serve(const wire::HttpRequest& request,
+             const wire::HttpResponder& respond);
   // Number of forwarded requests that are not answered yet.
   std::size_t InFlight() const { return m_in_flight; }
 
--- a/include/cassiastile/host/machine_controller.hpp
+++ b/include/cassiastile/host/machine_controller.hpp
@@ -17,7 +17,7 @@
 struct MachineControllerOptions {
   std::string host;  // The leader's name in orders.
   // How long orders of a previous leader may still be in flight.
-  std::chrono::milliseconds order_settle_time{3000};
+  std::chrono::milliseconds machine_order_lease{3000};
   // Whether to move machines between pools.
   bool moves_machines = true;
 };
@@ -86,7 +86,8 @@
     // Machines for which an order may have been sent, also by an earlier
     // leader.
     std::set<std::string> ordered;
-    // When this leader first saw the request, from which `due` is counted.
+    // When this leader first saw the request, from which its time limit is
+    // counted.
     base::TimePoint seen_at{};
     bool done = false;
     // Whether the status table has the state, and whether a write is in flight.
--- a/include/cassiastile/host/ports.hpp
+++ b/include/cassiastile/host/ports.hpp
@@ -17,11 +17,10 @@
 // never within the call itself.
 namespace cassiastile::host {
 
-// A row of the platform's transactional table store. Rows are read by table and
-// part, in the order of their keys.
+// A row of the platform's transactional table store.
 struct Row {
   std::string table;
-  std::string part;
+  std::string part;  // Partition of the table; may be empty.
   std::string key;
   std::string value;
   std::uint64_t version = 0;  // Of the transaction that wrote it.
@@ -137,6 +136,7 @@
 class WorkerPort {
  public:
   virtual ~WorkerPort() = default;
+  // Extends the worker's lease; `done` gets its report.
   virtual void Extend(
       const WorkerAddress& worker,
       const LeaseExtension& extension,
@@ -216,6 +216,7 @@
 class AdvicePort {
  public:
   virtual ~AdvicePort() = default;
+  // Asks on which workers a step may be placed.
   virtual void Advise(const jobs::AdviceRequest& request,
                       std::function<void(base::Result<AdviceReply>)> done) = 0;
 };
@@ -226,7 +227,7 @@
   std::vector<std::string> machines;
   // Time for the whole wave; a leader counts it from when it first sees the
   // request.
-  std::chrono::seconds due{0};
+  std::chrono::seconds time_limit{0};
   std::uint32_t max_down = 1;  // Machines in maintenance at once.
 };
 
--- a/include/cassiastile/host/settings.hpp
+++ b/include/cassiastile/host/settings.hpp
@@ -23,7 +23,8 @@
 // Fails with kInvalid for text that is not "ADDRESS:PORT".
 base::Result<Endpoint> ParseEndpoint(std::string_view text);
 
-// Settings of one host, read from a JSON file. Unknown members are ignored.
+// Settings of one host, read from a JSON file that may have comments. Unknown
+// members are ignored.
 struct HostSettings {
   std::string host;
   std::string availability_zone;
@@ -40,7 +41,7 @@
   // How long a graceful stop may take.
   std::chrono::milliseconds stop_grace{6000};
   // How long a finished job's state is kept.
-  std::chrono::milliseconds finished_state{120000};
+  std::chrono::milliseconds keep_finished{120000};
   // How long a machine order of a previous leader may still be in flight.
   std::chrono::milliseconds machine_order_lease{3000};
   double processor_share = 1.0;  // Of one core.
--- a/include/cassiastile/platform/store_guard.hpp
+++ b/include/cassiastile/platform/store_guard.hpp
@@ -99,8 +99,8 @@
   mutable std::mutex m_mutex;
   base::Random m_random;
   CircuitBreaker m_breaker;
-  TokenBucket m_write_tokens;
-  TokenBucket m_read_tokens;
+  TokenBucket m_write_limiter;
+  TokenBucket m_read_limiter;
   double m_retry_tokens;
   bool m_reachable = false;
   StoreGuardCounts m_counts;
--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -40,7 +40,7 @@
 
 jobs::SchedulerOptions MakeSchedulerOptions(const HostSettings& settings) {
   jobs::SchedulerOptions options;
-  options.keep_finished = settings.finished_state;
+  options.keep_finished = settings.keep_finished;
   return options;
 }
 
@@ -67,7 +67,7 @@
           log,
           m_scheduler,
           {.host = settings.host,
-           .order_settle_time = settings.machine_order_lease},
+           .machine_order_lease = settings.machine_order_lease},
           [this](Row row, std::function<void()> stored) {
             m_pending_rows.emplace_back(std::move(row), std::move(stored));
             RequestPlan();
--- a/src/cassiastile/host/host_node.cpp
+++ b/src/cassiastile/host/host_node.cpp
@@ -21,6 +21,7 @@
 // Leadership passes to a live peer whose processor share is larger by this
 // factor.
 constexpr double kStrongerFactor = 1.5;
+// A peer not heard of for this long counts as dead.
 constexpr std::chrono::milliseconds kPeerTimeout{4000};
 // How long a weaker host lets stronger peers try to become the leader first.
 constexpr std::chrono::milliseconds kStrongerPeerHeadStart{400};
@@ -478,7 +479,7 @@
 
 void HostNode::Handle(const wire::HttpRequest& request,
                       const wire::HttpResponder& respond) {
-  m_frontend.Handle(request, respond);
+  m_frontend.Serve(request, respond);
 }
 
 void HostNode::HandleJobRequest(const JobRequest& request,
--- a/src/cassiastile/host/job_frontend.cpp
+++ b/src/cassiastile/host/job_frontend.cpp
@@ -108,8 +108,8 @@
   m_config = std::move(config);
 }
 
-void JobFrontend::Handle(const wire::HttpRequest& request,
-                         const wire::HttpResponder& respond) {
+void JobFrontend::Serve(const wire::HttpRequest& request,
+                        const wire::HttpResponder& respond) {
   if (m_config == nullptr) {
     respond(
         AnswerLater(kUnavailable, "no configuration yet", kRetryWithoutLeader));
--- a/src/cassiastile/host/machine_controller.cpp
+++ b/src/cassiastile/host/machine_controller.cpp
@@ -26,7 +26,7 @@
 constexpr std::chrono::milliseconds kRefusedPause{500};
 constexpr std::chrono::milliseconds kStoreTimeout{1500};
 // Allows for inexact clocks and for call latency.
-constexpr std::chrono::milliseconds kSettleMargin{300};
+constexpr std::chrono::milliseconds kOrderLeaseMargin{300};
 constexpr char kOrdersKey[] = "orders";
 // States of a machine in a wave's stored row.
 constexpr char kBegun[] = "begun";
@@ -108,7 +108,7 @@
   const auto found = m_last_order_at.find(machine);
   return found == m_last_order_at.end() || found->second >= m_term_began ||
          m_store_now() - found->second >
-             m_options.order_settle_time + kSettleMargin;
+             m_options.machine_order_lease + kOrderLeaseMargin;
 }
 
 void MachineController::RecordOrder(const std::string& machine,
@@ -116,7 +116,8 @@
                                     std::function<void()> order) {
   const auto now = m_store_now();
   std::erase_if(m_last_order_at, [this, now](const auto& entry) {
-    return now - entry.second > m_options.order_settle_time + kSettleMargin;
+    return now - entry.second >
+           m_options.machine_order_lease + kOrderLeaseMargin;
   });
   m_last_order_at[machine] = now;
   std::string lines;
@@ -335,7 +336,7 @@
       machines,
       {.max_down = std::max(1U, wave.request.max_down),
        .left = std::chrono::duration_cast<std::chrono::milliseconds>(
-           wave.seen_at + wave.request.due - now)},
+           wave.seen_at + wave.request.time_limit - now)},
       now);
   for (const std::string& name : plan.cordon) {
     SetCordoned(m_machines[name], true, now);
--- a/src/cassiastile/host/settings.cpp
+++ b/src/cassiastile/host/settings.cpp
@@ -146,7 +146,7 @@
   reader.Text("advice_endpoint", settings.advice_endpoint);
   reader.Time("max_worker_lease_ms", kMillisecond, settings.max_worker_lease);
   reader.Time("stop_grace_s", kSecond, settings.stop_grace);
-  reader.Time("finished_state_s", kSecond, settings.finished_state);
+  reader.Time("finished_state_s", kSecond, settings.keep_finished);
   reader.Time("machine_order_lease_ms", kMillisecond,
               settings.machine_order_lease);
   reader.Number("processor_share", settings.processor_share);
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -69,7 +69,7 @@
   std::istringstream in(text);
   WaveRequest wave;
   in >> wave.wave >> wave.max_down;
-  wave.due = std::chrono::seconds(25);
+  wave.time_limit = std::chrono::seconds(25);
   for (std::string name; in >> name;) {
     wave.machines.push_back(name);
   }
@@ -976,7 +976,7 @@
 }
 
 std::uint64_t VirtualWorld::ConfigVersionOf(std::size_t host) const {
-  return m_hosts[host] ? m_hosts[host]->node.Config().Version() : 0;
+  return m_hosts[host] ? m_hosts[host]->node.GetConfigWatcher().Version() : 0;
 }
 
 }  // namespace cassiastile::host
--- a/src/cassiastile/platform/store_guard.cpp
+++ b/src/cassiastile/platform/store_guard.cpp
@@ -25,8 +25,8 @@
       m_options(options),
       m_random(seed),
       m_breaker(options.breaker, seed),
-      m_write_tokens(options.writes_per_second, options.writes_per_second),
-      m_read_tokens(options.reads_per_second, options.reads_per_second),
+      m_write_limiter(options.writes_per_second, options.writes_per_second),
+      m_read_limiter(options.reads_per_second, options.reads_per_second),
       m_retry_tokens(options.retry_burst) {}
 
 base::Result<std::optional<Row>> StoreGuard::Get(const std::string& key) {
@@ -100,7 +100,7 @@
   const std::lock_guard lock(m_mutex);
   const base::TimePoint now = m_clock.Now();
   TokenBucket& bucket =
-      kind == CallKind::kWrite ? m_write_tokens : m_read_tokens;
+      kind == CallKind::kWrite ? m_write_limiter : m_read_limiter;
   const base::Duration wait = bucket.Take(now);
   if (wait > base::Duration::zero()) {
     return {false, wait};
--- a/src/cassiastile/soak/fleet.cpp
+++ b/src/cassiastile/soak/fleet.cpp
@@ -257,7 +257,7 @@
 void Fleet::RequestWave() {
   host::WaveRequest wave;
   wave.wave = ++m_wave;
-  wave.due = std::chrono::seconds(20);
+  wave.time_limit = std::chrono::seconds(20);
   wave.max_down = kWaveMaxDown;
   for (const auto& machine : m_machines) {
     wave.machines.push_back(machine->name);
