--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -650,8 +650,8 @@
       std::uniform_int_distribution<int>(2000, 12000)(m_random));
 }
 
-void VirtualWorld::AddViolation(std::string what) {
-  m_checker.AddViolation(std::move(what));
+void VirtualWorld::Violate(std::string what) {
+  m_checker.Violate(std::move(what));
 }
 
 TransactionReply VirtualWorld::Apply(const RowTransaction& transaction) {
@@ -729,7 +729,7 @@
   worker.model->Advance(m_loop.Now());
   const jobs::JobSpec* spec = m_checker.SpecOf(order.task.job);
   if (spec == nullptr) {
-    AddViolation("a task of an unknown job was started: " + order.task.job);
+    Violate("a task of an unknown job was started: " + order.task.job);
     return jobs::StartResult::kRejected;
   }
   const auto result = worker.model->Start(order, spec->steps[order.task.step],
--- a/src/cassiastile/host/virtual_world_bench.hpp
+++ b/src/cassiastile/host/virtual_world_bench.hpp
@@ -164,7 +164,7 @@
   void AnswerPolls(Worker& worker);
   void RecordAnswer(const std::string& job, int status);
   std::chrono::milliseconds StoreClock() const;
-  void AddViolation(std::string what);
+  void Violate(std::string what);
   wire::HttpRequest MakeRequest(const std::string& method,
                                 const std::string& job) const;
   std::string MakeJobId();
