--- a/src/cassiastile/host/job_frontend.cpp
+++ b/src/cassiastile/host/job_frontend.cpp
@@ -108,8 +108,8 @@
   m_config = std::move(config);
 }
 
-void JobFrontend::Handle(const wire::HttpRequest& request,
-                         const wire::HttpResponder& respond) {
+void JobFrontend::Serve(const wire::HttpRequest& request,
+                        const wire::HttpResponder& respond) {
   if (m_config == nullptr) {
     respond(
         AnswerLater(kUnavailable, "no configuration yet", kRetryWithoutLeader));
@@ -222,7 +222,7 @@
   m_log.Write(event, {{"job", job},
                       {"verb", base::FindName(kJobVerbNames, verb)},
                       {"waited_ms", waited.count()},
-                      {"holder", leader_view.holder},
+                      {"holder", leader_view.host},
                       {"fence", leader_view.fence},
                       {"heard_ms_ago", leader_view.heard_ago.count()}});
 }
