--- a/include/cassiastile/control/authentication.hpp
+++ b/include/cassiastile/control/authentication.hpp
@@ -10,9 +10,9 @@
 namespace cassiastile::control {
 
 // Returns the name of the operator whose key a request carries. Fails with
-// kDenied if the key is missing or no operator's, and with kUnavailable if no
-// document is in force yet or this host's document may be stale, so that the
-// key could have been revoked.
+// kDenied if the key is missing or belongs to no operator, and with
+// kUnavailable if no document is in force yet or this host's document may be
+// stale, so that the key could have been revoked.
 base::Result<std::string> AuthenticateOperator(
     const config::FleetSource& source,
     const wire::HttpRequest& request,
--- a/include/cassiastile/control/config_answers.hpp
+++ b/include/cassiastile/control/config_answers.hpp
@@ -13,24 +13,25 @@
 // The responses of the routes under /v1/config, /v1/audit and /v1/members.
 
 // What a dry run of an edit would change.
-wire::HttpResponse MakeDryRunAnswer(const member::EditOutcome& outcome);
+wire::HttpResponse MakeDryRunResponse(const member::EditOutcome& outcome);
 // A committed edit, with the members not known to have it in force. Its state
 // is "pending" if these may still act on an older version.
-wire::HttpResponse MakeCommittedAnswer(const member::EditOutcome& outcome,
-                                       const member::EditQuorum::Wait& wait);
+wire::HttpResponse MakeCommittedResponse(const member::EditOutcome& outcome,
+                                         const member::EditQuorum::Wait& wait);
 // A refused edit: 409 for a conflict, 422 for an invalid document, 403 for
 // sections of other owners, or the response for another error.
-wire::HttpResponse MakeRefusedAnswer(const member::EditRefusal& refusal,
-                                     const std::string& decision_id);
-wire::HttpResponse MakeHistoryAnswer(
+wire::HttpResponse MakeRefusedResponse(const member::EditRefusal& refusal,
+                                       const std::string& decision_id);
+wire::HttpResponse MakeHistoryResponse(
     const std::vector<member::ConfigVersion>& versions);
-// The audit rows that match `since` (a sequence number or a time) and `section`
-// (any if empty), and whether the chain of all `rows` up to `head` is intact.
-wire::HttpResponse MakeAuditAnswer(const std::vector<member::AuditRow>& rows,
-                                   const member::AuditHead& head,
-                                   const std::string& since,
-                                   const std::string& section);
-wire::HttpResponse MakeMembersAnswer(const member::MemberStatus& status);
+// The audit rows from `since` on (a sequence number or an RFC 3339 time in UTC)
+// that concern `section`, and whether the chain of all `rows` up to `head` is
+// intact. An empty `since` or `section` matches every row.
+wire::HttpResponse MakeAuditResponse(const std::vector<member::AuditRow>& rows,
+                                     const member::AuditHead& head,
+                                     const std::string& since,
+                                     const std::string& section);
+wire::HttpResponse MakeMembersResponse(const member::MemberStatus& status);
 
 // Describes why an edit was refused, for the decision log.
 std::string DescribeRefusal(const member::EditRefusal& refusal);
--- a/include/cassiastile/control/config_service.hpp
+++ b/include/cassiastile/control/config_service.hpp
@@ -22,14 +22,15 @@
   const base::Clock& clock;
   base::DecisionSink* decisions = nullptr;  // May be null.
   // Returns what teams are running, for dry runs. May be empty.
-  std::function<std::vector<config::TeamUsage>()> team_use;
+  std::function<std::vector<config::TeamUsage>()> team_usage;
 };
 
 // Serves the configuration, audit and member routes to operators. Calls that
 // read or write the table run on the service's own threads.
 class ConfigService {
  public:
-  static std::unique_ptr<ConfigService> Create(ConfigServiceDependencies parts);
+  static std::unique_ptr<ConfigService> Create(
+      ConfigServiceDependencies dependencies);
   // Waits for the calls in progress.
   ~ConfigService();
   ConfigService(const ConfigService&) = delete;
--- a/include/cassiastile/control/control_host.hpp
+++ b/include/cassiastile/control/control_host.hpp
@@ -28,7 +28,7 @@
   // How long /readyz fails, while connections are still accepted, before the
   // HTTP server drains.
   std::chrono::milliseconds drain_notice{500};
-  // After this time calls that are still unanswered are cut off.
+  // Calls still unanswered this long after the notice are cut off.
   std::chrono::milliseconds drain_deadline{30000};
 };
 
@@ -45,15 +45,16 @@
   ControlHost(const ControlHost&) = delete;
   ControlHost& operator=(const ControlHost&) = delete;
 
-  // Answers the calls already accepted, then releases the shards and leaves the
-  // membership. Returns the number of calls cut off unanswered.
+  // Drains the HTTP server for at most the drain notice and the deadline, then
+  // releases the shards and leaves the membership. Returns the number of calls
+  // that were cut off unanswered.
   std::size_t Stop();
 
  private:
-  struct Parts;
-  explicit ControlHost(std::unique_ptr<Parts> parts);
+  struct Components;
+  explicit ControlHost(std::unique_ptr<Components> components);
 
-  std::unique_ptr<Parts> m_parts;
+  std::unique_ptr<Components> m_components;
 };
 
 }  // namespace cassiastile::control
--- a/include/cassiastile/control/pool_service.hpp
+++ b/include/cassiastile/control/pool_service.hpp
@@ -49,14 +49,14 @@
   fleet::ReconcilerOptions reconciler;
 };
 
-// Reconciles the pools whose shards this host owns, and accepts operators'
-// actions on hosts and waves on every control host. The rounds and the actions
-// share one thread.
+// Reconciles the pools whose shards this host owns, and runs operators' actions
+// on any host or wave, whichever control host owns its shard. The rounds and
+// the actions share one thread.
 class PoolService final : public fleet::PoolView {
  public:
   // Fails with kInvalid if the name is empty.
   static base::Result<std::unique_ptr<PoolService>> Create(
-      PoolServiceDependencies ports,
+      PoolServiceDependencies dependencies,
       PoolServiceOptions options);
   ~PoolService() override;
   PoolService(const PoolService&) = delete;
@@ -69,7 +69,8 @@
   // Starts the thread that runs the rounds.
   void Start();
 
-  // Stops after the current round. Queued actions are refused and not run.
+  // Stops after the current round. Queued actions are refused with kUnavailable
+  // and not run.
   void Stop();
 
   // Runs one round: the queued actions, then each owned pool. Called by the
@@ -89,11 +90,11 @@
   struct OperatorAction {
     fleet::AuditEntry entry;
     std::function<base::Result<void>(const fleet::AuditAddition&)> run;
-    std::function<nlohmann::json()> answer;
+    std::function<nlohmann::json()> make_body;
     wire::HttpResponder respond;
   };
 
-  PoolService(PoolServiceDependencies ports, PoolServiceOptions options);
+  PoolService(PoolServiceDependencies dependencies, PoolServiceOptions options);
 
   void HandleHostAction(const wire::HttpRequest& request,
                         const wire::HttpResponder& respond,
@@ -111,10 +112,10 @@
   void TickOwnedPools();
   bool IsStopping() const;
   void TickRemovedPools();
-  void Publish();
-  std::shared_ptr<const PoolSnapshot> Latest() const;
+  void PublishSnapshot();
+  std::shared_ptr<const PoolSnapshot> LatestSnapshot() const;
 
-  PoolServiceDependencies m_ports;
+  PoolServiceDependencies m_dependencies;
   PoolServiceOptions m_options;
   base::Log m_log{"pools"};
 
@@ -124,7 +125,7 @@
 
   mutable std::mutex m_mutex;  // Guards the next three.
   std::deque<OperatorAction> m_actions;
-  std::shared_ptr<const PoolSnapshot> m_published;
+  std::shared_ptr<const PoolSnapshot> m_snapshot;
   bool m_stopping = false;
   std::condition_variable m_wake;
   std::thread m_thread;
--- a/include/cassiastile/control/status_service.hpp
+++ b/include/cassiastile/control/status_service.hpp
@@ -17,13 +17,13 @@
 class StatusService {
  public:
   // Returns a component's status. Called on the HTTP server's threads.
-  using Part = std::function<nlohmann::json()>;
+  using StatusSource = std::function<nlohmann::json()>;
 
-  // `parts` maps field names to components. The clock and the source must
-  // outlive the service.
+  // `statuses` maps field names to components. The clock, the fleet source and
+  // the components must outlive the service.
   StatusService(const base::Clock& clock,
                 const config::FleetSource& source,
-                std::map<std::string, Part> parts);
+                std::map<std::string, StatusSource> statuses);
 
   // Adds the route. The service must outlive the router.
   void Register(wire::Router& router);
@@ -33,7 +33,7 @@
 
   const base::Clock& m_clock;
   const config::FleetSource& m_source;
-  std::map<std::string, Part> m_parts;
+  std::map<std::string, StatusSource> m_statuses;
 };
 
 }  // namespace cassiastile::control
--- a/include/cassiastile/control/task_event_batcher.hpp
+++ b/include/cassiastile/control/task_event_batcher.hpp
@@ -95,7 +95,7 @@
  public:
   TaskEventBatcher(std::string pool,
                    TaskEventBatcherOptions options,
-                   TaskServiceDependencies parts,
+                   TaskServiceDependencies dependencies,
                    base::Random random);
   ~TaskEventBatcher();
   TaskEventBatcher(const TaskEventBatcher&) = delete;
@@ -142,7 +142,7 @@
 
   const std::string m_pool;
   const TaskEventBatcherOptions m_options;
-  TaskServiceDependencies m_parts;
+  TaskServiceDependencies m_dependencies;
   // These are used only by the batcher's thread.
   work::TaskOwner m_owner;
   std::uint64_t m_fleet_version = 0;
--- a/include/cassiastile/control/task_service.hpp
+++ b/include/cassiastile/control/task_service.hpp
@@ -28,10 +28,11 @@
 // owner. Also tells waves which work runs on a host. Thread-safe.
 class TaskService final : public fleet::HostWorkSource {
  public:
-  // The objects in `parts` and the forwarder must outlive the service.
-  static std::unique_ptr<TaskService> Create(TaskServiceDependencies parts,
-                                             const ShardForwarder& forwarder,
-                                             TaskServiceOptions options);
+  // The objects in `dependencies` and the forwarder must outlive the service.
+  static std::unique_ptr<TaskService> Create(
+      TaskServiceDependencies dependencies,
+      const ShardForwarder& forwarder,
+      TaskServiceOptions options);
   ~TaskService() override;
 
   // Adds the routes under /v1/queues and /v1/workers. Call it before the server
@@ -51,7 +52,7 @@
   std::vector<TaskPoolStatus> Status() const;
 
  private:
-  TaskService(TaskServiceDependencies parts,
+  TaskService(TaskServiceDependencies dependencies,
               const ShardForwarder& forwarder,
               TaskServiceOptions options);
 
@@ -81,7 +82,7 @@
   std::shared_ptr<TaskEventBatcher> FindBatcher(const std::string& pool) const;
   void WatchPools();
 
-  TaskServiceDependencies m_parts;
+  TaskServiceDependencies m_dependencies;
   const ShardForwarder& m_forwarder;
   TaskServiceOptions m_options;
   base::Log m_log{"tasks"};
--- a/src/cassiastile/control/config_answers.cpp
+++ b/src/cassiastile/control/config_answers.cpp
@@ -23,8 +23,8 @@
 }
 
 // Makes a problem response with additional JSON members.
-wire::HttpResponse MakeProblemWith(const wire::Problem& problem,
-                                   const nlohmann::json& members) {
+wire::HttpResponse MakeExtendedProblem(const wire::Problem& problem,
+                                       const nlohmann::json& members) {
   wire::HttpResponse response = wire::MakeProblemResponse(problem);
   nlohmann::json body = nlohmann::json::parse(response.body);
   body.update(members);
@@ -32,7 +32,7 @@
   return response;
 }
 
-struct RefusedAnswer {
+struct RefusedResponse {
   std::string decision_id;
 
   wire::HttpResponse operator()(const member::EditConflict& conflict) const {
@@ -44,11 +44,11 @@
         wire::Execution::kNotRun,
         decision_id,
         {}};
-    return MakeProblemWith(
+    return MakeExtendedProblem(
         problem, {{"version", conflict.version}, {"diff", conflict.diff}});
   }
 
-  wire::HttpResponse operator()(const member::EditInvalid& faulty) const {
+  wire::HttpResponse operator()(const member::EditInvalid& invalid) const {
     const wire::Problem problem{422,
                                 "edit-faulty",
                                 "The edit breaks rules of the document.",
@@ -56,7 +56,8 @@
                                 wire::Execution::kNotRun,
                                 decision_id,
                                 {}};
-    return MakeProblemWith(problem, {{"findings", ToJson(faulty.findings)}});
+    return MakeExtendedProblem(problem,
+                               {{"findings", ToJson(invalid.findings)}});
   }
 
   wire::HttpResponse operator()(const member::EditDenied& denied) const {
@@ -67,7 +68,8 @@
                                 wire::Execution::kNotRun,
                                 decision_id,
                                 {}};
-    return MakeProblemWith(problem, {{"findings", ToJson(denied.findings)}});
+    return MakeExtendedProblem(problem,
+                               {{"findings", ToJson(denied.findings)}});
   }
 
   wire::HttpResponse operator()(const base::Error& error) const {
@@ -75,12 +77,12 @@
   }
 };
 
-struct RefusalText {
+struct RefusalDescription {
   std::string operator()(const member::EditConflict& conflict) const {
     return fmt::format("version {} was accepted first", conflict.version);
   }
-  std::string operator()(const member::EditInvalid& faulty) const {
-    return fmt::format("{} findings", faulty.findings.size());
+  std::string operator()(const member::EditInvalid& invalid) const {
+    return fmt::format("{} findings", invalid.findings.size());
   }
   std::string operator()(const member::EditDenied&) const {
     return "sections of other owners";
@@ -94,17 +96,21 @@
   return nlohmann::json::parse(member::ToText(row));
 }
 
-bool IsNumber(const std::string& text) {
+// Whether a text is a sequence number. Numbers of 19 digits or more don't
+// count, so that std::stoull can't overflow.
+bool IsSequenceNumber(const std::string& text) {
   return !text.empty() && text.size() < 19 &&
          text.find_first_not_of("0123456789") == std::string::npos;
 }
 
-// `since` is a sequence number or a time; empty values match all rows.
+// `since` is a sequence number or an RFC 3339 time in UTC; empty values match
+// all rows.
 bool Matches(const member::AuditRow& row,
              const std::string& since,
              const std::string& section) {
-  const bool in_time =
-      IsNumber(since) ? row.sequence >= std::stoull(since) : row.at >= since;
+  const bool in_time = IsSequenceNumber(since)
+                           ? row.sequence >= std::stoull(since)
+                           : row.at >= since;
   const bool in_section =
       section.empty() || std::find(row.sections.begin(), row.sections.end(),
                                    section) != row.sections.end();
@@ -113,7 +119,7 @@
 
 }  // namespace
 
-wire::HttpResponse MakeDryRunAnswer(const member::EditOutcome& outcome) {
+wire::HttpResponse MakeDryRunResponse(const member::EditOutcome& outcome) {
   return wire::MakeJsonResponse(200,
                                 {{"dry_run", true},
                                  {"sections", outcome.sections},
@@ -121,8 +127,8 @@
                                  {"diff", outcome.diff}});
 }
 
-wire::HttpResponse MakeCommittedAnswer(const member::EditOutcome& outcome,
-                                       const member::EditQuorum::Wait& wait) {
+wire::HttpResponse MakeCommittedResponse(const member::EditOutcome& outcome,
+                                         const member::EditQuorum::Wait& wait) {
   const bool accepted = wait.missing.empty() || wait.expired;
   return wire::MakeJsonResponse(200,
                                 {{"version", outcome.version},
@@ -132,16 +138,16 @@
                                  {"change", config::ToJson(outcome.change)}});
 }
 
-wire::HttpResponse MakeRefusedAnswer(const member::EditRefusal& refusal,
-                                     const std::string& decision_id) {
-  return std::visit(RefusedAnswer{decision_id}, refusal);
+wire::HttpResponse MakeRefusedResponse(const member::EditRefusal& refusal,
+                                       const std::string& decision_id) {
+  return std::visit(RefusedResponse{decision_id}, refusal);
 }
 
 std::string DescribeRefusal(const member::EditRefusal& refusal) {
-  return std::visit(RefusalText{}, refusal);
+  return std::visit(RefusalDescription{}, refusal);
 }
 
-wire::HttpResponse MakeHistoryAnswer(
+wire::HttpResponse MakeHistoryResponse(
     const std::vector<member::ConfigVersion>& versions) {
   nlohmann::json list = nlohmann::json::array();
   for (const member::ConfigVersion& version : versions) {
@@ -154,10 +160,10 @@
   return wire::MakeJsonResponse(200, {{"versions", list}});
 }
 
-wire::HttpResponse MakeAuditAnswer(const std::vector<member::AuditRow>& rows,
-                                   const member::AuditHead& head,
-                                   const std::string& since,
-                                   const std::string& section) {
+wire::HttpResponse MakeAuditResponse(const std::vector<member::AuditRow>& rows,
+                                     const member::AuditHead& head,
+                                     const std::string& since,
+                                     const std::string& section) {
   nlohmann::json list = nlohmann::json::array();
   for (const member::AuditRow& row : rows) {
     if (Matches(row, since, section)) {
@@ -171,7 +177,7 @@
       200, {{"rows", list}, {"chain", chain}, {"head", head.hash}});
 }
 
-wire::HttpResponse MakeMembersAnswer(const member::MemberStatus& status) {
+wire::HttpResponse MakeMembersResponse(const member::MemberStatus& status) {
   nlohmann::json list = nlohmann::json::array();
   for (const member::MemberView& view : status.members) {
     list.push_back({{"name", view.record.name},
--- a/src/cassiastile/control/config_service.cpp
+++ b/src/cassiastile/control/config_service.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::size_t kReadThreads = 2;
 constexpr std::size_t kEditThreads = 1;
-constexpr std::size_t kMaxWaiting = 64;
+constexpr std::size_t kMaxWaitingCalls = 64;
 
 wire::HttpResponse MakeOverloadedResponse() {
   return wire::MakeErrorResponse(
@@ -37,8 +37,8 @@
                                              : std::nullopt;
 }
 
-wire::HttpResponse MakeTextAnswer(std::uint64_t version,
-                                  const std::string& text) {
+wire::HttpResponse MakeTextResponse(std::uint64_t version,
+                                    const std::string& text) {
   return wire::MakeJsonResponse(200, {{"version", version},
                                       {"digest", base::Sha256Hex(text)},
                                       {"text", text}});
@@ -82,15 +82,15 @@
 
 class ConfigService::Impl {
  public:
-  explicit Impl(ConfigServiceDependencies parts)
-      : m_parts(std::move(parts)),
+  explicit Impl(ConfigServiceDependencies dependencies)
+      : m_dependencies(std::move(dependencies)),
         m_random(base::MakeRandom()),
-        m_reads(kReadThreads),
-        m_edits(kEditThreads) {}
+        m_read_threads(kReadThreads),
+        m_edit_threads(kEditThreads) {}
 
   ~Impl() {
-    m_reads.join();
-    m_edits.join();
+    m_read_threads.join();
+    m_edit_threads.join();
   }
 
   void Register(wire::Router& router) {
@@ -103,57 +103,58 @@
   }
 
  private:
-  using Answer = wire::HttpResponse (Impl::*)(const wire::HttpRequest&);
+  using Handler = wire::HttpResponse (Impl::*)(const wire::HttpRequest&);
 
   void AddReadRoute(wire::Router& router,
                     std::string_view path,
-                    Answer answer) {
+                    Handler handler) {
     router.Add(
         "GET", path,
-        [this, answer](wire::HttpRequest request, wire::HttpResponder respond) {
-          if (!m_parts.member.Current()) {
-            Post(m_reads, &Impl::AnswerWithoutDocument, std::move(request),
-                 std::move(respond));
+        [this, handler](wire::HttpRequest request,
+                        wire::HttpResponder respond) {
+          if (!m_dependencies.member.Current()) {
+            Post(m_read_threads, &Impl::AnswerWithoutDocument,
+                 std::move(request), std::move(respond));
             return;
           }
-          const auto reader = AuthenticateOperator(m_parts.member, request,
-                                                   m_parts.clock.Now());
+          const auto reader = AuthenticateOperator(
+              m_dependencies.member, request, m_dependencies.clock.Now());
           if (!reader) {
             respond(wire::MakeErrorResponse(reader.error()));
             return;
           }
-          Post(m_reads, answer, std::move(request), std::move(respond));
+          Post(m_read_threads, handler, std::move(request), std::move(respond));
         });
   }
 
   void AddEditRoute(wire::Router& router, std::string_view path) {
     router.Add("POST", path,
                [this](wire::HttpRequest request, wire::HttpResponder respond) {
-                 Post(m_edits, &Impl::AnswerEdit, std::move(request),
+                 Post(m_edit_threads, &Impl::AnswerEdit, std::move(request),
                       std::move(respond));
                });
   }
 
   void Post(asio::thread_pool& pool,
-            Answer answer,
+            Handler handler,
             wire::HttpRequest request,
             wire::HttpResponder respond) {
-    if (m_waiting.fetch_add(1) >= kMaxWaiting) {
-      --m_waiting;
+    if (m_waiting_calls.fetch_add(1) >= kMaxWaitingCalls) {
+      --m_waiting_calls;
       respond(MakeOverloadedResponse());
       return;
     }
-    asio::post(pool, [this, answer, request = std::move(request),
+    asio::post(pool, [this, handler, request = std::move(request),
                       respond = std::move(respond)] {
-      respond((this->*answer)(request));
-      --m_waiting;
+      respond((this->*handler)(request));
+      --m_waiting_calls;
     });
   }
 
   // Answers reads while no document is in force: operators can't be
   // authenticated then, and there is nothing to show.
   wire::HttpResponse AnswerWithoutDocument(const wire::HttpRequest&) {
-    const auto head = m_parts.store.Head();
+    const auto head = m_dependencies.store.Head();
     if (!head) {
       return wire::MakeErrorResponse(head.error());
     }
@@ -168,14 +169,14 @@
 
   wire::HttpResponse AnswerConfig(const wire::HttpRequest& request) {
     const auto asked = wire::FindQueryParameter(request, "version");
-    const auto head = m_parts.store.Head();
+    const auto head = m_dependencies.store.Head();
     if (!head) {
       // The table can't be read, but the version in force here is in memory.
-      const auto fleet = m_parts.member.Current();
-      const bool same =
+      const auto fleet = m_dependencies.member.Current();
+      const bool is_in_force =
           fleet && (!asked || ParseVersion(*asked) == fleet->version);
-      return same ? MakeTextAnswer(fleet->version, fleet->text)
-                  : wire::MakeErrorResponse(head.error());
+      return is_in_force ? MakeTextResponse(fleet->version, fleet->text)
+                         : wire::MakeErrorResponse(head.error());
     }
     const auto version =
         asked ? ParseVersion(*asked) : std::optional(head->head.version);
@@ -183,36 +184,36 @@
       return wire::MakeErrorResponse(
           {base::ErrorCode::kInvalid, "The version must be a number."});
     }
-    const auto text = m_parts.store.Text(*version);
+    const auto text = m_dependencies.store.Text(*version);
     if (!text) {
       return wire::MakeErrorResponse(text.error());
     }
-    return MakeTextAnswer(*version, *text);
+    return MakeTextResponse(*version, *text);
   }
 
   wire::HttpResponse AnswerHistory(const wire::HttpRequest&) {
-    const auto history = m_parts.store.History();
-    return history ? MakeHistoryAnswer(*history)
+    const auto history = m_dependencies.store.History();
+    return history ? MakeHistoryResponse(*history)
                    : wire::MakeErrorResponse(history.error());
   }
 
   wire::HttpResponse AnswerAudit(const wire::HttpRequest& request) {
     // The head is read first, so rows appended between the reads are removed.
-    const auto head = member::ReadAuditHead(m_parts.table);
-    auto rows = member::ReadAuditRows(m_parts.table, 0);
+    const auto head = member::ReadAuditHead(m_dependencies.table);
+    auto rows = member::ReadAuditRows(m_dependencies.table, 0);
     if (!head || !rows) {
       return wire::MakeErrorResponse(head ? rows.error() : head.error());
     }
     std::erase_if(*rows, [&](const member::AuditRow& row) {
       return row.sequence > head->sequence;
     });
-    return MakeAuditAnswer(
+    return MakeAuditResponse(
         *rows, *head, wire::FindQueryParameter(request, "since").value_or(""),
         wire::FindQueryParameter(request, "section").value_or(""));
   }
 
   wire::HttpResponse AnswerMembers(const wire::HttpRequest&) {
-    return MakeMembersAnswer(m_parts.member.Status());
+    return MakeMembersResponse(m_dependencies.member.Status());
   }
 
   wire::HttpResponse AnswerEdit(const wire::HttpRequest& request) {
@@ -220,26 +221,26 @@
     if (!edit) {
       return wire::MakeErrorResponse(edit.error());
     }
-    if (m_parts.team_use) {
-      edit->use = m_parts.team_use();
+    if (m_dependencies.team_usage) {
+      edit->use = m_dependencies.team_usage();
     }
-    const member::EditResult result = m_parts.store.Accept(*edit);
+    const member::EditResult result = m_dependencies.store.Accept(*edit);
     if (!result) {
-      return MakeRefusedAnswer(result.error(),
-                               Record(*edit, DescribeRefusal(result.error())));
+      return MakeRefusedResponse(
+          result.error(), Record(*edit, DescribeRefusal(result.error())));
     }
     if (edit->dry_run) {
-      return MakeDryRunAnswer(*result);
+      return MakeDryRunResponse(*result);
     }
     Record(*edit, fmt::format("accepted as version {}", result->version));
-    return MakeCommittedAnswer(
-        *result, m_parts.member.WaitUntilInForce(result->version));
+    return MakeCommittedResponse(
+        *result, m_dependencies.member.WaitUntilInForce(result->version));
   }
 
   // Records the decision on an edit. Returns its id, empty if there is no sink.
   std::string Record(const member::ConfigEdit& edit,
                      const std::string& outcome) {
-    if (m_parts.decisions == nullptr) {
+    if (m_dependencies.decisions == nullptr) {
       return "";
     }
     base::Decision decision;
@@ -256,24 +257,24 @@
     decision.outcome = accepted ? outcome : "not accepted";
     decision.reasons = {
         {"configuration edit", section, edit.base_version, outcome}};
-    decision.at = m_parts.clock.WallNow();
+    decision.at = m_dependencies.clock.WallNow();
     std::string id = decision.id;
-    m_parts.decisions->Record(std::move(decision));
+    m_dependencies.decisions->Record(std::move(decision));
     return id;
   }
 
-  ConfigServiceDependencies m_parts;
+  ConfigServiceDependencies m_dependencies;
   std::mutex m_mutex;
   base::Random m_random;
-  std::atomic<std::size_t> m_waiting{0};
-  asio::thread_pool m_reads;
-  asio::thread_pool m_edits;
+  std::atomic<std::size_t> m_waiting_calls{0};
+  asio::thread_pool m_read_threads;
+  asio::thread_pool m_edit_threads;
 };
 
 std::unique_ptr<ConfigService> ConfigService::Create(
-    ConfigServiceDependencies parts) {
+    ConfigServiceDependencies dependencies) {
   return std::unique_ptr<ConfigService>(
-      new ConfigService(std::make_unique<Impl>(std::move(parts))));
+      new ConfigService(std::make_unique<Impl>(std::move(dependencies))));
 }
 
 ConfigService::ConfigService(std::unique_ptr<Impl> impl)
--- a/src/cassiastile/control/config_service_test.cpp
+++ b/src/cassiastile/control/config_service_test.cpp
@@ -143,10 +143,11 @@
   EXPECT_EQ(m_status, 409);
   EXPECT_EQ(conflict.at("version"), 2);
   EXPECT_FALSE(conflict.at("diff").get<std::string>().empty());
-  const auto faulty = Post("/v1/config/sections/keys", kKeyDeskKey,
-                           {{"text", R"([ {"id": 3} ])"}, {"base_version", 2}});
+  const auto invalid =
+      Post("/v1/config/sections/keys", kKeyDeskKey,
+           {{"text", R"([ {"id": 3} ])"}, {"base_version", 2}});
   EXPECT_EQ(m_status, 422);
-  EXPECT_FALSE(faulty.at("findings").empty());
+  EXPECT_FALSE(invalid.at("findings").empty());
   Post("/v1/config", kBoardKey, {{"text", 1}});
   EXPECT_EQ(m_status, 400);
   Post("/v1/config/sections/nothing", kBoardKey, keys);
--- a/src/cassiastile/control/control_host.cpp
+++ b/src/cassiastile/control/control_host.cpp
@@ -77,13 +77,13 @@
 }
 
 json MembersToJson(const member::Member& member) {
-  return json::parse(MakeMembersAnswer(member.Status()).body);
+  return json::parse(MakeMembersResponse(member.Status()).body);
 }
 
 }  // namespace
 
-struct ControlHost::Parts {
-  Parts(ControlHostOptions given, std::uint64_t first_seed)
+struct ControlHost::Components {
+  Components(ControlHostOptions given, std::uint64_t first_seed)
       : options(std::move(given)),
         seed(first_seed),
         access(clock, options.platform),
@@ -94,7 +94,7 @@
   void CreateServices();
   base::Result<void> Serve();
   wire::Router MakeRouter();
-  std::map<std::string, StatusService::Part> StatusParts();
+  std::map<std::string, StatusService::StatusSource> StatusSources();
 
   ControlHostOptions options;
   std::uint64_t seed;
@@ -118,7 +118,7 @@
   std::unique_ptr<wire::HttpServer> server;
 };
 
-base::Result<void> ControlHost::Parts::Create() {
+base::Result<void> ControlHost::Components::Create() {
   auto joined = member::Member::Create(options.member, access.Table(), clock);
   if (!joined) {
     return tl::unexpected(joined.error());
@@ -155,7 +155,7 @@
   return {};
 }
 
-void ControlHost::Parts::CreateServices() {
+void ControlHost::Components::CreateServices() {
   TaskServiceOptions task_options;
   task_options.seed = seed + 3;
   tasks = TaskService::Create(
@@ -168,10 +168,11 @@
       {*config_store, *member, access.Table(), clock, &access.Decisions(), {}});
   decisions = std::make_unique<DecisionService>(
       clock, *member, access.Decisions(), access.Objects());
-  status = std::make_unique<StatusService>(clock, *member, StatusParts());
+  status = std::make_unique<StatusService>(clock, *member, StatusSources());
 }
 
-std::map<std::string, StatusService::Part> ControlHost::Parts::StatusParts() {
+std::map<std::string, StatusService::StatusSource>
+ControlHost::Components::StatusSources() {
   return {
       {"configuration", [this] { return MembersToJson(*member); }},
       {"pools", [this] { return pools->StatusJson(); }},
@@ -180,7 +181,7 @@
   };
 }
 
-wire::Router ControlHost::Parts::MakeRouter() {
+wire::Router ControlHost::Components::MakeRouter() {
   wire::Router router;
   daemon::AddHealthRoutes(
       router, [this] { return !draining.load() && member->Current(); }, metrics,
@@ -193,7 +194,7 @@
   return router;
 }
 
-base::Result<void> ControlHost::Parts::Serve() {
+base::Result<void> ControlHost::Components::Serve() {
   wire::HttpServerOptions http;
   http.address = options.listen.ip;
   http.port = options.listen.port;
@@ -206,44 +207,44 @@
   return {};
 }
 
-ControlHost::ControlHost(std::unique_ptr<Parts> parts)
-    : m_parts(std::move(parts)) {}
+ControlHost::ControlHost(std::unique_ptr<Components> components)
+    : m_components(std::move(components)) {}
 
 ControlHost::~ControlHost() = default;
 
 base::Result<std::unique_ptr<ControlHost>> ControlHost::Start(
     ControlHostOptions options) {
-  auto parts =
-      std::make_unique<Parts>(std::move(options), base::MakeRandom()());
-  const base::Result<void> created = parts->Create();
+  auto components =
+      std::make_unique<Components>(std::move(options), base::MakeRandom()());
+  const base::Result<void> created = components->Create();
   if (!created) {
     return tl::unexpected(created.error());
   }
-  const base::Result<void> serving = parts->Serve();
+  const base::Result<void> serving = components->Serve();
   if (!serving) {
     return tl::unexpected(serving.error());
   }
-  parts->member->Start();
-  parts->shards->Start();
-  parts->pools->Start();
-  parts->tasks->Start();
-  parts->log.Info("The control process " + parts->member->OwnerId() +
-                  " listens on " +
-                  config::FormatAddress(parts->options.listen) + ".");
-  return std::unique_ptr<ControlHost>(new ControlHost(std::move(parts)));
+  components->member->Start();
+  components->shards->Start();
+  components->pools->Start();
+  components->tasks->Start();
+  components->log.Info("The control process " + components->member->OwnerId() +
+                       " listens on " +
+                       config::FormatAddress(components->options.listen) + ".");
+  return std::unique_ptr<ControlHost>(new ControlHost(std::move(components)));
 }
 
 std::size_t ControlHost::Stop() {
-  Parts& parts = *m_parts;
-  parts.draining.store(true);
-  const std::size_t cut_off_calls = parts.server->Drain(
-      parts.options.drain_notice, parts.options.drain_deadline);
-  parts.tasks->Stop();
-  parts.pools->Stop();
-  parts.shards->Stop();
-  parts.member->Stop();
-  parts.log.Info("The control process has stopped; " +
-                 std::to_string(cut_off_calls) + " calls were cut off.");
+  Components& components = *m_components;
+  components.draining.store(true);
+  const std::size_t cut_off_calls = components.server->Drain(
+      components.options.drain_notice, components.options.drain_deadline);
+  components.tasks->Stop();
+  components.pools->Stop();
+  components.shards->Stop();
+  components.member->Stop();
+  components.log.Info("The control process has stopped; " +
+                      std::to_string(cut_off_calls) + " calls were cut off.");
   return cut_off_calls;
 }
 
--- a/src/cassiastile/control/pool_operator_actions.cpp
+++ b/src/cassiastile/control/pool_operator_actions.cpp
@@ -33,12 +33,12 @@
 base::Result<std::string> PoolService::AuthorizeSectionOwner(
     const wire::HttpRequest& request,
     config::SectionName section) const {
-  base::Result<std::string> name =
-      AuthenticateOperator(m_ports.source, request, m_ports.clock.Now());
+  base::Result<std::string> name = AuthenticateOperator(
+      m_dependencies.source, request, m_dependencies.clock.Now());
   if (!name) {
     return name;
   }
-  const auto document = m_ports.source.Current();
+  const auto document = m_dependencies.source.Current();
   const auto& ownership = document->fleet.ownership;
   const bool owns =
       std::any_of(ownership.begin(), ownership.end(), [&](const auto& entry) {
@@ -64,13 +64,13 @@
   const std::string& actor = *name;
   const bool drain = action == "drain";
   OperatorAction next;
-  next.entry = {"host " + host + " " + action, actor, m_ports.clock.WallNow(),
-                ""};
+  next.entry = {"host " + host + " " + action, actor,
+                m_dependencies.clock.WallNow(), ""};
   next.run = [this, host, actor, drain](const fleet::AuditAddition& audit) {
     return drain ? m_reconciler.DrainHost(host, actor, audit)
                  : m_reconciler.UndrainHost(host, actor, audit);
   };
-  next.answer = [this, host]() -> nlohmann::json {
+  next.make_body = [this, host]() -> nlohmann::json {
     const fleet::HostRecord& record =
         m_reconciler.State().hosts.at(host).record;
     return {{"host", host},
@@ -94,20 +94,20 @@
   if (!action) {
     respond(wire::MakeErrorResponse(
         {base::ErrorCode::kNotFound,
-         "A wave takes start, pause, resume and abort."}));
+         "The actions on a wave are start, pause, resume and abort."}));
     return;
   }
   const std::string& actor = *name;
   OperatorAction next;
   next.entry = {"wave " + wave + " " + std::string(fleet::NameOf(*action)),
-                actor, m_ports.clock.WallNow(), ""};
+                actor, m_dependencies.clock.WallNow(), ""};
   next.run = [this, wave, actor, action](const fleet::AuditAddition& audit) {
     return m_reconciler.ApplyWaveAction(wave, actor, *action, audit);
   };
-  next.answer = [this, wave] {
+  next.make_body = [this, wave] {
     PoolSnapshot snapshot;
     snapshot.document = m_document;
-    snapshot.wall_time = m_ports.clock.WallNow();
+    snapshot.wall_time = m_dependencies.clock.WallNow();
     snapshot.state = m_reconciler.State();
     const config::Wave* declared = config::FindWave(m_document->fleet, wave);
     snapshot.forecasts[wave] = m_reconciler.Forecast(*declared);
@@ -119,13 +119,13 @@
 
 void PoolService::AnswerWave(const wire::HttpRequest& request,
                              const wire::HttpResponder& respond) const {
-  const auto name =
-      AuthenticateOperator(m_ports.source, request, m_ports.clock.Now());
+  const auto name = AuthenticateOperator(m_dependencies.source, request,
+                                         m_dependencies.clock.Now());
   if (!name) {
     respond(wire::MakeErrorResponse(name.error()));
     return;
   }
-  const auto latest = Latest();
+  const auto latest = LatestSnapshot();
   const config::Wave* wave =
       latest == nullptr ? nullptr
                         : config::FindWave(latest->document->fleet,
--- a/src/cassiastile/control/pool_service.cpp
+++ b/src/cassiastile/control/pool_service.cpp
@@ -16,30 +16,31 @@
 // Attempts at an action whose rows other writers change at the same time.
 constexpr int kMaxActionAttempts = 4;
 
-fleet::ReconcilerPorts MakePorts(const PoolServiceDependencies& ports) {
-  return {ports.table,  ports.machines, ports.work,
-          ports.demand, ports.clock,    ports.decisions};
+fleet::ReconcilerPorts MakeReconcilerDependencies(
+    const PoolServiceDependencies& dependencies) {
+  return {dependencies.table,  dependencies.machines, dependencies.work,
+          dependencies.demand, dependencies.clock,    dependencies.decisions};
 }
 
 }  // namespace
 
 base::Result<std::unique_ptr<PoolService>> PoolService::Create(
-    PoolServiceDependencies ports,
+    PoolServiceDependencies dependencies,
     PoolServiceOptions options) {
   if (options.name.empty()) {
     return base::Fail(base::ErrorCode::kInvalid,
                       "The process name of the pool service is empty.");
   }
   return std::unique_ptr<PoolService>(
-      new PoolService(ports, std::move(options)));
+      new PoolService(dependencies, std::move(options)));
 }
 
-PoolService::PoolService(PoolServiceDependencies ports,
+PoolService::PoolService(PoolServiceDependencies dependencies,
                          PoolServiceOptions options)
-    : m_ports(ports),
+    : m_dependencies(dependencies),
       m_options(std::move(options)),
       m_reconciler(m_options.name,
-                   MakePorts(ports),
+                   MakeReconcilerDependencies(dependencies),
                    m_options.seed,
                    m_options.reconciler) {}
 
@@ -79,7 +80,7 @@
 
 void PoolService::RunOnce() {
   const std::lock_guard round_lock(m_round_mutex);
-  m_document = m_ports.source.Current();
+  m_document = m_dependencies.source.Current();
   if (m_document == nullptr) {
     return;
   }
@@ -91,7 +92,7 @@
   }
   TickOwnedPools();
   TickRemovedPools();
-  Publish();
+  PublishSnapshot();
 }
 
 bool PoolService::IsStopping() const {
@@ -104,8 +105,8 @@
     if (IsStopping()) {
       return;
     }
-    const auto shard_lease =
-        m_ports.owner.CurrentLease(pool.name, m_ports.clock.Now());
+    const auto shard_lease = m_dependencies.owner.CurrentLease(
+        pool.name, m_dependencies.clock.Now());
     if (shard_lease) {
       m_reconciler.Tick(pool.name, shard_lease->fence);
     }
@@ -117,44 +118,44 @@
 void PoolService::TickRemovedPools() {
   const config::Fleet& fleet = m_document->fleet;
   if (fleet.pools.empty() ||
-      !m_ports.owner.CurrentLease(fleet.pools.front().name,
-                                  m_ports.clock.Now())) {
+      !m_dependencies.owner.CurrentLease(fleet.pools.front().name,
+                                         m_dependencies.clock.Now())) {
     return;
   }
-  std::vector<std::string> orphans;
+  std::vector<std::string> removed;
   for (const auto& [pool, stored] : m_reconciler.State().pools) {
     if (config::FindPool(fleet, pool) == nullptr) {
-      orphans.push_back(pool);
+      removed.push_back(pool);
     }
   }
-  for (const std::string& pool : orphans) {
+  for (const std::string& pool : removed) {
     m_reconciler.Tick(pool, std::nullopt);
   }
 }
 
-void PoolService::Publish() {
-  auto published = std::make_shared<PoolSnapshot>();
-  published->document = m_document;
-  published->wall_time = m_ports.clock.WallNow();
-  published->state = m_reconciler.State();
-  published->drain_times = m_reconciler.ExpectedDrainTimes();
-  published->overdue = m_reconciler.OverdueDrains();
-  published->limits = m_reconciler.LimitingRules();
+void PoolService::PublishSnapshot() {
+  auto snapshot = std::make_shared<PoolSnapshot>();
+  snapshot->document = m_document;
+  snapshot->wall_time = m_dependencies.clock.WallNow();
+  snapshot->state = m_reconciler.State();
+  snapshot->drain_times = m_reconciler.ExpectedDrainTimes();
+  snapshot->overdue = m_reconciler.OverdueDrains();
+  snapshot->limits = m_reconciler.LimitingRules();
   for (const config::Wave& wave : m_document->fleet.waves) {
-    published->forecasts[wave.name] = m_reconciler.Forecast(wave);
+    snapshot->forecasts[wave.name] = m_reconciler.Forecast(wave);
   }
-  published->views = MakeHostViews(*published);
+  snapshot->views = MakeHostViews(*snapshot);
   const std::lock_guard lock(m_mutex);
-  m_published = std::move(published);
+  m_snapshot = std::move(snapshot);
 }
 
-std::shared_ptr<const PoolSnapshot> PoolService::Latest() const {
+std::shared_ptr<const PoolSnapshot> PoolService::LatestSnapshot() const {
   const std::lock_guard lock(m_mutex);
-  return m_published;
+  return m_snapshot;
 }
 
 std::vector<fleet::HostView> PoolService::Hosts(const std::string& pool) const {
-  const auto latest = Latest();
+  const auto latest = LatestSnapshot();
   if (latest == nullptr) {
     return {};
   }
@@ -166,7 +167,7 @@
 nlohmann::json PoolService::StatusJson() const {
   nlohmann::json body{{"pools", nlohmann::json::array()},
                       {"waves", nlohmann::json::array()}};
-  const auto latest = Latest();
+  const auto latest = LatestSnapshot();
   if (latest == nullptr) {
     return body;
   }
@@ -190,7 +191,7 @@
     }
     if (!m_stopping) {
       refusal = {base::ErrorCode::kOverloaded,
-                 "Too many acts wait on this host."};
+                 "Too many operator actions wait on this host."};
     }
   }
   action.respond(wire::MakeErrorResponse(refusal));
@@ -208,7 +209,7 @@
       m_log.Info(fmt::format("Operator action \"{}\" done by {}.",
                              action.entry.what, action.entry.who));
       constexpr int kOk = 200;
-      action.respond(wire::MakeJsonResponse(kOk, action.answer()));
+      action.respond(wire::MakeJsonResponse(kOk, action.make_body()));
     } else {
       action.respond(wire::MakeErrorResponse(done.error()));
     }
@@ -222,7 +223,7 @@
     if (!done) {
       return done;
     }
-    const auto audit = m_ports.audit.Append(action.entry);
+    const auto audit = m_dependencies.audit.Append(action.entry);
     if (!audit) {
       return tl::unexpected(audit.error());
     }
--- a/src/cassiastile/control/pool_service_test.cpp
+++ b/src/cassiastile/control/pool_service_test.cpp
@@ -107,7 +107,7 @@
   std::unique_ptr<PoolService> m_service;
 };
 
-TEST_F(PoolServiceTest, NeedsAName) {
+TEST_F(PoolServiceTest, CreateFailsWithoutAName) {
   EXPECT_FALSE(PoolService::Create(
       {m_world.clock, m_source, m_owner, m_world.table, m_world.machines,
        m_world.work, nullptr, m_audit, m_world.sink},
--- a/src/cassiastile/control/shard_forwarder.cpp
+++ b/src/cassiastile/control/shard_forwarder.cpp
@@ -20,7 +20,8 @@
   return wire::MakeProblemResponse(problem);
 }
 
-wire::HttpResponse MakeLostResponse(const wire::HttpFailure& failure) {
+wire::HttpResponse MakeForwardFailureResponse(
+    const wire::HttpFailure& failure) {
   const bool not_sent = failure.state == wire::SendState::kNotSent;
   wire::Problem problem;
   problem.status = not_sent ? 503 : 502;
@@ -74,8 +75,9 @@
   }
   m_client.Start(MakeForwardCall(address, std::move(request)),
                  [respond](wire::HttpOutcome outcome) {
-                   respond(outcome ? std::move(*outcome)
-                                   : MakeLostResponse(outcome.error()));
+                   respond(outcome
+                               ? std::move(*outcome)
+                               : MakeForwardFailureResponse(outcome.error()));
                  });
 }
 
--- a/src/cassiastile/control/status_service.cpp
+++ b/src/cassiastile/control/status_service.cpp
@@ -11,8 +11,8 @@
 
 StatusService::StatusService(const base::Clock& clock,
                              const config::FleetSource& source,
-                             std::map<std::string, Part> parts)
-    : m_clock(clock), m_source(source), m_parts(std::move(parts)) {}
+                             std::map<std::string, StatusSource> statuses)
+    : m_clock(clock), m_source(source), m_statuses(std::move(statuses)) {}
 
 void StatusService::Register(wire::Router& router) {
   router.Add(
@@ -29,8 +29,8 @@
     return wire::MakeErrorResponse(reader.error());
   }
   nlohmann::json status = nlohmann::json::object();
-  for (const auto& [name, part] : m_parts) {
-    status[name] = part();
+  for (const auto& [name, read_status] : m_statuses) {
+    status[name] = read_status();
   }
   return wire::MakeJsonResponse(kOk, status);
 }
--- a/src/cassiastile/control/task_event_batcher.cpp
+++ b/src/cassiastile/control/task_event_batcher.cpp
@@ -8,7 +8,7 @@
 
 constexpr base::Duration kViewsInterval = std::chrono::milliseconds(500);
 constexpr base::Duration kStatusInterval = std::chrono::seconds(1);
-constexpr std::size_t kMaxListed = 100;
+constexpr std::size_t kMaxListedInDoubt = 100;
 
 bool IsCancel(const std::optional<work::TaskEvent>& event) {
   return event && std::holds_alternative<work::CancelEvent>(*event);
@@ -18,12 +18,16 @@
 
 TaskEventBatcher::TaskEventBatcher(std::string pool,
                                    TaskEventBatcherOptions options,
-                                   TaskServiceDependencies parts,
+                                   TaskServiceDependencies dependencies,
                                    base::Random random)
     : m_pool(std::move(pool)),
       m_options(options),
-      m_parts(parts),
-      m_owner(m_pool, options.owner, parts.table, parts.decisions, random) {
+      m_dependencies(dependencies),
+      m_owner(m_pool,
+              options.owner,
+              dependencies.table,
+              dependencies.decisions,
+              random) {
   m_status.pool = m_pool;
 }
 
@@ -97,7 +101,7 @@
   std::unique_lock lock(m_mutex);
   m_changed.wait_for(lock, m_options.tick,
                      [this] { return m_stopping || !m_items.empty(); });
-  const base::Duration delay = m_next_batch_at - m_parts.clock.Now();
+  const base::Duration delay = m_next_batch_at - m_dependencies.clock.Now();
   if (!m_stopping && delay > base::Duration{}) {
     m_changed.wait_for(lock, delay, [this] { return m_stopping; });
   }
@@ -118,10 +122,10 @@
 }
 
 void TaskEventBatcher::HandleItems(std::vector<Item> items) {
-  const base::TimePoint now = m_parts.clock.Now();
+  const base::TimePoint now = m_dependencies.clock.Now();
   m_next_batch_at = now + m_options.batch_interval;
   RefreshViews(now);
-  const auto shard_lease = m_parts.owner.CurrentLease(m_pool, now);
+  const auto shard_lease = m_dependencies.owner.CurrentLease(m_pool, now);
   if (!shard_lease) {
     Refuse(items, BatcherRefusal::kNotOwner);
     RefreshStatus(now, false);
@@ -135,7 +139,7 @@
   }
   const std::uint64_t written = m_owner.BatchesWritten();
   std::vector<work::TaskResult> results =
-      m_owner.Handle(events, {now, m_parts.clock.WallNow()},
+      m_owner.Handle(events, {now, m_dependencies.clock.WallNow()},
                      {shard_lease->epoch, shard_lease->fence});
   if (m_owner.BatchesWritten() != written) {
     m_next_batch_at = now + m_options.write_interval;
@@ -154,7 +158,7 @@
 }
 
 void TaskEventBatcher::RefreshViews(base::TimePoint now) {
-  const auto accepted = m_parts.fleet.Current();
+  const auto accepted = m_dependencies.fleet.Current();
   if (accepted && accepted->version != m_fleet_version) {
     m_fleet_version = accepted->version;
     m_owner.SetFleet(*accepted);
@@ -162,7 +166,7 @@
   if (m_views_refreshed_at == base::TimePoint{} ||
       now - m_views_refreshed_at >= kViewsInterval) {
     m_views_refreshed_at = now;
-    m_owner.SetHosts(m_parts.pools.Hosts(m_pool));
+    m_owner.SetHosts(m_dependencies.pools.Hosts(m_pool));
   }
   std::set<std::string> hosts_to_evacuate;
   {
@@ -201,11 +205,11 @@
     status.runs += tasks.in_use;
   }
   for (const std::string& key : shard.Tasks().InDoubt()) {
-    if (status.in_doubt.size() < kMaxListed) {
+    if (status.in_doubt.size() < kMaxListedInDoubt) {
       status.in_doubt.push_back({key, shard.Explain(key)});
     }
   }
-  for (const fleet::HostView& view : m_parts.pools.Hosts(m_pool)) {
+  for (const fleet::HostView& view : m_dependencies.pools.Hosts(m_pool)) {
     const std::string& name = view.host.name;
     status.hosts[name] = shard.WorkOn(name, now);
     if (shard.Health().HealthOf(name, now) !=
--- a/src/cassiastile/control/task_http.cpp
+++ b/src/cassiastile/control/task_http.cpp
@@ -19,10 +19,10 @@
 constexpr int kUnavailable = 503;
 constexpr std::chrono::milliseconds kRetryAfter{1000};
 
-wire::HttpResponse Refuse(int status,
-                          std::string type,
-                          std::string title,
-                          const std::string& decision_id = "") {
+wire::HttpResponse MakeRefusal(int status,
+                               std::string type,
+                               std::string title,
+                               const std::string& decision_id = "") {
   wire::Problem problem;
   problem.status = status;
   problem.type = std::move(type);
@@ -51,13 +51,13 @@
     case BatcherRefusal::kNone:
       return std::nullopt;
     case BatcherRefusal::kNotOwner:
-      return Refuse(kUnavailable, "no-owner",
-                    "This host no longer owns the pool's shard.");
+      return MakeRefusal(kUnavailable, "no-owner",
+                         "This host no longer owns the pool's shard.");
     case BatcherRefusal::kFull:
-      return Refuse(kUnavailable, "queue-full",
-                    "Too many calls wait for the pool's shard.");
+      return MakeRefusal(kUnavailable, "queue-full",
+                         "Too many calls wait for the pool's shard.");
     case BatcherRefusal::kStopping:
-      return Refuse(kUnavailable, "stopping", "This host is stopping.");
+      return MakeRefusal(kUnavailable, "stopping", "This host is stopping.");
   }
   return std::nullopt;
 }
@@ -71,8 +71,8 @@
     case work::Effect::kCommitted:
       return std::nullopt;
     case work::Effect::kNotRun:
-      return Refuse(kUnavailable, "store-unavailable",
-                    "The table can't be written; nothing took effect.");
+      return MakeRefusal(kUnavailable, "store-unavailable",
+                         "The table can't be written; nothing took effect.");
     case work::Effect::kUnknown:
       return MakeUnknownResponse();
   }
@@ -86,19 +86,19 @@
     case work::Verdict::kSame:
       return std::nullopt;
     case work::Verdict::kConflict:
-      return Refuse(kConflict, "task-conflict",
-                    "Refused: " + reply.reason + ".", reply.decision_id);
+      return MakeRefusal(kConflict, "task-conflict",
+                         "Refused: " + reply.reason + ".", reply.decision_id);
     case work::Verdict::kRefused:
-      return Refuse(kUnprocessable, "task-can-never-run",
-                    "Refused: " + reply.reason + ".", reply.decision_id);
+      return MakeRefusal(kUnprocessable, "task-can-never-run",
+                         "Refused: " + reply.reason + ".", reply.decision_id);
     case work::Verdict::kFull:
-      return Refuse(kUnavailable, "queue-full",
-                    "Refused: " + reply.reason + ".", reply.decision_id);
+      return MakeRefusal(kUnavailable, "queue-full",
+                         "Refused: " + reply.reason + ".", reply.decision_id);
     case work::Verdict::kNotFound:
-      return Refuse(kNotFound, "no-such-task", "There is no such task.");
+      return MakeRefusal(kNotFound, "no-such-task", "There is no such task.");
     case work::Verdict::kStale:
-      return Refuse(kConflict, "stale-poll",
-                    "The poll was not taken: " + reply.reason + ".");
+      return MakeRefusal(kConflict, "stale-poll",
+                         "The poll was not taken: " + reply.reason + ".");
   }
   return std::nullopt;
 }
@@ -151,7 +151,7 @@
     return *refused;
   }
   if (!result.task) {
-    return Refuse(kNotFound, "no-such-task", "There is no such task.");
+    return MakeRefusal(kNotFound, "no-such-task", "There is no such task.");
   }
   return wire::MakeJsonResponse(kOk,
                                 DescribeTask(*result.task, result.explanation));
@@ -163,8 +163,8 @@
   }
   if (!result.result.answer) {
     return MakeVerdictRefusal(result.result.reply)
-        .value_or(Refuse(kUnavailable, "no-owner",
-                         "The pool's shard can't be read yet."));
+        .value_or(MakeRefusal(kUnavailable, "no-owner",
+                              "The pool's shard can't be read yet."));
   }
   wire::HttpResponse response;
   response.headers.emplace_back("Content-Type", "application/json");
--- a/src/cassiastile/control/task_service.cpp
+++ b/src/cassiastile/control/task_service.cpp
@@ -19,14 +19,14 @@
 // host counts as running one task without a checkpoint.
 constexpr base::Duration kUnknownRemaining = std::chrono::hours(1);
 
-std::string Parameter(const wire::HttpRequest& request,
-                      const std::string& name) {
+std::string PathParameter(const wire::HttpRequest& request,
+                          const std::string& name) {
   const auto found = request.path_parameters.find(name);
   return found == request.path_parameters.end() ? "" : found->second;
 }
 
 std::string TaskKeyOf(const wire::HttpRequest& request) {
-  return Parameter(request, "queue") + "/" + Parameter(request, "id");
+  return PathParameter(request, "queue") + "/" + PathParameter(request, "id");
 }
 
 void RespondWithError(const wire::HttpResponder& respond,
@@ -61,17 +61,17 @@
 }  // namespace
 
 std::unique_ptr<TaskService> TaskService::Create(
-    TaskServiceDependencies parts,
+    TaskServiceDependencies dependencies,
     const ShardForwarder& forwarder,
     TaskServiceOptions options) {
   return std::unique_ptr<TaskService>(
-      new TaskService(parts, forwarder, options));
+      new TaskService(dependencies, forwarder, options));
 }
 
-TaskService::TaskService(TaskServiceDependencies parts,
+TaskService::TaskService(TaskServiceDependencies dependencies,
                          const ShardForwarder& forwarder,
                          TaskServiceOptions options)
-    : m_parts(parts),
+    : m_dependencies(dependencies),
       m_forwarder(forwarder),
       m_options(options),
       m_random(options.seed) {}
@@ -215,8 +215,8 @@
 
 void TaskService::HandleResolve(wire::HttpRequest request,
                                 wire::HttpResponder respond) {
-  const auto who =
-      AuthenticateOperator(m_parts.fleet, request, m_parts.clock.Now());
+  const auto who = AuthenticateOperator(m_dependencies.fleet, request,
+                                        m_dependencies.clock.Now());
   if (!who) {
     RespondWithError(respond, who.error());
     return;
@@ -226,8 +226,8 @@
     RespondWithError(respond, outcome.error());
     return;
   }
-  const std::string name = Parameter(request, "queue");
-  const auto accepted = m_parts.fleet.Current();
+  const std::string name = PathParameter(request, "queue");
+  const auto accepted = m_dependencies.fleet.Current();
   const config::Queue* queue = config::FindQueue(accepted->fleet, name);
   if (queue == nullptr) {
     RespondWithError(respond,
@@ -252,7 +252,7 @@
     RespondWithError(respond, poll.error());
     return;
   }
-  poll->worker = Parameter(request, "worker");
+  poll->worker = PathParameter(request, "worker");
   const std::string home = PoolOfHost(poll->worker);
   const std::string pool = poll->pool.empty() ? home : poll->pool;
   if (pool.empty()) {
@@ -285,12 +285,12 @@
 
 base::Result<config::Queue> TaskService::AuthorizeCaller(
     const wire::HttpRequest& request) const {
-  const auto accepted = m_parts.fleet.Current();
+  const auto accepted = m_dependencies.fleet.Current();
   if (!accepted) {
     return base::Fail(ErrorCode::kUnavailable,
                       "No fleet document is in force on this host.");
   }
-  const std::string name = Parameter(request, "queue");
+  const std::string name = PathParameter(request, "queue");
   const config::Queue* queue = config::FindQueue(accepted->fleet, name);
   if (queue == nullptr) {
     return base::Fail(ErrorCode::kNotFound, "There is no queue " + name + ".");
@@ -298,8 +298,8 @@
   if (queue->team.empty()) {
     return *queue;
   }
-  const auto team =
-      AuthenticateTeam(m_parts.fleet, request, m_parts.clock.Now());
+  const auto team = AuthenticateTeam(m_dependencies.fleet, request,
+                                     m_dependencies.clock.Now());
   if (!team) {
     return tl::unexpected(team.error());
   }
@@ -317,14 +317,14 @@
 }
 
 void TaskService::RefreshHostPools() {
-  const auto accepted = m_parts.fleet.Current();
+  const auto accepted = m_dependencies.fleet.Current();
   if (!accepted) {
     return;
   }
   std::map<std::string, std::string> host_pools;
   for (const config::Pool& pool : accepted->fleet.pools) {
     BatcherOf(pool.name);
-    for (const fleet::HostView& view : m_parts.pools.Hosts(pool.name)) {
+    for (const fleet::HostView& view : m_dependencies.pools.Hosts(pool.name)) {
       host_pools[view.host.name] = pool.name;
     }
   }
@@ -338,7 +338,7 @@
   auto& batcher = m_batchers[pool];
   if (batcher == nullptr) {
     batcher = std::make_shared<TaskEventBatcher>(
-        pool, m_options.batcher, m_parts, base::Random(m_random()));
+        pool, m_options.batcher, m_dependencies, base::Random(m_random()));
     if (m_stopping) {
       batcher->Stop();
     } else {
--- a/src/cassiastile/control/task_service_test.cpp
+++ b/src/cassiastile/control/task_service_test.cpp
@@ -203,7 +203,7 @@
   EXPECT_EQ(Submit("1").status, 503);
 }
 
-TEST_F(TaskServiceTest, CancelsAndResolves) {
+TEST_F(TaskServiceTest, CancelEndsAQueuedTaskAndOnlyOperatorsResolve) {
   Submit("1");
   const auto cancelled = Call("DELETE", "/v1/queues/q/tasks/1", "secret-a");
   EXPECT_EQ(nlohmann::json::parse(cancelled.body).at("outcome"), "cancelled");
