--- a/include/cassiastile/config/diff.hpp
+++ b/include/cassiastile/config/diff.hpp
@@ -46,7 +46,8 @@
 // The effects that an edit of the fleet document would have.
 struct FleetChange {
   std::vector<HostMove> hosts;
-  std::vector<std::string> keys_gone;  // Ids; a key with a new secret counts.
+  std::vector<std::string> keys_gone;  // Ids; a key whose secret or team
+                                       // changes is both gone and new.
   std::vector<std::string> keys_new;
   std::vector<std::string> teams_gone;
   std::vector<std::string> queues_gone;
@@ -57,16 +58,16 @@
   std::vector<std::string> teams_over_limit;
 };
 
-// Compares two fleets. Teams that `use` doesn't list count as having nothing
+// Compares two fleets. Teams that `usage` doesn't list count as having nothing
 // running.
 FleetChange CompareFleets(const Fleet& before,
                           const Fleet& after,
-                          const std::vector<TeamUsage>& use = {});
+                          const std::vector<TeamUsage>& usage = {});
 
 nlohmann::json ToJson(const FleetChange& change);
 
-// Describes the change in words, one sentence a line; a single line says so
-// when nothing changes.
+// Describes the change in words, one sentence per line; if nothing changes, one
+// line says so.
 std::string DescribeChange(const FleetChange& change);
 
 }  // namespace cassiastile::config
--- a/include/cassiastile/config/field_reader.hpp
+++ b/include/cassiastile/config/field_reader.hpp
@@ -31,7 +31,8 @@
 // outlive the reader.
 class FieldReader {
  public:
-  // Reports a value that is not an object; all its fields then count as absent.
+  // Reads the object at `path`, which is empty for the root. Reports a value
+  // that is not an object; all its fields then count as absent.
   FieldReader(const PositionedDocument& document,
               const PositionedValue& value,
               std::string path,
@@ -52,6 +53,8 @@
   // Reads a required integer. An invalid or absent one is read as the least of
   // the range.
   std::int64_t RequiredNumber(std::string_view name, NumberRange range);
+  // Reads an optional list of texts. An item that is not text is reported and
+  // read as empty.
   std::vector<std::string> TextList(std::string_view name);
 
   // Calls `read` with a reader for each object of a list. An absent list is a
@@ -74,7 +77,7 @@
   std::int64_t ReadNumber(std::string_view name,
                           const PositionedValue& value,
                           NumberRange range,
-                          std::int64_t fallback);
+                          std::int64_t default_value);
   void ReportWrongKind(std::string_view name,
                        const PositionedValue& value,
                        std::string_view wanted);
@@ -83,7 +86,7 @@
   const PositionedValue& m_value;
   std::string m_path;
   base::Findings& m_findings;
-  std::vector<std::string> m_known;
+  std::vector<std::string> m_known_fields;
 };
 
 }  // namespace cassiastile::config
--- a/include/cassiastile/config/fleet.hpp
+++ b/include/cassiastile/config/fleet.hpp
@@ -122,8 +122,9 @@
 
 // The order in which a wave drains its hosts.
 enum class WaveOrder : std::uint8_t {
-  kLongestFreeFirst,
-  kAsListed,
+  kLongestFreeFirst,  // Hosts that are easiest to drain first; see
+                      // fleet::OrderHosts.
+  kAsListed,          // In the document's order.
 };
 
 std::string_view NameOf(WaveOrder order);
--- a/include/cassiastile/config/fleet_source.hpp
+++ b/include/cassiastile/config/fleet_source.hpp
@@ -16,7 +16,7 @@
   // Returns the accepted document in force; null before the first one.
   virtual std::shared_ptr<const AcceptedFleet> Current() const = 0;
 
-  // Whether this host may still authorize callers by team keys. False once it
+  // Whether this host may still authorize callers by their keys. False once it
   // has heard neither from the table nor from enough peers for so long that a
   // key could have been revoked without its knowledge.
   virtual bool IsFresh(base::TimePoint now) const = 0;
--- a/include/cassiastile/config/text_file.hpp
+++ b/include/cassiastile/config/text_file.hpp
@@ -11,8 +11,8 @@
 // The extra byte makes the parser reject an endless stream by its size.
 std::string ReadText(std::istream& stream);
 
-// Reads a file in the same way. Fails when it is a directory or can't be
-// opened.
+// Reads a file in the same way. Fails with kInvalid when it is a directory and
+// with kNotFound when it can't be opened.
 base::Result<std::string> ReadTextFile(const std::string& path);
 
 }  // namespace cassiastile::config
--- a/src/cassiastile/config/check_context.hpp
+++ b/src/cassiastile/config/check_context.hpp
@@ -24,13 +24,13 @@
   CheckContext(const PositionedDocument& document, const base::Findings& faults)
       : m_document(document) {
     for (const base::Finding& fault : faults) {
-      m_faulty.insert(fault.path);
+      m_faulty_paths.insert(fault.path);
     }
   }
 
   // Whether reading the fields already gave a finding at this path.
   bool IsFaulty(const std::string& path) const {
-    return m_faulty.contains(path);
+    return m_faulty_paths.contains(path);
   }
 
   void Report(const std::string& path, std::string message) {
@@ -49,11 +49,11 @@
            std::holds_alternative<PositionedList>(member->value.content);
   }
 
-  base::Findings Take() { return std::move(m_findings); }
+  base::Findings TakeFindings() { return std::move(m_findings); }
 
  private:
   const PositionedDocument& m_document;
-  std::unordered_set<std::string> m_faulty;
+  std::unordered_set<std::string> m_faulty_paths;
   base::Findings m_findings;
 };
 
@@ -64,7 +64,8 @@
   return fmt::format("{}[{}].{}", NameOf(section), row, field);
 }
 
-// The names that a section declares, each with the path of its first use.
+// The names that a section declares, each with the path of its first
+// declaration.
 class NameTable {
  public:
   explicit NameTable(SectionName section) : m_section(section) {}
--- a/src/cassiastile/config/diff.cpp
+++ b/src/cassiastile/config/diff.cpp
@@ -47,9 +47,9 @@
       : m_before(before), m_after(after) {}
 
   std::vector<Step> Run() {
-    TrimEnds();
+    SkipCommonEnds();
     std::vector<Step> steps;
-    for (std::size_t i = 0; i < m_head; ++i) {
+    for (std::size_t i = 0; i < m_first; ++i) {
       steps.push_back({' ', i, i, m_before[i]});
     }
     std::vector<Step> middle = CompareMiddle();
@@ -63,14 +63,14 @@
  private:
   using Trace = std::vector<std::vector<std::ptrdiff_t>>;
 
-  void TrimEnds() {
+  void SkipCommonEnds() {
     const std::size_t shorter = std::min(m_before.size(), m_after.size());
-    while (m_head < shorter && m_before[m_head] == m_after[m_head]) {
-      ++m_head;
+    while (m_first < shorter && m_before[m_first] == m_after[m_first]) {
+      ++m_first;
     }
     m_before_end = m_before.size();
     m_after_end = m_after.size();
-    while (m_before_end > m_head && m_after_end > m_head &&
+    while (m_before_end > m_first && m_after_end > m_first &&
            m_before[m_before_end - 1] == m_after[m_after_end - 1]) {
       --m_before_end;
       --m_after_end;
@@ -87,28 +87,30 @@
 
   std::vector<Step> ReplaceMiddle() const {
     std::vector<Step> steps;
-    for (std::size_t i = m_head; i < m_before_end; ++i) {
-      steps.push_back({'-', i, m_head, m_before[i]});
+    for (std::size_t i = m_first; i < m_before_end; ++i) {
+      steps.push_back({'-', i, m_first, m_before[i]});
     }
-    for (std::size_t i = m_head; i < m_after_end; ++i) {
+    for (std::size_t i = m_first; i < m_after_end; ++i) {
       steps.push_back({'+', m_before_end, i, m_after[i]});
     }
     return steps;
   }
 
   std::ptrdiff_t BeforeCount() const {
-    return static_cast<std::ptrdiff_t>(m_before_end - m_head);
+    return static_cast<std::ptrdiff_t>(m_before_end - m_first);
   }
   std::ptrdiff_t AfterCount() const {
-    return static_cast<std::ptrdiff_t>(m_after_end - m_head);
+    return static_cast<std::ptrdiff_t>(m_after_end - m_first);
   }
 
   // Whether diagonal k is reached by an insertion as the last of d edits.
+  // `reach` holds diagonal 0 at index d + 1.
   static bool IsInsertion(const std::vector<std::ptrdiff_t>& reach,
                           std::ptrdiff_t d,
                           std::ptrdiff_t k) {
-    const std::ptrdiff_t middle = d + 1;
-    return k == -d || (k != d && reach[middle + k - 1] < reach[middle + k + 1]);
+    const std::ptrdiff_t diagonal_zero = d + 1;
+    return k == -d || (k != d && reach[diagonal_zero + k - 1] <
+                                     reach[diagonal_zero + k + 1]);
   }
 
   // Records the furthest line reached on each diagonal for each number of
@@ -134,11 +136,12 @@
   std::ptrdiff_t Furthest(const std::vector<std::ptrdiff_t>& reach,
                           std::ptrdiff_t d,
                           std::ptrdiff_t k) const {
-    const std::ptrdiff_t middle = d + 1;
-    std::ptrdiff_t x = IsInsertion(reach, d, k) ? reach[middle + k + 1]
-                                                : reach[middle + k - 1] + 1;
+    const std::ptrdiff_t diagonal_zero = d + 1;
+    std::ptrdiff_t x = IsInsertion(reach, d, k)
+                           ? reach[diagonal_zero + k + 1]
+                           : reach[diagonal_zero + k - 1] + 1;
     while (x < BeforeCount() && x - k < AfterCount() &&
-           m_before[m_head + x] == m_after[m_head + x - k]) {
+           m_before[m_first + x] == m_after[m_first + x - k]) {
       ++x;
     }
     return x;
@@ -172,15 +175,17 @@
   }
 
   Step StepAt(char mark, std::ptrdiff_t x, std::ptrdiff_t y) const {
-    const std::size_t before = m_head + x;
-    const std::size_t after = m_head + y;
+    const std::size_t before = m_first + x;
+    const std::size_t after = m_first + y;
     return {mark, before, after,
             mark == '+' ? m_after[after] : m_before[before]};
   }
 
   const Lines& m_before;
   const Lines& m_after;
-  std::size_t m_head = 0;
+  // The lines from m_first up to each text's end here are compared; the texts
+  // share those before and after.
+  std::size_t m_first = 0;
   std::size_t m_before_end = 0;
   std::size_t m_after_end = 0;
 };
--- a/src/cassiastile/config/field_reader.cpp
+++ b/src/cassiastile/config/field_reader.cpp
@@ -13,13 +13,13 @@
 
 namespace {
 
-constexpr std::size_t kMaxQuotedName = 64;
+constexpr std::size_t kMaxQuotedNameBytes = 64;
 constexpr std::size_t kMaxNameLength = 63;
 
 // Cuts a name to the length shown in messages, without splitting a UTF-8
 // character.
 std::string_view TruncateName(std::string_view name) {
-  std::size_t length = std::min(name.size(), kMaxQuotedName);
+  std::size_t length = std::min(name.size(), kMaxQuotedNameBytes);
   while (length < name.size() && length > 0 &&
          (static_cast<unsigned char>(name[length]) & 0xC0U) == 0x80U) {
     --length;
@@ -141,18 +141,18 @@
 std::int64_t FieldReader::ReadNumber(std::string_view name,
                                      const PositionedValue& value,
                                      NumberRange range,
-                                     std::int64_t fallback) {
+                                     std::int64_t default_value) {
   const auto* number = std::get_if<std::int64_t>(&value.content);
   if (number == nullptr) {
     ReportWrongKind(name, value,
                     fmt::format("a whole number from {} to {}", range.least,
                                 range.greatest));
-    return fallback;
+    return default_value;
   }
   if (*number < range.least || *number > range.greatest) {
     Report(name, fmt::format("is {}, but must be from {} to {}", *number,
                              range.least, range.greatest));
-    return fallback;
+    return default_value;
   }
   return *number;
 }
@@ -214,24 +214,25 @@
     if (m_findings.size() > kMaxFindings) {
       return;
     }
-    if (std::find(m_known.begin(), m_known.end(), member.name) !=
-        m_known.end()) {
+    if (std::find(m_known_fields.begin(), m_known_fields.end(), member.name) !=
+        m_known_fields.end()) {
       continue;
     }
-    const std::string suggestion = SuggestName(member.name, m_known);
+    const std::string suggestion = SuggestName(member.name, m_known_fields);
     AddFinding(m_findings,
                {{m_document.file, member.line, member.column},
                 PathOf(TruncateName(member.name)),
                 suggestion.empty()
                     ? fmt::format("is not a known field; known are {}",
-                                  fmt::join(m_known, ", "))
+                                  fmt::join(m_known_fields, ", "))
                     : fmt::format("is not a known field{}", suggestion)});
   }
 }
 
 const PositionedValue* FieldReader::Find(std::string_view name) {
-  if (std::find(m_known.begin(), m_known.end(), name) == m_known.end()) {
-    m_known.emplace_back(name);
+  if (std::find(m_known_fields.begin(), m_known_fields.end(), name) ==
+      m_known_fields.end()) {
+    m_known_fields.emplace_back(name);
   }
   const PositionedMember* member = FindMember(m_value, name);
   return member == nullptr ? nullptr : &member->value;
--- a/src/cassiastile/config/fleet_change.cpp
+++ b/src/cassiastile/config/fleet_change.cpp
@@ -105,9 +105,9 @@
 }
 
 std::vector<std::string> TeamsOverLimit(const Fleet& after,
-                                        const std::vector<TeamUsage>& use) {
+                                        const std::vector<TeamUsage>& usage) {
   std::vector<std::string> teams;
-  for (const TeamUsage& row : use) {
+  for (const TeamUsage& row : usage) {
     const Limit* limit = FindLimit(after, row.team);
     const Limit known = limit == nullptr ? Limit{} : *limit;
     if (row.requests > known.requests || row.tasks > known.tasks) {
@@ -149,7 +149,7 @@
 
 FleetChange CompareFleets(const Fleet& before,
                           const Fleet& after,
-                          const std::vector<TeamUsage>& use) {
+                          const std::vector<TeamUsage>& usage) {
   FleetChange change;
   change.hosts = CompareHosts(before, after);
   change.keys_gone = FindMissingKeys(before.keys, after.keys);
@@ -160,7 +160,7 @@
   change.limits = CompareLimits(before, after);
   change.waves_new = FindMissingNames(after.waves, before.waves, &Wave::name);
   change.waves_gone = FindMissingNames(before.waves, after.waves, &Wave::name);
-  change.teams_over_limit = TeamsOverLimit(after, use);
+  change.teams_over_limit = TeamsOverLimit(after, usage);
   return change;
 }
 
--- a/src/cassiastile/config/fleet_check.cpp
+++ b/src/cassiastile/config/fleet_check.cpp
@@ -15,7 +15,7 @@
   CheckServices(fleet, context);
   CheckTeams(fleet, context);
   CheckDigests(fleet, context);
-  return context.Take();
+  return context.TakeFindings();
 }
 
 }  // namespace cassiastile::config
--- a/src/cassiastile/config/fleet_reader.cpp
+++ b/src/cassiastile/config/fleet_reader.cpp
@@ -17,17 +17,17 @@
 constexpr NumberRange kCores{1, 1024};
 constexpr NumberRange kMemoryGb{1, 65536};
 constexpr NumberRange kAccelerators{0, 256};
-constexpr NumberRange kHostsOut{0, 100000};
+constexpr NumberRange kHostCount{0, 100000};
 constexpr NumberRange kAtLeastOneHost{1, 100000};
 constexpr NumberRange kRunners{1, 100000};
 constexpr NumberRange kSlots{1, 65536};
 constexpr NumberRange kDeadlineMs{1, 3600000};
 constexpr NumberRange kQueueLimit{0, 1000000};
 constexpr NumberRange kWeight{1, 1000000};
-constexpr NumberRange kRunning{0, 10000000};
+constexpr NumberRange kRunningLimit{0, 10000000};
 constexpr NumberRange kDrainDeadlineS{1, 604800};
-constexpr std::uint32_t kMinutesOfHour = 60;
-constexpr std::uint32_t kHoursOfDay = 24;
+constexpr std::uint32_t kMinutesPerHour = 60;
+constexpr std::uint32_t kHoursPerDay = 24;
 constexpr std::string_view kWindowForm = "HH:MM-HH:MM";
 
 std::uint32_t Count(FieldReader& reader,
@@ -57,21 +57,21 @@
 
 // Parses a time of day such as 22:00 as minutes from midnight.
 std::optional<std::uint32_t> ReadMinuteOfDay(std::string_view text) {
-  const auto hour = ReadTwoDigits(text.substr(0, 2), kHoursOfDay);
-  const auto minute = ReadTwoDigits(text.substr(3, 2), kMinutesOfHour);
+  const auto hour = ReadTwoDigits(text.substr(0, 2), kHoursPerDay);
+  const auto minute = ReadTwoDigits(text.substr(3, 2), kMinutesPerHour);
   if (!hour || !minute || text[2] != ':') {
     return std::nullopt;
   }
-  return *hour * kMinutesOfHour + *minute;
+  return *hour * kMinutesPerHour + *minute;
 }
 
 std::optional<Window> ParseWindow(std::string_view text) {
-  constexpr std::size_t kDash = 5;
-  if (text.size() != kWindowForm.size() || text[kDash] != '-') {
+  constexpr std::size_t kDashIndex = 5;
+  if (text.size() != kWindowForm.size() || text[kDashIndex] != '-') {
     return std::nullopt;
   }
-  const auto start = ReadMinuteOfDay(text.substr(0, kDash));
-  const auto end = ReadMinuteOfDay(text.substr(kDash + 1));
+  const auto start = ReadMinuteOfDay(text.substr(0, kDashIndex));
+  const auto end = ReadMinuteOfDay(text.substr(kDashIndex + 1));
   if (!start || !end) {
     return std::nullopt;
   }
@@ -140,7 +140,7 @@
   Pool pool;
   pool.name = reader.Name("name");
   pool.spare = reader.Flag("spare", pool.spare);
-  pool.budget.max_out = RequiredCount(reader, "max_out", kHostsOut);
+  pool.budget.max_out = RequiredCount(reader, "max_out", kHostCount);
   pool.survive_zone_loss =
       reader.Flag("survive_zone_loss", pool.survive_zone_loss);
   reader.ForEach("hosts", true, [&pool](FieldReader& host) {
@@ -183,7 +183,7 @@
   wave.window = ReadWindow(reader);
   wave.parallel = Count(reader, "parallel", kAtLeastOneHost, wave.parallel);
   wave.per_rack = Count(reader, "per_rack", kAtLeastOneHost, wave.per_rack);
-  wave.canaries = Count(reader, "canaries", kHostsOut, wave.canaries);
+  wave.canaries = Count(reader, "canaries", kHostCount, wave.canaries);
   wave.halt_after =
       Count(reader, "halt_after", kAtLeastOneHost, wave.halt_after);
   wave.drain_deadline = std::chrono::seconds(reader.Number(
@@ -213,8 +213,8 @@
 }
 
 Limit ReadLimit(FieldReader& reader) {
-  return {reader.Name("team"), RequiredCount(reader, "requests", kRunning),
-          RequiredCount(reader, "tasks", kRunning)};
+  return {reader.Name("team"), RequiredCount(reader, "requests", kRunningLimit),
+          RequiredCount(reader, "tasks", kRunningLimit)};
 }
 
 // Reads one section, which is a required list of rows.
--- a/src/cassiastile/config/list_edit.cpp
+++ b/src/cassiastile/config/list_edit.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::string_view kBlanks = " \t\r\n";
+constexpr std::string_view kWhitespace = " \t\r\n";
 constexpr std::string_view kItemIndent = "    ";
 constexpr std::string_view kListIndent = "  ";
 
@@ -41,7 +41,7 @@
   const std::size_t line = text.rfind('\n', begin);
   const std::size_t next = text.find_first_not_of(" \t\r", end);
   const bool blank_before = line != std::string::npos &&
-                            text.find_first_not_of(kBlanks, line) >= begin;
+                            text.find_first_not_of(kWhitespace, line) >= begin;
   const bool blank_after = next != std::string::npos && text[next] == '\n';
   if (blank_before && blank_after) {
     begin = line;
@@ -60,7 +60,7 @@
   }
   const std::size_t bracket = list.rfind(']');
   std::string text(list.substr(0, bracket));
-  text.erase(text.find_last_not_of(kBlanks) + 1);
+  text.erase(text.find_last_not_of(kWhitespace) + 1);
   if (!items->empty()) {
     text.insert(items->back().end, 1, ',');
   }
--- a/src/cassiastile/config/nearest_name.cpp
+++ b/src/cassiastile/config/nearest_name.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-// Longer names are not compared, as the cost grows with the square of the
-// length.
-constexpr std::size_t kLongestComparedName = 64;
+// Longer names are not compared and longer candidates are cut to this length,
+// as the cost grows with the square of the length.
+constexpr std::size_t kMaxComparedBytes = 64;
 
 std::size_t EditDistance(std::string_view left, std::string_view right) {
   std::vector<std::size_t> row(right.size() + 1);
@@ -32,14 +32,15 @@
 
 std::string_view FindNearestName(std::string_view name,
                                  const std::vector<std::string>& known) {
-  if (name.size() > kLongestComparedName) {
+  if (name.size() > kMaxComparedBytes) {
     return {};
   }
   std::string_view nearest;
+  // A likely misspelling differs in at most half of its bytes, or in two.
   std::size_t least = std::max<std::size_t>(2, name.size() / 2) + 1;
   for (const std::string& candidate : known) {
     const std::size_t distance = EditDistance(
-        name, std::string_view(candidate).substr(0, kLongestComparedName));
+        name, std::string_view(candidate).substr(0, kMaxComparedBytes));
     if (distance < least) {
       least = distance;
       nearest = candidate;
--- a/src/cassiastile/config/positioned_json.cpp
+++ b/src/cassiastile/config/positioned_json.cpp
@@ -23,7 +23,7 @@
   PositionedValue value;
   PositionedMember member;  // In an object, the member being read.
   std::unordered_set<std::string> names;
-  bool skip = false;  // Whether the member is a duplicate.
+  bool is_duplicate = false;  // Whether the object had this name already.
 };
 
 // Builds positioned values from the parser's events. The parser doesn't report
@@ -63,10 +63,10 @@
   bool key(std::string& name) {
     m_cursor.SkipToToken();
     Frame& frame = m_open.back();
-    frame.skip = !frame.names.insert(name).second;
+    frame.is_duplicate = !frame.names.insert(name).second;
     frame.member =
         PositionedMember{name, m_cursor.Line(), m_cursor.Column(), {}};
-    if (frame.skip && m_document.duplicates.size() < kMaxDuplicates) {
+    if (frame.is_duplicate && m_document.duplicates.size() < kMaxDuplicates) {
       m_document.duplicates.push_back(
           FindingHere("the name occurs twice in this object; keep one"));
     }
@@ -150,7 +150,7 @@
     Frame& frame = m_open.back();
     if (auto* list = std::get_if<PositionedList>(&frame.value.content)) {
       list->push_back(std::move(value));
-    } else if (!frame.skip) {
+    } else if (!frame.is_duplicate) {
       frame.member.value = std::move(value);
       std::get<PositionedObject>(frame.value.content)
           .push_back(std::move(frame.member));
@@ -187,10 +187,10 @@
   std::size_t m_values = 0;
 };
 
-tl::unexpected<base::Findings> RefuseText(std::string_view text,
-                                          const std::string& file,
-                                          std::size_t offset,
-                                          std::string message) {
+tl::unexpected<base::Findings> MakeTextFinding(std::string_view text,
+                                               const std::string& file,
+                                               std::size_t offset,
+                                               std::string message) {
   TextCursor cursor(text);
   cursor.AdvanceTo(offset);
   return tl::make_unexpected(base::Findings{
@@ -222,15 +222,16 @@
     std::string_view text,
     const std::string& file) {
   if (text.size() > kMaxDocumentBytes) {
-    return RefuseText(text, file, 0,
-                      fmt::format("the text has {} bytes; at most {} are read",
-                                  text.size(), kMaxDocumentBytes));
+    return MakeTextFinding(
+        text, file, 0,
+        fmt::format("the text has {} bytes; at most {} are read", text.size(),
+                    kMaxDocumentBytes));
   }
   const std::size_t invalid = FindInvalidText(text);
   if (invalid != std::string_view::npos) {
-    return RefuseText(text, file, invalid,
-                      "the text is not valid UTF-8 here; save it as UTF-8 "
-                      "without control characters");
+    return MakeTextFinding(text, file, invalid,
+                           "the text is not valid UTF-8 here; save it as UTF-8 "
+                           "without control characters");
   }
   Builder builder(text, file);
   nlohmann::json::sax_parse(text.begin(), text.end(), &builder,
--- a/src/cassiastile/config/section_edit.cpp
+++ b/src/cassiastile/config/section_edit.cpp
@@ -14,7 +14,7 @@
 using base::ErrorCode;
 using base::Fail;
 
-constexpr std::string_view kBlanks = " \t\r\n";
+constexpr std::string_view kWhitespace = " \t\r\n";
 constexpr char kSectionMark = '\0';
 
 // The byte range of one section's value.
@@ -91,20 +91,20 @@
 }
 
 std::string_view Trim(std::string_view text) {
-  const std::size_t first = text.find_first_not_of(kBlanks);
+  const std::size_t first = text.find_first_not_of(kWhitespace);
   if (first == std::string_view::npos) {
     return {};
   }
-  return text.substr(first, text.find_last_not_of(kBlanks) - first + 1);
+  return text.substr(first, text.find_last_not_of(kWhitespace) - first + 1);
 }
 
 // Whether the section has the same text in both documents. An absent section
 // counts as empty text.
-bool IsSame(std::string_view before,
-            const std::vector<Span>& before_spans,
-            std::string_view after,
-            const std::vector<Span>& after_spans,
-            SectionName section) {
+bool IsSectionUnchanged(std::string_view before,
+                        const std::vector<Span>& before_spans,
+                        std::string_view after,
+                        const std::vector<Span>& after_spans,
+                        SectionName section) {
   const auto find = [section](std::string_view text,
                               const std::vector<Span>& spans) {
     for (const Span& span : spans) {
@@ -117,10 +117,10 @@
   return find(before, before_spans) == find(after, after_spans);
 }
 
-base::Finding RefuseEdit(std::string_view after,
-                         const std::string& file,
-                         SectionName section,
-                         std::string message) {
+base::Finding MakeSectionFinding(std::string_view after,
+                                 const std::string& file,
+                                 SectionName section,
+                                 std::string message) {
   base::Finding finding{
       {file, 1, 1}, std::string(NameOf(section)), std::move(message)};
   if (const auto document = ParsePositionedJson(after, file)) {
@@ -179,7 +179,8 @@
   for (auto i = static_cast<int>(SectionName::kOperators);
        i <= static_cast<int>(SectionName::kWaves); ++i) {
     const auto section = static_cast<SectionName>(i);
-    if (!IsSame(before, *before_spans, after, *after_spans, section)) {
+    if (!IsSectionUnchanged(before, *before_spans, after, *after_spans,
+                            section)) {
       difference.sections.push_back(section);
     }
   }
@@ -208,7 +209,7 @@
   for (const SectionName section : difference->sections) {
     const std::string owner = FindSectionOwner(fleet_before, section);
     if (owner != editor) {
-      findings.push_back(RefuseEdit(
+      findings.push_back(MakeSectionFinding(
           after, file, section,
           fmt::format("the section differs, but is owned by \"{}\" and not by "
                       "\"{}\"",
--- a/src/cassiastile/config/section_edit_test.cpp
+++ b/src/cassiastile/config/section_edit_test.cpp
@@ -163,9 +163,9 @@
                    "\"requests\": 140, \"tasks\": 160");
   const Fleet old_fleet = *ReadFleet(before, "f");
   const Fleet new_fleet = *ReadFleet(after, "f");
-  const std::vector<TeamUsage> use{{"brno-region", 150, 3},
-                                   {"praha-region", 150, 3}};
-  const FleetChange change = CompareFleets(old_fleet, new_fleet, use);
+  const std::vector<TeamUsage> usage{{"brno-region", 150, 3},
+                                     {"praha-region", 150, 3}};
+  const FleetChange change = CompareFleets(old_fleet, new_fleet, usage);
   EXPECT_EQ(DescribeChange(change),
             "host entries-01 leaves pool entries and the fleet\n"
             "host entries-11 is new in pool entries\n"
--- a/src/cassiastile/config/settings.cpp
+++ b/src/cassiastile/config/settings.cpp
@@ -18,9 +18,9 @@
 
 constexpr std::int64_t kDayMs = 24LL * 3600 * 1000;
 constexpr std::string_view kAddressForm =
-    "must be an IP number and a port, such as 127.0.0.1:8080";
+    "must be an IP address and a port, such as 127.0.0.1:8080";
 
-bool IsIpNumber(const std::string& text) {
+bool IsIpAddress(const std::string& text) {
   std::array<unsigned char, sizeof(in6_addr)> bytes{};
   return inet_pton(AF_INET, text.c_str(), bytes.data()) == 1 ||
          inet_pton(AF_INET6, text.c_str(), bytes.data()) == 1;
@@ -68,7 +68,7 @@
   }
   const bool is_v6 = ip.find(':') != std::string_view::npos;
   SocketAddress address{std::string(ip), port.value_or(0)};
-  if (!port || is_v6 != in_brackets || !IsIpNumber(address.ip)) {
+  if (!port || is_v6 != in_brackets || !IsIpAddress(address.ip)) {
     return std::nullopt;
   }
   return address;
--- a/src/cassiastile/config/settings_test.cpp
+++ b/src/cassiastile/config/settings_test.cpp
@@ -42,8 +42,8 @@
   for (const char* expected :
        {"s.json:1:3: error: prot: is not a known field; did you mean \"port\"?",
         "name: is missing", "s.json:2:10: error: zone: is a whole number",
-        "peers[0]: must be an IP number", "peers[1]: is a whole number",
-        "listen: must be an IP number",
+        "peers[0]: must be an IP address", "peers[1]: is a whole number",
+        "listen: must be an IP address",
         "pause_ms: is -1, but must be from 0"}) {
     EXPECT_NE(text.find(expected), std::string::npos) << expected << text;
   }
--- a/src/cassiastile/config/text_cursor.cpp
+++ b/src/cassiastile/config/text_cursor.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::string_view kByteOrderMark = "\xEF\xBB\xBF";
-constexpr std::string_view kBlanks = " \t\r\n";
+constexpr std::string_view kWhitespace = " \t\r\n";
 constexpr std::string_view kBetweenTokens = " \t\r\n,:";
 constexpr std::string_view kEndOfScalar = " \t\r\n,:[]{}\"/";
 constexpr std::uint32_t kContinuationMask = 0xC0;
@@ -106,7 +106,7 @@
 }
 
 void TextCursor::SkipWhitespaceAndComments() {
-  SkipOver(kBlanks);
+  SkipOver(kWhitespace);
 }
 
 void TextCursor::SkipToToken() {
--- a/src/cassiastile/config/text_file.cpp
+++ b/src/cassiastile/config/text_file.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr std::size_t kReadBytes = 64U << 10U;
+constexpr std::size_t kChunkBytes = 64U << 10U;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
   while (stream && text.size() <= kMaxDocumentBytes) {
     const std::size_t size = text.size();
     const std::size_t wanted =
-        std::min(kReadBytes, kMaxDocumentBytes + 1 - size);
+        std::min(kChunkBytes, kMaxDocumentBytes + 1 - size);
     text.resize(size + wanted);
     stream.read(text.data() + size, static_cast<std::streamsize>(wanted));
     text.resize(size + static_cast<std::size_t>(stream.gcount()));
