--- a/src/cassiastile/operator/api_client.cpp
+++ b/src/cassiastile/operator/api_client.cpp
@@ -91,7 +91,7 @@
   return call;
 }
 
-std::string EncodeSegment(std::string_view text) {
+std::string PercentEncode(std::string_view text) {
   constexpr std::string_view kPlain = "-._~";
   std::string encoded;
   for (const char character : text) {
--- a/src/cassiastile/operator/api_client.hpp
+++ b/src/cassiastile/operator/api_client.hpp
@@ -28,7 +28,7 @@
 struct ApiAnswer {
   int status = 0;
   nlohmann::json body;      // Null if the answer was not JSON.
-  std::string retry_after;  // The Retry-After header, empty if absent.
+  std::string retry_after;  // The Retry-After header in seconds, or empty.
 
   bool IsSuccess() const { return status >= 200 && status < 300; }
 };
@@ -68,6 +68,6 @@
 };
 
 // Percent-encodes a path segment or query value; letters, digits and -._~ stay.
-std::string EncodeSegment(std::string_view text);
+std::string PercentEncode(std::string_view text);
 
 }  // namespace cassiastile::operators
--- a/src/cassiastile/operator/documents.cpp
+++ b/src/cassiastile/operator/documents.cpp
@@ -87,7 +87,7 @@
   return text + Printable(TextOf(body, "diff"), true);
 }
 
-std::string FormatAcceptance(const nlohmann::json& body) {
+std::string FormatEditResult(const nlohmann::json& body) {
   if (body.is_object() && body.contains("dry_run")) {
     return FormatChange(body);
   }
@@ -178,7 +178,7 @@
       fmt::format("/v1/config/sections/{}", config::NameOf(edit.section));
   const ApiOutcome outcome = invocation.Api().Post(
       path, MakeBody(invocation, edit.text, document.version));
-  return ShowOutcome(invocation, outcome, FormatAcceptance);
+  return ShowOutcome(invocation, outcome, FormatEditResult);
 }
 
 ExitCode SendDocument(const Invocation& invocation,
@@ -186,7 +186,7 @@
                       std::uint64_t base_version) {
   const ApiOutcome outcome = invocation.Api().Post(
       "/v1/config", MakeBody(invocation, text, base_version));
-  return ShowOutcome(invocation, outcome, FormatAcceptance);
+  return ShowOutcome(invocation, outcome, FormatEditResult);
 }
 
 }  // namespace cassiastile::operators
--- a/src/cassiastile/operator/edit_commands.cpp
+++ b/src/cassiastile/operator/edit_commands.cpp
@@ -39,7 +39,7 @@
 // The version that `put` replaces.
 struct PutBase {
   std::uint64_t version = 0;
-  bool is_same = false;  // The text in force equals the new text.
+  bool is_unchanged = false;  // The text in force equals the new text.
 };
 
 // Finds the version that a whole document replaces: --base, or 0 if there is no
@@ -62,7 +62,7 @@
   }
   const PutBase found{NumberOf(outcome->body, "version"),
                       TextOf(outcome->body, "text") == text};
-  if (found.version != 0 && !found.is_same) {
+  if (found.version != 0 && !found.is_unchanged) {
     return tl::make_unexpected(ReportUsageError(
         invocation,
         fmt::format("version {} is in force: give --base N, the version that "
@@ -72,7 +72,7 @@
   return found;
 }
 
-ExitCode ReportSame(const Invocation& invocation, std::uint64_t version) {
+ExitCode ReportUnchanged(const Invocation& invocation, std::uint64_t version) {
   if (invocation.WantsJson()) {
     PrintJson(invocation, {{"version", version}, {"state", "accepted"}});
   } else {
@@ -96,8 +96,8 @@
   if (!base) {
     return base.error();
   }
-  return base->is_same ? ReportSame(invocation, base->version)
-                       : SendDocument(invocation, *text, base->version);
+  return base->is_unchanged ? ReportUnchanged(invocation, base->version)
+                            : SendDocument(invocation, *text, base->version);
 }
 
 tl::expected<config::SectionName, ExitCode> ReadSectionName(
--- a/src/cassiastile/operator/fleet_commands.cpp
+++ b/src/cassiastile/operator/fleet_commands.cpp
@@ -92,12 +92,12 @@
   if (invocation.WordCount() > 1) {
     return ExplainFromLogs(invocation);
   }
-  const std::string path = "/v1/decisions/" + EncodeSegment(invocation.Word(0));
+  const std::string path = "/v1/decisions/" + PercentEncode(invocation.Word(0));
   return ShowOutcome(invocation, invocation.Api().Get(path), FormatDecision);
 }
 
 ExitCode RunWave(const Invocation& invocation) {
-  const std::string path = "/v1/waves/" + EncodeSegment(invocation.Word(0));
+  const std::string path = "/v1/waves/" + PercentEncode(invocation.Word(0));
   const std::string action = invocation.Word(1);
   if (action == "status") {
     return ShowOutcome(invocation, invocation.Api().Get(path), FormatJson);
@@ -115,7 +115,7 @@
 
 ExitCode PostHostAction(const Invocation& invocation, std::string_view action) {
   const std::string path =
-      fmt::format("/v1/hosts/{}/{}", EncodeSegment(invocation.Word(0)), action);
+      fmt::format("/v1/hosts/{}/{}", PercentEncode(invocation.Word(0)), action);
   return ShowOutcome(invocation,
                      invocation.Api().Post(path, nlohmann::json::object()),
                      FormatJson);
--- a/src/cassiastile/operator/history_commands.cpp
+++ b/src/cassiastile/operator/history_commands.cpp
@@ -17,7 +17,7 @@
 namespace po = boost::program_options;
 
 constexpr std::size_t kDigestDigits = 64;
-constexpr std::size_t kShownDigits = 12;  // Digits of a digest in tables.
+constexpr std::size_t kDigestDigitsInTables = 12;
 
 std::optional<std::uint64_t> ReadVersion(const std::string& word) {
   std::uint64_t version = 0;
@@ -32,7 +32,7 @@
   const bool is_digest =
       text.size() == kDigestDigits &&
       text.find_first_not_of("0123456789abcdef") == std::string::npos;
-  return is_digest ? text.substr(0, kShownDigits) : text;
+  return is_digest ? text.substr(0, kDigestDigitsInTables) : text;
 }
 
 // A document and its label in a diff.
@@ -111,7 +111,7 @@
       table.Add({std::to_string(NumberOf(row, "version")), TextOf(row, "by"),
                  TextOf(row, "at"),
                  row.contains("sections") ? FormatCell(row["sections"]) : "-",
-                 TextOf(row, "digest").substr(0, kShownDigits)});
+                 TextOf(row, "digest").substr(0, kDigestDigitsInTables)});
     }
   }
   return table.Format();
@@ -135,7 +135,7 @@
   for (const char* name : {"since", "section"}) {
     const std::string value = invocation.Text(name);
     if (!value.empty()) {
-      path += fmt::format("{}{}={}", separator, name, EncodeSegment(value));
+      path += fmt::format("{}{}={}", separator, name, PercentEncode(value));
       separator = '&';
     }
   }
--- a/src/cassiastile/operator/key_commands.cpp
+++ b/src/cassiastile/operator/key_commands.cpp
@@ -37,10 +37,10 @@
     return secret;
   }
   secret->erase(secret->find_last_not_of("\r\n") + 1);
-  const bool plain = std::all_of(
+  const bool is_printable = std::all_of(
       secret->begin(), secret->end(),
       [](char character) { return character > ' ' && character < '\x7F'; });
-  if (!plain || secret->size() < kMinSecretLength ||
+  if (!is_printable || secret->size() < kMinSecretLength ||
       secret->size() > kMaxSecretLength) {
     return Fail(ErrorCode::kInvalid,
                 fmt::format("a key has {} to {} ASCII characters without "
@@ -96,9 +96,9 @@
 
 ExitCode RunKey(const Invocation& invocation) {
   const std::string action = invocation.Word(0);
-  const bool right = (action == "add" && invocation.WordCount() == 3) ||
-                     (action == "withdraw" && invocation.WordCount() == 2);
-  if (!right) {
+  const bool is_valid = (action == "add" && invocation.WordCount() == 3) ||
+                        (action == "withdraw" && invocation.WordCount() == 2);
+  if (!is_valid) {
     return ReportUsageError(invocation,
                             "use: key add TEAM ID, or key withdraw ID");
   }
--- a/src/cassiastile/operator/log_explanation.cpp
+++ b/src/cassiastile/operator/log_explanation.cpp
@@ -37,7 +37,7 @@
 }
 
 // Whether any text field of the line equals the id.
-bool Names(const Json& line, const std::string& id) {
+bool MentionsId(const Json& line, const std::string& id) {
   return std::ranges::any_of(line, [&id](const Json& value) {
     return value.is_string() && value.get_ref<const std::string&>() == id;
   });
@@ -286,7 +286,7 @@
     return waited;
   }
 
-  // Milliseconds between two times in which no leader served. Each change of
+  // The milliseconds from `from` to `to` without a serving leader. A change of
   // the leader counts from one leader timeout before the first takeover, as the
   // former leader may have been silent since then, until the new one serves.
   double TimeWithoutLeader(std::int64_t from, std::int64_t to) const {
@@ -311,10 +311,9 @@
     return gap;
   }
 
-  // For tasks that were started more than once, the longest time in
-  // milliseconds from the first to the last start: first of tasks of which the
-  // logs show that any run ended or was stopped, second of the other tasks,
-  // whose runs count as lost.
+  // The longest time in milliseconds from the first to the last start of one
+  // task: first among the tasks with a run that the logs show to have ended or
+  // been stopped, second among the others, whose runs count as lost.
   std::pair<double, double> TimeOfRepeatedRuns() const {
     std::map<std::string, std::vector<const Json*>> starts;
     std::set<std::string> ended;
@@ -430,7 +429,7 @@
   Explanation explanation = JobExplainer(lines.Events(), id).Explain();
   if (explanation.cause == OutcomeCause::kUnknownId) {
     for (const Json& line : lines.Events()) {
-      if (Names(line, id)) {
+      if (MentionsId(line, id)) {
         explanation.lines.push_back(line);
       }
     }
--- a/src/cassiastile/operator/log_explanation_test.cpp
+++ b/src/cassiastile/operator/log_explanation_test.cpp
@@ -58,7 +58,7 @@
   EXPECT_THAT(explanation.reasons, Contains(HasSubstr("24 workers")));
 }
 
-TEST_F(LogExplanationTest, RefusesCustomerBeyondItsShare) {
+TEST_F(LogExplanationTest, RefusalNamesTheCustomerBeyondItsShare) {
   Add(1000, "h1",
       {{"event", "job.refused"},
        {"job", kJob},
--- a/src/cassiastile/operator/report.cpp
+++ b/src/cassiastile/operator/report.cpp
@@ -14,7 +14,7 @@
 constexpr int kJsonIndent = 2;
 
 // Formats a refusal as one or more lines.
-std::string FormatProblem(const ApiAnswer& answer) {
+std::string FormatRefusal(const ApiAnswer& answer) {
   const nlohmann::json& body = answer.body;
   std::string text = fmt::format("refused with status {}:", answer.status);
   for (const char* member : {"title", "detail"}) {
@@ -48,7 +48,7 @@
     if (HasFindings(answer.body)) {
       ReportFindings(invocation, ReadFindings(answer.body, "document"));
     }
-    invocation.Streams().err << FormatProblem(answer);
+    invocation.Streams().err << FormatRefusal(answer);
   }
   const bool unknown = TextOf(answer.body, "execution") == "unknown";
   if (unknown && !invocation.WantsJson()) {
@@ -159,13 +159,14 @@
 }
 
 std::string TextOf(const nlohmann::json& body, const std::string& name) {
-  const bool there = body.is_object() && body.contains(name);
-  return there && body[name].is_string() ? body[name].get<std::string>() : "";
+  const bool is_present = body.is_object() && body.contains(name);
+  return is_present && body[name].is_string() ? body[name].get<std::string>()
+                                              : "";
 }
 
 std::uint64_t NumberOf(const nlohmann::json& body, const std::string& name) {
-  const bool there = body.is_object() && body.contains(name);
-  return there && body[name].is_number_unsigned()
+  const bool is_present = body.is_object() && body.contains(name);
+  return is_present && body[name].is_number_unsigned()
              ? body[name].get<std::uint64_t>()
              : 0;
 }
--- a/src/cassiastile/operator/task_commands.cpp
+++ b/src/cassiastile/operator/task_commands.cpp
@@ -35,12 +35,12 @@
 }
 
 std::string TasksPath(const Invocation& invocation) {
-  return fmt::format("/v1/queues/{}/tasks", EncodeSegment(invocation.Word(0)));
+  return fmt::format("/v1/queues/{}/tasks", PercentEncode(invocation.Word(0)));
 }
 
 std::string TaskPath(const Invocation& invocation) {
   return fmt::format("{}/{}", TasksPath(invocation),
-                     EncodeSegment(invocation.Word(1)));
+                     PercentEncode(invocation.Word(1)));
 }
 
 base::Result<std::string> ReadPayload(const Invocation& invocation) {
