--- a/src/bin/cassia_host.cpp
+++ b/src/bin/cassia_host.cpp
@@ -33,10 +33,10 @@
 // The end of the stop grace period that is reserved for the exit itself.
 constexpr std::chrono::milliseconds kExitReserve{600};
 
-host::HostPorts MakePorts(adapter::TableClient& table,
-                          adapter::WorkerClient& workers,
-                          adapter::MachineClient& machines,
-                          adapter::AdviceClient& advice) {
+host::HostPorts MakeDependencies(adapter::TableClient& table,
+                                 adapter::WorkerClient& workers,
+                                 adapter::MachineClient& machines,
+                                 adapter::AdviceClient& advice) {
   return {.store = table,
           .workers = workers,
           .machines = machines,
@@ -86,7 +86,7 @@
         m_machines(*m_client, m_settings.machines_endpoint.Text()),
         m_advice(*m_client, m_settings.advice_endpoint),
         m_peers(*m_client),
-        m_node(MakePorts(m_table, m_workers, m_machines, m_advice),
+        m_node(MakeDependencies(m_table, m_workers, m_machines, m_advice),
                m_peers,
                m_loop,
                m_log,
@@ -128,8 +128,8 @@
   }
 
   base::Result<void> StartJobApi() {
-    const host::Endpoint& at = m_settings.client_endpoint;
-    return Listen(at.address, at.port,
+    const host::Endpoint& endpoint = m_settings.client_endpoint;
+    return Listen(endpoint.address, endpoint.port,
                   [this](const wire::HttpRequest& request,
                          const wire::HttpResponder& respond) {
                     m_node.Handle(request, respond);
@@ -137,9 +137,9 @@
   }
 
   base::Result<void> StartReadiness() {
-    const host::Endpoint& at = m_settings.ready_endpoint;
+    const host::Endpoint& endpoint = m_settings.ready_endpoint;
     return Listen(
-        at.address, at.port,
+        endpoint.address, endpoint.port,
         [this](const wire::HttpRequest&, const wire::HttpResponder& respond) {
           wire::HttpResponse response;
           response.status = m_node.IsReady() ? kOk : kUnavailable;
@@ -221,9 +221,9 @@
   // when the grace period is nearly over.
   void AwaitExit() {
     const auto waited = m_clock.Now() - m_stop_at;
-    const bool quiet =
+    const bool can_exit =
         waited > kBalancerDetectionTime && m_node.IsReadyToExit();
-    if (quiet || waited > m_settings.stop_grace - kExitReserve) {
+    if (can_exit || waited > m_settings.stop_grace - kExitReserve) {
       m_context.stop();
       return;
     }
--- a/src/bin/cassia_soak.cpp
+++ b/src/bin/cassia_soak.cpp
@@ -29,8 +29,8 @@
 }
 
 // Runs one seed after the other and returns how many violated an invariant.
-// Keeps the logs of these and removes the others. Fails if a run can't be
-// carried out.
+// Keeps the logs of those in `kept_folder` and removes the others. Fails if a
+// run can't be carried out.
 base::Result<int> RunSeeds(soak::SoakOptions options,
                            std::uint64_t seeds,
                            const std::string& kept_folder) {
@@ -63,8 +63,8 @@
   std::string kept_folder;
   std::string plan_file;
   int shrink_tries = 0;
-  po::options_description names("cassia-soak");
-  names.add_options()("help", "shows this text")(
+  po::options_description flags("cassia-soak");
+  flags.add_options()("help", "shows this text")(
       "host-program",
       po::value(&options.host_program)->default_value("build/bin/cassia-host"),
       "the program to run as each host")(
@@ -87,9 +87,9 @@
       "folder for the logs and plans of seeds that failed");
   try {
     po::variables_map values;
-    po::store(po::parse_command_line(argc, argv, names), values);
+    po::store(po::parse_command_line(argc, argv, flags), values);
     if (values.contains("help")) {
-      std::cout << names;
+      std::cout << flags;
       return 0;
     }
     po::notify(values);
@@ -125,7 +125,7 @@
     }
     return *failed == 0 ? 0 : 1;
   } catch (const std::exception& error) {
-    std::cerr << "cassia-soak: " << error.what() << "\n" << names;
+    std::cerr << "cassia-soak: " << error.what() << "\n" << flags;
     return 2;
   }
 }
--- a/src/bin/cassia_worker.cpp
+++ b/src/bin/cassia_worker.cpp
@@ -67,7 +67,7 @@
     agent.control.push_back(config::FormatAddress(address));
   }
   if (agent.control.empty()) {
-    settings.Report("control", "must name one control process at least");
+    settings.Report("control", "must name at least one control process");
   }
   agent.poll_timeout =
       settings.Milliseconds("poll_timeout_ms", agent.poll_timeout);
--- a/src/bin/measure_fleet.cpp
+++ b/src/bin/measure_fleet.cpp
@@ -67,12 +67,12 @@
 
  private:
   void AdvanceHost(const std::string& host, base::TimePoint now) {
-    constexpr int kLongestTask = 600;
+    constexpr int kLongestTaskSeconds = 600;
     base::TimePoint& end = m_ends[host];
     const bool takes_work = !m_world.machines.Status(host)->draining;
     if (end <= now && takes_work) {
       end = now + seconds(std::uniform_int_distribution<int>(
-                      1, kLongestTask)(m_random));
+                      1, kLongestTaskSeconds)(m_random));
     }
     fleet::HostWork& work = m_world.work.work[host];
     work.running = end > now ? 1 : 0;
@@ -132,11 +132,11 @@
   // Runs the wave to its end and returns its duration in seconds, 200000 at
   // most.
   double Run() {
-    constexpr int kLimit = 200000;
+    constexpr int kMaxSeconds = 200000;
     m_load.Advance();
     m_world.Start(m_reconciler);
     int second = 0;
-    for (; second < kLimit; ++second) {
+    for (; second < kMaxSeconds; ++second) {
       m_load.Advance();
       m_world.Round(m_reconciler);
       const fleet::FleetState& state = m_reconciler.State();
@@ -231,23 +231,24 @@
          "higher", 0});
 }
 
-// Draws the demand of one queue for each second: bursts of about five times the
-// mean that last 8 to 12 seconds, and a twentieth of the mean in between.
+// Draws the demand of one queue for each second, in hosts: bursts of about five
+// times the mean that last 8 to 12 seconds, and a twentieth of the mean in
+// between.
 std::vector<double> MakeDemand(double mean, int length, base::Random& random) {
-  constexpr double kBurst = 5;
-  constexpr double kBetween = 0.05;
+  constexpr double kBurstFactor = 5;
+  constexpr double kBetweenFactor = 0.05;
   std::vector<double> demand;
   demand.reserve(static_cast<std::size_t>(length));
   std::uniform_int_distribution<int> burst_seconds(8, 12);
   std::uniform_int_distribution<int> between_seconds(38, 46);
   std::uniform_real_distribution<double> jitter(0.9, 1.1);
   while (demand.size() < static_cast<std::size_t>(length)) {
-    const double high = mean * kBurst * jitter(random);
+    const double high = mean * kBurstFactor * jitter(random);
     demand.insert(demand.end(), static_cast<std::size_t>(burst_seconds(random)),
                   high);
     demand.insert(demand.end(),
                   static_cast<std::size_t>(between_seconds(random)),
-                  mean * kBetween);
+                  mean * kBetweenFactor);
   }
   demand.resize(static_cast<std::size_t>(length));
   return demand;
@@ -257,12 +258,12 @@
 // perfect foresight of each hour's demand needs to miss no more deadlines than
 // `misses`.
 double LeastBuffer(std::span<const double> demand,
-                   std::size_t hour,
+                   std::size_t hour_seconds,
                    double mean,
                    double misses) {
   constexpr int kTargets = 200;
   constexpr double kLargestTarget = 0.05;
-  const std::size_t hours = demand.size() / hour;
+  const std::size_t hours = demand.size() / hour_seconds;
   double least = std::numeric_limits<double>::max();
   for (int step = 0; step <= kTargets; ++step) {
     fleet::BufferOptions options;
@@ -270,7 +271,7 @@
     double held = 0;
     double missed = 0;
     for (std::size_t i = 0; i < hours; ++i) {
-      const auto next = demand.subspan(i * hour, hour);
+      const auto next = demand.subspan(i * hour_seconds, hour_seconds);
       const std::uint32_t hosts = fleet::HostsForDemand(next, options);
       held += hosts - mean;
       missed += fleet::DeadlineMissRatio(next, hosts, options) /
@@ -284,10 +285,10 @@
 }
 
 void MeasureBuffer() {
-  constexpr int kHour = 3600;
+  constexpr int kHourSeconds = 3600;
   constexpr int kHours = 40;
-  constexpr double kMean = 8;
-  constexpr double kFixedSpare = 1.2;
+  constexpr double kMeanHosts = 8;
+  constexpr double kFixedSpareFactor = 1.2;
   base::Random random(kSeed);
   // The mean demand drifts by up to a sixth in a cycle of ten hours.
   constexpr double kDriftAmplitude = 1.0 / 6;
@@ -295,8 +296,8 @@
   std::vector<double> demand;
   for (int hour = 0; hour <= kHours; ++hour) {
     const double mean =
-        kMean * (1 + kDriftAmplitude * std::sin(hour * kRadiansPerHour));
-    const std::vector<double> next = MakeDemand(mean, kHour, random);
+        kMeanHosts * (1 + kDriftAmplitude * std::sin(hour * kRadiansPerHour));
+    const std::vector<double> next = MakeDemand(mean, kHourSeconds, random);
     demand.insert(demand.end(), next.begin(), next.end());
   }
   const std::span<const double> all(demand);
@@ -305,19 +306,20 @@
   double held_misses = 0;
   double fixed_misses = 0;
   for (std::size_t hour = 1; hour <= kHours; ++hour) {
-    const auto seen = all.subspan((hour - 1) * kHour, kHour);
-    const auto next = all.subspan(hour * kHour, kHour);
+    const auto seen = all.subspan((hour - 1) * kHourSeconds, kHourSeconds);
+    const auto next = all.subspan(hour * kHourSeconds, kHourSeconds);
     const fleet::BufferPlan plan = fleet::PlanBuffer(seen, options);
-    held += plan.for_demand - kMean;
+    held += plan.for_demand - kMeanHosts;
     held_misses +=
         fleet::DeadlineMissRatio(next, plan.for_demand, options) / kHours;
-    fixed_misses +=
-        fleet::DeadlineMissRatio(next, kMean * kFixedSpare, options) / kHours;
+    fixed_misses += fleet::DeadlineMissRatio(
+                        next, kMeanHosts * kFixedSpareFactor, options) /
+                    kHours;
   }
-  const double least =
-      LeastBuffer(all.subspan(kHour), kHour, kMean, held_misses);
+  const double least = LeastBuffer(all.subspan(kHourSeconds), kHourSeconds,
+                                   kMeanHosts, held_misses);
   Print({"buffer_over_least", held / least, "ratio", "lower",
-         kMean * (kFixedSpare - 1) * kHours / least});
+         kMeanHosts * (kFixedSpareFactor - 1) * kHours / least});
   Print(
       {"buffer_deadline_misses", held_misses, "share", "lower", fixed_misses});
 }
@@ -330,13 +332,14 @@
 };
 
 // Sums the work that misses its deadline of 30 seconds, given the demand and
-// the pool size of each second. The backlog is carried over between seconds.
+// the pool size of each second, both in hosts. The backlog is carried over
+// between seconds.
 class LateWork {
  public:
   void Add(double demand, double size) {
-    constexpr double kDeadline = 30;
+    constexpr double kDeadlineSeconds = 30;
     m_backlog = std::max(0.0, m_backlog + demand - size);
-    m_missed += std::clamp(m_backlog - size * kDeadline, 0.0, demand);
+    m_missed += std::clamp(m_backlog - size * kDeadlineSeconds, 0.0, demand);
   }
   double Missed() const { return m_missed; }
 
@@ -370,14 +373,14 @@
 // 30 seconds that a move takes.
 MoveCount FollowBursts(const std::vector<double>& demand, std::uint32_t size) {
   constexpr std::size_t kMoveSeconds = 30;
-  constexpr std::uint32_t kLeast = 1;
+  constexpr std::uint32_t kMinHosts = 1;
   MoveCount count;
   LateWork late;
   std::vector<std::uint32_t> sizes(demand.size() + kMoveSeconds, size);
   std::uint32_t wanted = size;
   for (std::size_t second = 0; second < demand.size(); ++second) {
-    const auto next =
-        std::max(kLeast, static_cast<std::uint32_t>(std::ceil(demand[second])));
+    const auto next = std::max(
+        kMinHosts, static_cast<std::uint32_t>(std::ceil(demand[second])));
     count.moves += next > wanted ? next - wanted : wanted - next;
     wanted = next;
     sizes[second + kMoveSeconds] = wanted;
@@ -388,18 +391,18 @@
 }
 
 void MeasureMoves() {
-  constexpr int kPhase = 4 * 3600;
-  constexpr double kMean = 6;
-  constexpr double kShifted = 12;
-  constexpr std::uint32_t kSize = 10;
+  constexpr int kPhaseSeconds = 4 * 3600;
+  constexpr double kMeanHosts = 6;
+  constexpr double kShiftedMeanHosts = 12;
+  constexpr std::uint32_t kPoolSize = 10;
   base::Random random(kSeed);
-  std::vector<double> demand = MakeDemand(kMean, kPhase, random);
-  for (const double mean : {kShifted, kMean}) {
-    const std::vector<double> next = MakeDemand(mean, kPhase, random);
+  std::vector<double> demand = MakeDemand(kMeanHosts, kPhaseSeconds, random);
+  for (const double mean : {kShiftedMeanHosts, kMeanHosts}) {
+    const std::vector<double> next = MakeDemand(mean, kPhaseSeconds, random);
     demand.insert(demand.end(), next.begin(), next.end());
   }
-  const MoveCount lasting = FollowLastingShifts(demand, kSize);
-  const MoveCount chasing = FollowBursts(demand, kSize);
+  const MoveCount lasting = FollowLastingShifts(demand, kPoolSize);
+  const MoveCount chasing = FollowBursts(demand, kPoolSize);
   double total = 0;
   for (const double sample : demand) {
     total += sample;
@@ -451,7 +454,7 @@
   constexpr int kHeight = 260;
   constexpr int kLeft = 60;
   constexpr int kTop = 20;
-  constexpr double kShown = 12;  // The hosts that the vertical axis spans.
+  constexpr double kVerticalAxisHosts = 12;
   WaveRun run({.stuck = 3});
   run.Run();
   const auto& samples = run.Samples();
@@ -460,7 +463,7 @@
                        static_cast<double>(samples.size());
   };
   const auto y = [&](double hosts) {
-    return kTop + kHeight * (kWaveHosts + 2 - hosts) / kShown;
+    return kTop + kHeight * (kWaveHosts + 2 - hosts) / kVerticalAxisHosts;
   };
   std::string points;
   for (std::size_t second = 0; second < samples.size(); ++second) {
--- a/src/bin/measure_jobs.cpp
+++ b/src/bin/measure_jobs.cpp
@@ -73,15 +73,15 @@
 };
 
 // A run on a simulated worker, and when it ends.
-struct LiveTask {
+struct SimulatedRun {
   StartOrder order;
   cassiastile::base::TimePoint ends;
 };
 
 // A simulated worker: its runs, and the ends that are not yet acknowledged.
-struct LiveWorker {
+struct SimulatedWorker {
   std::string id;
-  std::vector<LiveTask> running;
+  std::vector<SimulatedRun> running;
   std::vector<ListedEnd> ended;
   std::uint64_t last_end = 0;
 };
@@ -134,7 +134,7 @@
       m_workers.push_back({entry.id.id, {}, {}, 0});
     }
     m_scheduler.WorkersListed(entries, m_clock.Now());
-    for (LiveWorker& worker : m_workers) {
+    for (SimulatedWorker& worker : m_workers) {
       Report(worker);
     }
   }
@@ -179,7 +179,7 @@
   void Start(const StartOrder& order) {
     m_scheduler.StartAnswered(order.worker, order.task, order.run,
                               StartResult::kRunning, m_clock.Now());
-    for (LiveWorker& worker : m_workers) {
+    for (SimulatedWorker& worker : m_workers) {
       if (worker.id == order.worker.id) {
         const milliseconds takes(400 + m_random() % 800);
         worker.running.push_back({order, m_clock.Now() + takes});
@@ -187,8 +187,8 @@
     }
   }
 
-  void Report(LiveWorker& worker) {
-    std::erase_if(worker.running, [&](const LiveTask& task) {
+  void Report(SimulatedWorker& worker) {
+    std::erase_if(worker.running, [&](const SimulatedRun& task) {
       if (task.ends > m_clock.Now()) {
         return false;
       }
@@ -200,7 +200,7 @@
     WorkerReport report;
     report.incarnation_ms = 1;
     report.clock = milliseconds(1);
-    for (const LiveTask& task : worker.running) {
+    for (const SimulatedRun& task : worker.running) {
       report.running.push_back({task.order.task, task.order.run, "", 50, 0});
     }
     report.ended = worker.ended;
@@ -216,7 +216,7 @@
   Scheduler m_scheduler;
   Random m_random;
   std::shared_ptr<FleetConfig> m_config;
-  std::vector<LiveWorker> m_workers;
+  std::vector<SimulatedWorker> m_workers;
   std::uint64_t m_job = 0;
   Timer m_submit{"submit"};
   Timer m_plan{"plan"};
@@ -230,10 +230,10 @@
 int main() {
   constexpr std::size_t kWorkers = 280;
   // 500 jobs a second, about twice the capacity of the workers.
-  constexpr int kSubmissions = 5;
+  constexpr int kSubmissionsPerRound = 5;
   Load load(kWorkers);
   for (int round = 0; round < kRounds; ++round) {
-    load.Round(round, kSubmissions);
+    load.Round(round, kSubmissionsPerRound);
   }
   load.Print();
 }
--- a/src/bin/measure_member.cpp
+++ b/src/bin/measure_member.cpp
@@ -34,8 +34,8 @@
 constexpr int kCuts = 4;
 // A heartbeat of the full-mesh baseline is 110 bytes: the headers, a name and a
 // version. Two a second leave room to lose one within the freshness period.
-constexpr double kMeshBytes = 110;
-constexpr double kMeshPerSecond = 2;
+constexpr double kHeartbeatBytes = 110;
+constexpr double kHeartbeatsPerSecond = 2;
 
 void Print(const std::string& name,
            double value,
@@ -51,10 +51,10 @@
   return static_cast<double>(base::Milliseconds(duration)) / 1000;
 }
 
-double Percentile(std::vector<double> values, double part) {
+double Percentile(std::vector<double> values, double quantile) {
   std::sort(values.begin(), values.end());
   const auto last = static_cast<double>(values.size() - 1);
-  return values[static_cast<std::size_t>(part * last)];
+  return values[static_cast<std::size_t>(quantile * last)];
 }
 
 VirtualFleetShape ShapeOf(std::uint32_t hosts) {
@@ -104,10 +104,10 @@
     polling.push_back(SlowestPoll(2 * hosts, random));
     network.Run(seconds(1));
   }
-  for (const double part : {0.5, 0.99}) {
-    Print(fmt::format("member.in_force_everywhere_p{:.0f}_{}_hosts", part * 100,
-                      hosts),
-          Percentile(times, part), "s", Percentile(polling, part));
+  for (const double quantile : {0.5, 0.99}) {
+    Print(fmt::format("member.in_force_everywhere_p{:.0f}_{}_hosts",
+                      quantile * 100, hosts),
+          Percentile(times, quantile), "s", Percentile(polling, quantile));
   }
 }
 
@@ -162,9 +162,9 @@
 double CpuSeconds() {
   timespec time{};
   clock_gettime(CLOCK_PROCESS_CPUTIME_ID, &time);
-  constexpr double kNanosecond = 1e-9;
+  constexpr double kSecondsPerNanosecond = 1e-9;
   return static_cast<double>(time.tv_sec) +
-         static_cast<double>(time.tv_nsec) * kNanosecond;
+         static_cast<double>(time.tv_nsec) * kSecondsPerNanosecond;
 }
 
 // The cost of membership for one process.
@@ -203,19 +203,20 @@
 }
 
 void MeasureCosts() {
-  constexpr double kMicrosecond = 1e-6;
+  constexpr double kSecondsPerMicrosecond = 1e-6;
   double small_cpu = 0;
   for (const std::uint32_t processes : {7U, 18U, 54U, 108U}) {
     const Cost cost = MeasureCost(processes);
-    const double mesh = (processes - 1) * kMeshBytes * kMeshPerSecond;
+    const double mesh =
+        (processes - 1) * kHeartbeatBytes * kHeartbeatsPerSecond;
     const std::string size = fmt::format("_{}_processes", processes);
     Print("member.bytes_sent_per_second" + size, cost.bytes_per_second, "B/s",
           mesh);
     Print("member.messages_sent_per_second" + size, cost.messages_per_second,
-          "1/s", (processes - 1) * kMeshPerSecond);
+          "1/s", (processes - 1) * kHeartbeatsPerSecond);
     Print("member.heap_bytes" + size, cost.heap_bytes, "B", nullptr);
-    Print("member.cpu_per_message" + size, cost.cpu_per_message / kMicrosecond,
-          "us", nullptr);
+    Print("member.cpu_per_message" + size,
+          cost.cpu_per_message / kSecondsPerMicrosecond, "us", nullptr);
     small_cpu = processes == 18 ? cost.cpu_per_message : small_cpu;
     if (processes == 108) {
       Print("member.cpu_per_message_108_over_18",
@@ -296,10 +297,10 @@
   // The baseline scans the table once per lease duration.
   const std::vector<double> baseline =
       TakeoverTimes(std::chrono::duration_cast<milliseconds>(options.lease));
-  for (const double part : {0.5, 1.0}) {
-    Print(fmt::format("member.takeover_over_lease_p{:.0f}", part * 100),
-          Percentile(times, part) - Seconds(options.lease), "s",
-          Percentile(baseline, part) - Seconds(options.lease));
+  for (const double quantile : {0.5, 1.0}) {
+    Print(fmt::format("member.takeover_over_lease_p{:.0f}", quantile * 100),
+          Percentile(times, quantile) - Seconds(options.lease), "s",
+          Percentile(baseline, quantile) - Seconds(options.lease));
   }
 }
 
--- a/src/bin/measure_requests.cpp
+++ b/src/bin/measure_requests.cpp
@@ -83,12 +83,12 @@
 }
 
 double Percentile99(std::vector<double> values) {
-  constexpr double kPart = 0.99;
+  constexpr double kQuantile = 0.99;
   if (values.empty()) {
     return 0;
   }
-  const auto index =
-      static_cast<std::ptrdiff_t>(kPart * static_cast<double>(values.size()));
+  const auto index = static_cast<std::ptrdiff_t>(
+      kQuantile * static_cast<double>(values.size()));
   std::nth_element(values.begin(), values.begin() + index, values.end());
   return values[static_cast<std::size_t>(index)];
 }
--- a/src/bin/measure_store.cpp
+++ b/src/bin/measure_store.cpp
@@ -16,7 +16,7 @@
 constexpr std::uint64_t kSeed = 11;
 constexpr int kHosts = 7;
 constexpr seconds kOutage{60};
-constexpr seconds kAfter{10};
+constexpr seconds kAfterOutage{10};
 constexpr milliseconds kCallEvery{50};
 constexpr int kBlindRetries = 20;
 
@@ -46,7 +46,7 @@
   run(kOutage);
   counts.during = table.Counts().reads;
   table.SetFaults({});
-  counts.failed_after = run(kAfter);
+  counts.failed_after = run(kAfterOutage);
   counts.after = table.Counts().reads - counts.during;
   return counts;
 }
--- a/src/bin/measure_tasks.cpp
+++ b/src/bin/measure_tasks.cpp
@@ -63,18 +63,19 @@
 
 void MeasureShares(const std::string& name, const Scenario& scenario) {
   const ShareResult ours = RunShard(scenario);
-  const ShareResult first = RunBaseline(scenario, Baseline::kFirstCome);
-  const ShareResult split = RunBaseline(scenario, Baseline::kStaticPartition);
+  const ShareResult first_come = RunBaseline(scenario, Baseline::kFirstCome);
+  const ShareResult partitioned =
+      RunBaseline(scenario, Baseline::kStaticPartition);
   Print(name + ".share_error.against_fcfs", 100 * ours.error, "%",
-        100 * first.error);
+        100 * first_come.error);
   Print(name + ".share_error.against_static", 100 * ours.error, "%",
-        100 * split.error);
+        100 * partitioned.error);
   Print(name + ".share_error_while_learning", 100 * ours.error_in_warm_up, "%",
-        100 * first.error_in_warm_up);
+        100 * first_come.error_in_warm_up);
   Print(name + ".utilisation.against_fcfs", 100 * ours.utilisation, "%",
-        100 * first.utilisation, "more");
+        100 * first_come.utilisation, "more");
   Print(name + ".utilisation.against_static", 100 * ours.utilisation, "%",
-        100 * split.utilisation, "more");
+        100 * partitioned.utilisation, "more");
   // Without batching, each state change of a task costs a write.
   constexpr double kWritesUnbatched = 4;
   Print(name + ".store_writes_per_task", ours.writes_per_task, "writes",
@@ -88,13 +89,13 @@
                                  ? "urgent.sweeps_with_checkpoint"
                                  : "urgent.sweeps_without_checkpoint";
     const UrgentTimes ours = RunUrgentShard(checkpointable, true);
-    const UrgentTimes plain = RunUrgentShard(checkpointable, false);
+    const UrgentTimes fair_share_alone = RunUrgentShard(checkpointable, false);
     const double first_come = FirstComeWait(checkpointable);
     Print(name + ".start_p50", ours.p50, "s", first_come);
     Print(name + ".start_p99", ours.p99, "s", first_come);
     Print(name + ".start_p99.against_fair_share_alone", ours.p99, "s",
-          plain.p99);
-    Print(name + ".buffer", ours.idle, "% of cores", plain.idle);
+          fair_share_alone.p99);
+    Print(name + ".buffer", ours.idle, "% of cores", fair_share_alone.idle);
   }
 }
 
@@ -121,12 +122,13 @@
 void MeasureGrowth() {
   const GrowthResult small = RunGrowth(10);
   const GrowthResult large = RunGrowth(3200);
-  constexpr double kLinear = 320;
+  constexpr double kLinearGrowth = 320;
   Print("decision.placement_cost_growth_10_to_3200",
         large.seconds_per_placement / small.seconds_per_placement, "ratio",
-        kLinear);
+        kLinearGrowth);
   Print("decision.poll_cost_growth_10_to_3200",
-        large.seconds_per_poll / small.seconds_per_poll, "ratio", kLinear);
+        large.seconds_per_poll / small.seconds_per_poll, "ratio",
+        kLinearGrowth);
   Print("state.bytes_per_task", large.bytes_per_task, "bytes", 0);
   Print("state.bytes_per_worker", large.bytes_per_worker, "bytes", 0);
 }
--- a/src/bin/measure_tasks_faults.hpp
+++ b/src/bin/measure_tasks_faults.hpp
@@ -8,13 +8,13 @@
 
 namespace measure {
 
-inline double Percentile(std::vector<double> values, double part) {
+inline double Percentile(std::vector<double> values, double quantile) {
   if (values.empty()) {
     return 0;
   }
   std::sort(values.begin(), values.end());
   const auto last = static_cast<double>(values.size() - 1);
-  return values[static_cast<std::size_t>(std::ceil(part * last))];
+  return values[static_cast<std::size_t>(std::ceil(quantile * last))];
 }
 
 constexpr seconds kUrgentRun{600};
@@ -140,7 +140,7 @@
   double stranded_static = 0;
 };
 
-constexpr std::uint32_t kLimit = 100;
+constexpr std::uint32_t kTaskLimit = 100;
 
 // Workers pause past their leases, restart and lose messages while a team is at
 // its limit. The baseline is a scheduler that forgets the runs it gave up: it
@@ -148,7 +148,7 @@
 inline void RunOverruns(LimitResult& result) {
   Scenario scenario;
   config::AcceptedFleet accepted = MakeFleet(scenario);
-  accepted.fleet.limits = {{"a", 0, kLimit}};
+  accepted.fleet.limits = {{"a", 0, kTaskLimit}};
   std::int64_t running = 0;
   std::int64_t most = 0;
   const auto log = [&](const standin::WorkerLogEntry& line) {
@@ -194,7 +194,7 @@
     }
     unconfirmed = std::max(unconfirmed, now);
   }
-  result.overruns = std::max(0.0, static_cast<double>(most) - kLimit);
+  result.overruns = std::max(0.0, static_cast<double>(most) - kTaskLimit);
   result.overruns_if_forgotten = static_cast<double>(unconfirmed);
 }
 
@@ -215,7 +215,7 @@
     config::AcceptedFleet accepted = MakeFleet(scenario);
     const std::string name = "p" + std::to_string(index);
     accepted.fleet.pools[0].name = name;
-    accepted.fleet.limits = {{"a", 0, kLimit}};
+    accepted.fleet.limits = {{"a", 0, kTaskLimit}};
     owners.push_back(std::make_unique<work::TaskOwner>(
         name, work::TaskOwnerOptions{}, table, decisions, Random(index)));
     owners[index]->SetFleet(accepted);
@@ -270,7 +270,8 @@
   const work::Moment moment{clock.Now(), clock.WallNow()};
   owners[0]->Handle(shifted_tasks, moment, {1, {"lease/p0", 0}});
   run(seconds(10), {});
-  result.stranded = 100.0 * (kLimit - static_cast<double>(running[0])) / kLimit;
+  result.stranded =
+      100.0 * (kTaskLimit - static_cast<double>(running[0])) / kTaskLimit;
   result.stranded_static = 100.0 * (kPools - 1) / kPools;
 }
 
--- a/src/bin/measure_tasks_growth.hpp
+++ b/src/bin/measure_tasks_growth.hpp
@@ -55,8 +55,8 @@
 // A new owner takes over a shard of `tasks` tasks while ten tasks a second are
 // submitted. Callers give up after two seconds.
 inline RecoveryTimes RunRecovery(std::size_t tasks, bool open_while_reading) {
-  constexpr double kSubmitEvery = 0.1;
-  constexpr double kCallerTimeout = 2;
+  constexpr double kSubmitEverySeconds = 0.1;
+  constexpr double kCallerTimeoutSeconds = 2;
   const config::AcceptedFleet accepted = MakeFleet(Scenario{});
   ManualClock clock;
   platform::MemoryTable memory;
@@ -92,13 +92,13 @@
     clock.Advance(milliseconds(25));
     std::vector<work::TaskEvent> events;
     std::vector<double> arrivals;
-    for (; static_cast<double>(sent) * kSubmitEvery <= now(); ++sent) {
+    for (; static_cast<double>(sent) * kSubmitEverySeconds <= now(); ++sent) {
       work::TaskSpec spec;
       spec.id = "new" + std::to_string(sent);
       spec.queue = "q";
       spec.team = "b";
       events.emplace_back(work::SubmitEvent{spec});
-      arrivals.push_back(static_cast<double>(sent) * kSubmitEvery);
+      arrivals.push_back(static_cast<double>(sent) * kSubmitEverySeconds);
     }
     const auto polls = workers.CollectPolls(clock.Now());
     for (const auto& poll : polls) {
@@ -107,11 +107,11 @@
     const auto results = owner.Handle(events, {clock.Now(), clock.WallNow()},
                                       {1, {"lease/p", 0}});
     for (std::size_t index = 0; index < arrivals.size(); ++index) {
-      const bool accepted_it =
+      const bool is_accepted =
           results[index].effect == work::Effect::kCommitted &&
-          now() - arrivals[index] <= kCallerTimeout;
-      times.refusals += accepted_it ? 0 : 1;
-      if (accepted_it && times.first_accept < 0) {
+          now() - arrivals[index] <= kCallerTimeoutSeconds;
+      times.refusals += is_accepted ? 0 : 1;
+      if (is_accepted && times.first_accept < 0) {
         times.first_accept = now();
       }
     }
--- a/src/bin/measure_tasks_load.hpp
+++ b/src/bin/measure_tasks_load.hpp
@@ -25,7 +25,7 @@
 
 constexpr std::uint64_t kSeed = 5;
 constexpr double kHostCores = 16;
-constexpr double kHostMemory = 64;
+constexpr double kHostMemoryGb = 64;
 constexpr std::size_t kHostsPerRack = 4;
 constexpr std::size_t kZones = 3;
 constexpr int kWindowSeconds = 60;
@@ -63,7 +63,7 @@
 
 inline work::Resources CapacityOf(const Scenario& scenario) {
   const auto hosts = static_cast<double>(scenario.hosts);
-  return {hosts * kHostCores, hosts * kHostMemory, 0};
+  return {hosts * kHostCores, hosts * kHostMemoryGb, 0};
 }
 
 inline config::AcceptedFleet MakeFleet(const Scenario& scenario) {
@@ -102,9 +102,9 @@
   TaskSource(const Scenario& scenario, const TeamLoad& team, std::uint64_t seed)
       : m_team(team), m_random(seed) {
     const work::Resources each{team.cores, team.memory_gb, 0};
-    const double part = work::DominantShare(each, CapacityOf(scenario));
+    const double task_share = work::DominantShare(each, CapacityOf(scenario));
     m_tasks_per_second = team.demand * team.weight / TotalWeight(scenario) /
-                         (part * team.seconds);
+                         (task_share * team.seconds);
   }
 
   // Returns the tasks submitted in the next `span` of time.
@@ -130,7 +130,8 @@
     spec.kind = "k" + std::to_string(m_drawn % 2);
     spec.idempotent = true;
     spec.declared = {std::min(kHostCores, cores * m_team.declared_factor),
-                     std::min(kHostMemory, memory * m_team.declared_factor), 0};
+                     std::min(kHostMemoryGb, memory * m_team.declared_factor),
+                     0};
     spec.seconds = length * m_team.declared_factor;
     spec.payload = nlohmann::json{
         {"cores", cores},
@@ -147,8 +148,9 @@
   std::uint64_t m_drawn = 0;
 };
 
-// Sums each team's real usage in windows of a minute. A team's part of a window
-// is its dominant share: the largest of its shares of the single resources.
+// Sums each team's real usage in windows of a minute. A team's usage in a
+// window counts as its dominant share: the largest of its shares of the single
+// resources.
 class UsageMeter {
  public:
   explicit UsageMeter(const Scenario& scenario) : m_scenario(scenario) {}
@@ -182,12 +184,12 @@
       }
       double total = 0;
       for (const TeamLoad& team : m_scenario.teams) {
-        total += PartOf(used, team.name);
+        total += DominantShareOf(used, team.name);
       }
       for (const TeamLoad& team : m_scenario.teams) {
-        const double part = PartOf(used, team.name) / total;
+        const double used_share = DominantShareOf(used, team.name) / total;
         const double share = team.weight / weights;
-        largest = std::max(largest, std::abs(part / share - 1));
+        largest = std::max(largest, std::abs(used_share / share - 1));
       }
     }
     return largest;
@@ -218,7 +220,7 @@
     return start >= m_scenario.warm_up.count();
   }
 
-  double PartOf(const Used& used, const std::string& team) const {
+  double DominantShareOf(const Used& used, const std::string& team) const {
     const auto found = used.find(team);
     return found == used.end()
                ? 0
--- a/src/bin/measure_tasks_run.hpp
+++ b/src/bin/measure_tasks_run.hpp
@@ -70,7 +70,7 @@
   platform::MemoryTable table;
 
  private:
-  NullDecisionSink m_decisions;
+  NullDecisionSink m_decisions;  // Before the owner, which refers to it.
 
  public:
   work::TaskOwner owner;
@@ -167,9 +167,9 @@
   std::vector<std::deque<work::TaskSpec>> queues(split ? sources.size() : 1);
   std::vector<work::Resources> free;
   for (std::size_t index = 0; index < queues.size(); ++index) {
-    const double part =
+    const double fraction =
         split ? scenario.teams[index].weight / TotalWeight(scenario) : 1;
-    free.push_back(CapacityOf(scenario) * part);
+    free.push_back(CapacityOf(scenario) * fraction);
   }
   std::priority_queue<Running> running;
   const double step = std::chrono::duration<double>(scenario.step).count();
@@ -181,8 +181,8 @@
       }
     }
     while (!running.empty() && running.top().end <= now) {
-      const Running& over = running.top();
-      free[over.partition] = free[over.partition] + over.declared;
+      const Running& finished = running.top();
+      free[finished.partition] = free[finished.partition] + finished.declared;
       running.pop();
     }
     for (std::size_t index = 0; index < queues.size(); ++index) {
