--- a/include/cassiastile/control/control_host.hpp
+++ b/include/cassiastile/control/control_host.hpp
@@ -45,9 +45,9 @@
   ControlHost(const ControlHost&) = delete;
   ControlHost& operator=(const ControlHost&) = delete;
 
-  // Drains the HTTP server for at most the drain notice and the deadline, then
-  // releases the shards and leaves the membership. Returns the number of calls
-  // that were cut off unanswered.
+  // Answers the calls already accepted, within the drain notice and deadline,
+  // then releases the shards and leaves the membership. Returns the number of
+  // calls cut off unanswered.
   std::size_t Stop();
 
  private:
--- a/include/cassiastile/control/pool_service.hpp
+++ b/include/cassiastile/control/pool_service.hpp
@@ -30,8 +30,8 @@
 // The objects that the service uses. All must outlive it.
 struct PoolServiceDependencies {
   const base::Clock& clock;
-  const config::FleetSource& source;
-  const member::ShardOwner& owner;
+  const config::FleetSource& fleet;
+  const member::ShardOwner& shard_owner;
   platform::Table& table;
   platform::Machines& machines;
   fleet::HostWorkSource& work;
--- a/include/cassiastile/control/shard_forwarder.hpp
+++ b/include/cassiastile/control/shard_forwarder.hpp
@@ -29,10 +29,10 @@
   // Runs the handler if this host owns the shard, else forwards the request to
   // the owner, once. The response says "not run" if no owner is known or the
   // owner can't be reached, and "unknown" if the owner's response is lost.
-  void Handle(const std::string& shard,
-              wire::HttpRequest request,
-              wire::HttpResponder respond,
-              const ShardHandler& handler) const;
+  void HandleOrForward(const std::string& shard,
+                       wire::HttpRequest request,
+                       wire::HttpResponder respond,
+                       const ShardHandler& handler) const;
 
  private:
   const base::Clock& m_clock;
--- a/include/cassiastile/control/task_event_batcher.hpp
+++ b/include/cassiastile/control/task_event_batcher.hpp
@@ -29,7 +29,7 @@
 struct TaskServiceDependencies {
   platform::Table& table;
   const config::FleetSource& fleet;
-  const member::ShardOwner& owner;
+  const member::ShardOwner& shard_owner;
   const fleet::PoolView& pools;
   base::DecisionSink& decisions;
   const base::Clock& clock;
@@ -44,7 +44,7 @@
   std::chrono::milliseconds write_interval{150};
   // The maximum wait for an event; then a batch without events runs, for
   // timeouts.
-  std::chrono::milliseconds tick{250};
+  std::chrono::milliseconds max_idle_time{250};
   // The maximum number of cancellations in one batch, so that a burst of them
   // does not delay starts.
   std::size_t max_cancels = 256;
--- a/src/cassiastile/control/pool_operator_actions.cpp
+++ b/src/cassiastile/control/pool_operator_actions.cpp
@@ -34,11 +34,11 @@
     const wire::HttpRequest& request,
     config::SectionName section) const {
   base::Result<std::string> name = AuthenticateOperator(
-      m_dependencies.source, request, m_dependencies.clock.Now());
+      m_dependencies.fleet, request, m_dependencies.clock.Now());
   if (!name) {
     return name;
   }
-  const auto document = m_dependencies.source.Current();
+  const auto document = m_dependencies.fleet.Current();
   const auto& ownership = document->fleet.ownership;
   const bool owns =
       std::any_of(ownership.begin(), ownership.end(), [&](const auto& entry) {
@@ -119,7 +119,7 @@
 
 void PoolService::AnswerWave(const wire::HttpRequest& request,
                              const wire::HttpResponder& respond) const {
-  const auto name = AuthenticateOperator(m_dependencies.source, request,
+  const auto name = AuthenticateOperator(m_dependencies.fleet, request,
                                          m_dependencies.clock.Now());
   if (!name) {
     respond(wire::MakeErrorResponse(name.error()));
--- a/src/cassiastile/control/pool_service.cpp
+++ b/src/cassiastile/control/pool_service.cpp
@@ -80,7 +80,7 @@
 
 void PoolService::RunOnce() {
   const std::lock_guard round_lock(m_round_mutex);
-  m_document = m_dependencies.source.Current();
+  m_document = m_dependencies.fleet.Current();
   if (m_document == nullptr) {
     return;
   }
@@ -105,7 +105,7 @@
     if (IsStopping()) {
       return;
     }
-    const auto shard_lease = m_dependencies.owner.CurrentLease(
+    const auto shard_lease = m_dependencies.shard_owner.CurrentLease(
         pool.name, m_dependencies.clock.Now());
     if (shard_lease) {
       m_reconciler.Tick(pool.name, shard_lease->fence);
@@ -118,8 +118,8 @@
 void PoolService::TickRemovedPools() {
   const config::Fleet& fleet = m_document->fleet;
   if (fleet.pools.empty() ||
-      !m_dependencies.owner.CurrentLease(fleet.pools.front().name,
-                                         m_dependencies.clock.Now())) {
+      !m_dependencies.shard_owner.CurrentLease(fleet.pools.front().name,
+                                               m_dependencies.clock.Now())) {
     return;
   }
   std::vector<std::string> removed;
--- a/src/cassiastile/control/shard_forwarder.cpp
+++ b/src/cassiastile/control/shard_forwarder.cpp
@@ -58,10 +58,10 @@
                                wire::HttpClient& client)
     : m_clock(clock), m_owner(owner), m_client(client) {}
 
-void ShardForwarder::Handle(const std::string& shard,
-                            wire::HttpRequest request,
-                            wire::HttpResponder respond,
-                            const ShardHandler& handler) const {
+void ShardForwarder::HandleOrForward(const std::string& shard,
+                                     wire::HttpRequest request,
+                                     wire::HttpResponder respond,
+                                     const ShardHandler& handler) const {
   if (const auto shard_lease = m_owner.CurrentLease(shard, m_clock.Now())) {
     handler(*shard_lease, std::move(request), std::move(respond));
     return;
--- a/src/cassiastile/control/task_event_batcher.cpp
+++ b/src/cassiastile/control/task_event_batcher.cpp
@@ -99,7 +99,7 @@
 
 std::vector<TaskEventBatcher::Item> TaskEventBatcher::WaitForItems() {
   std::unique_lock lock(m_mutex);
-  m_changed.wait_for(lock, m_options.tick,
+  m_changed.wait_for(lock, m_options.max_idle_time,
                      [this] { return m_stopping || !m_items.empty(); });
   const base::Duration delay = m_next_batch_at - m_dependencies.clock.Now();
   if (!m_stopping && delay > base::Duration{}) {
@@ -125,7 +125,7 @@
   const base::TimePoint now = m_dependencies.clock.Now();
   m_next_batch_at = now + m_options.batch_interval;
   RefreshViews(now);
-  const auto shard_lease = m_dependencies.owner.CurrentLease(m_pool, now);
+  const auto shard_lease = m_dependencies.shard_owner.CurrentLease(m_pool, now);
   if (!shard_lease) {
     Refuse(items, BatcherRefusal::kNotOwner);
     RefreshStatus(now, false);
--- a/src/cassiastile/control/task_service.cpp
+++ b/src/cassiastile/control/task_service.cpp
@@ -163,17 +163,17 @@
   spec->queue = queue->name;
   spec->team = queue->team;
   spec->urgent = queue->urgent;
-  m_forwarder.Handle(queue->pool, std::move(request), std::move(respond),
-                     [this, spec = *spec](const member::ShardLease& shard_lease,
-                                          const wire::HttpRequest&,
-                                          const wire::HttpResponder& answer) {
-                       BatcherOf(shard_lease.shard)
-                           ->Submit(
-                               work::SubmitEvent{spec}, work::KeyOf(spec),
-                               [spec, answer](const BatcherResult& result) {
-                                 answer(MakeSubmitResponse(result, spec));
-                               });
+  m_forwarder.HandleOrForward(
+      queue->pool, std::move(request), std::move(respond),
+      [this, spec = *spec](const member::ShardLease& shard_lease,
+                           const wire::HttpRequest&,
+                           const wire::HttpResponder& answer) {
+        BatcherOf(shard_lease.shard)
+            ->Submit(work::SubmitEvent{spec}, work::KeyOf(spec),
+                     [spec, answer](const BatcherResult& result) {
+                       answer(MakeSubmitResponse(result, spec));
                      });
+      });
 }
 
 void TaskService::HandleRead(wire::HttpRequest request,
@@ -204,7 +204,7 @@
     return;
   }
   const std::string key = TaskKeyOf(request);
-  m_forwarder.Handle(
+  m_forwarder.HandleOrForward(
       queue->pool, std::move(request), std::move(respond),
       [this, key, call = std::move(call)](const member::ShardLease& shard_lease,
                                           const wire::HttpRequest&,
@@ -236,13 +236,14 @@
   }
   const std::string key = TaskKeyOf(request);
   const work::ResolveEvent event{key, *outcome, *who};
-  m_forwarder.Handle(queue->pool, std::move(request), std::move(respond),
-                     [this, event](const member::ShardLease& shard_lease,
-                                   const wire::HttpRequest&,
-                                   const wire::HttpResponder& answer) {
-                       BatcherOf(shard_lease.shard)
-                           ->Submit(event, event.key, AnswerWithTask(answer));
-                     });
+  m_forwarder.HandleOrForward(
+      queue->pool, std::move(request), std::move(respond),
+      [this, event](const member::ShardLease& shard_lease,
+                    const wire::HttpRequest&,
+                    const wire::HttpResponder& answer) {
+        BatcherOf(shard_lease.shard)
+            ->Submit(event, event.key, AnswerWithTask(answer));
+      });
 }
 
 void TaskService::HandlePoll(wire::HttpRequest request,
@@ -268,7 +269,7 @@
                     ? MakeRenewalResponse(pool, lease, poll_after)
                     : std::move(response));
       };
-  m_forwarder.Handle(
+  m_forwarder.HandleOrForward(
       pool, std::move(request), std::move(renew_without_owner),
       [this, poll = *poll, home](const member::ShardLease& shard_lease,
                                  const wire::HttpRequest&,
