--- a/src/cassiastile/operator/log_explanation.cpp
+++ b/src/cassiastile/operator/log_explanation.cpp
@@ -311,9 +311,10 @@
     return gap;
   }
 
-  // The longest time in milliseconds from the first to the last start of one
-  // task: first among the tasks with a run that the logs show to have ended or
-  // been stopped, second among the others, whose runs count as lost.
+  // The longest time in milliseconds from the first to the last start of a task
+  // that was started more than once: first among the tasks with a run that the
+  // logs show to have ended or been stopped, second among the others, whose
+  // runs count as lost.
   std::pair<double, double> TimeOfRepeatedRuns() const {
     std::map<std::string, std::vector<const Json*>> starts;
     std::set<std::string> ended;
