--- a/src/cassiastile/control/shard_forwarder.cpp
+++ b/src/cassiastile/control/shard_forwarder.cpp
@@ -20,7 +20,8 @@
   return wire::MakeProblemResponse(problem);
 }
 
-wire::HttpResponse MakeLostResponse(const wire::HttpFailure& failure) {
+wire::HttpResponse MakeForwardFailureResponse(
+    const wire::HttpFailure& failure) {
   const bool not_sent = failure.state == wire::SendState::kNotSent;
   wire::Problem problem;
   problem.status = not_sent ? 503 : 502;
@@ -57,10 +58,10 @@
                                wire::HttpClient& client)
     : m_clock(clock), m_owner(owner), m_client(client) {}
 
-void ShardForwarder::Handle(const std::string& shard,
-                            wire::HttpRequest request,
-                            wire::HttpResponder respond,
-                            const ShardHandler& handler) const {
+void ShardForwarder::HandleOrForward(const std::string& shard,
+                                     wire::HttpRequest request,
+                                     wire::HttpResponder respond,
+                                     const ShardHandler& handler) const {
   if (const auto shard_lease = m_owner.CurrentLease(shard, m_clock.Now())) {
     handler(*shard_lease, std::move(request), std::move(respond));
     return;
@@ -74,8 +75,9 @@
   }
   m_client.Start(MakeForwardCall(address, std::move(request)),
                  [respond](wire::HttpOutcome outcome) {
-                   respond(outcome ? std::move(*outcome)
-                                   : MakeLostResponse(outcome.error()));
+                   respond(outcome
+                               ? std::move(*outcome)
+                               : MakeForwardFailureResponse(outcome.error()));
                  });
 }
 
