--- a/include/cassiastile/jobs/admission.hpp
+++ b/include/cassiastile/jobs/admission.hpp
@@ -13,7 +13,9 @@
 // Why a submitted job was not accepted.
 enum class RefusalReason : std::uint8_t {
   kNone,
-  kOverload,          // It would miss its objective behind the backlog.
+  // It would miss its objective behind the backlog, or its customer is beyond
+  // its share and there is no free capacity.
+  kOverload,
   kStoreUnavailable,  // The store can't record jobs now.
   kNoScheduler,       // No host is the leader.
   kTooLarge,          // A task exceeds the capacity of every worker.
@@ -27,38 +29,38 @@
     {RefusalReason::kTooLarge, "too large"},
 }};
 
-// The state of a pool and of a job that asks to be admitted to it.
+// A job to be admitted to a pool, and the state of that pool.
 struct AdmissionInput {
   Work backlog;  // Accepted work that is not done yet.
   // Capacity usable by finite tasks, including machines being moved
   // into the pool.
   Resources pool;
-  // Whether its customer submits more jobs per second than its weight.
+  // Whether the job's customer submits more jobs per second than its weight.
   bool beyond_share = false;
-  bool fits_now = false;  // There is free capacity for its first step.
+  bool fits_now = false;  // There is free capacity for the job's first step.
   // Expected duration of the job's longest chain of steps.
   std::chrono::milliseconds critical_path{0};
   // Time left until the job's objective, which counts from its first request;
   // negative when the objective has passed.
-  std::chrono::milliseconds objective{0};
+  std::chrono::milliseconds time_to_objective{0};
 };
 
 // The decision on one job, with the values behind it.
 struct AdmissionVerdict {
   bool admitted = true;
+  // For a refused job: the time after which a retry can succeed.
   std::chrono::milliseconds retry_after{0};
-  // The values compared: the expected wait behind the backlog, and the longest
-  // wait with which the job still meets its objective, but at least a small
-  // minimum that every job gets.
-  std::chrono::milliseconds wait{0};
+  std::chrono::milliseconds wait{0};  // Expected, behind the backlog.
+  // The longest wait with which the job still meets its objective, but at least
+  // a small minimum that every job gets.
   std::chrono::milliseconds slack{0};
 };
 
 // Decides whether a job is accepted. A customer beyond its share is served from
 // free capacity only, so that a burst from one customer doesn't displace the
 // jobs of others. When demand exceeds the pool, a job that would miss its
-// objective behind the backlog is refused at once, with the time after which a
-// retry can succeed: accepting it would make it and the jobs behind it late.
+// objective behind the backlog is refused at once: accepting it would make it
+// and the jobs behind it late.
 AdmissionVerdict Admit(const AdmissionInput& input);
 
 }  // namespace cassiastile::jobs
--- a/include/cassiastile/jobs/arrival_meter.hpp
+++ b/include/cassiastile/jobs/arrival_meter.hpp
@@ -27,11 +27,11 @@
 class FirstArrivals {
  public:
   // Returns when the job was first submitted, which is `now` for a new job.
-  base::TimePoint Note(const std::string& job, base::TimePoint now);
+  base::TimePoint RecordArrival(const std::string& job, base::TimePoint now);
 
  private:
-  std::unordered_map<std::string, base::TimePoint> m_first;
-  std::deque<std::pair<base::TimePoint, std::string>> m_order;
+  std::unordered_map<std::string, base::TimePoint> m_arrival_of_job;
+  std::deque<std::pair<base::TimePoint, std::string>> m_oldest_first;
 };
 
 // Measures the rate at which work is submitted, including refused jobs. A job
@@ -51,7 +51,7 @@
     Work work;
     base::TimePoint at{};
   };
-  void Forget(base::TimePoint now);
+  void RemoveExpired(base::TimePoint now);
 
   std::deque<Arrival> m_arrivals;
   std::unordered_set<std::string> m_jobs;  // Ids of the jobs in m_arrivals.
--- a/include/cassiastile/jobs/duration_model.hpp
+++ b/include/cassiastile/jobs/duration_model.hpp
@@ -25,7 +25,9 @@
                std::chrono::milliseconds estimate,
                std::chrono::milliseconds taken);
 
-  // The expected duration of one task.
+  // The expected duration of one task; `estimate` is zero if the caller gave
+  // none. Without observations on the queue, it is the estimate, or 1 s if
+  // there is none.
   std::chrono::milliseconds Expect(const std::string& queue,
                                    std::chrono::milliseconds estimate) const;
   // For each step, the expected time from its start to the end of the job. The
@@ -53,7 +55,7 @@
     // Actual over estimated duration, as a geometric mean.
     double ratio = 1;
     // Mean squared logarithm of actual over predicted duration, for predictions
-    // by mean_ms; ratio_error is the same for predictions by ratio.
+    // by mean_ms and by ratio.
     double mean_error = 1;
     double ratio_error = 1;
     int samples = 0;
--- a/include/cassiastile/jobs/fleet_config.hpp
+++ b/include/cassiastile/jobs/fleet_config.hpp
@@ -13,7 +13,7 @@
 namespace cassiastile::jobs {
 
 // The time that a queue's placement advisor takes, in total and per worker, and
-// for how long its answer is valid.
+// for how long its answer is valid. The scheduler uses only `validity`.
 struct AdviceConfig {
   std::chrono::milliseconds decision{0};
   std::chrono::milliseconds per_worker{0};
@@ -38,7 +38,7 @@
 // A service is a pool of machines whose workers run the tasks of its queues.
 struct ServiceConfig {
   std::string name;
-  bool workers_guard_capacity = true;
+  bool workers_guard_capacity = true;  // Not used by the scheduler.
   // The spare pool, whose machines are off and cost nothing.
   bool standby = false;
 };
@@ -46,7 +46,8 @@
 // A customer with its share, resource limit and API keys.
 struct CustomerConfig {
   std::string name;
-  // Submitting more jobs per second than this is beyond its share.
+  // Its share, in submitted jobs per second. Jobs beyond it get only free
+  // capacity.
   double weight = 1.0;
   Resources limit;  // 0 means no limit for that resource.
   std::vector<std::string> keys;
--- a/include/cassiastile/jobs/job.hpp
+++ b/include/cassiastile/jobs/job.hpp
@@ -34,12 +34,12 @@
 
 // The state of a run as the scheduler knows it.
 enum class RunPhase : std::uint8_t {
-  kPlanned,    // Placed; its record is not committed yet.
-  kStarting,   // The start order is not answered yet.
-  kRunning,    // The worker has confirmed it.
-  kDoubtful,   // The outcome of the start order is unknown.
-  kStopping,   // A stop order was sent.
-  kRecovered,  // Read from the store; its worker has not reported yet.
+  kPlanned,       // Placed; its record is not committed yet.
+  kStarting,      // The start order is not answered yet.
+  kRunning,       // The worker has confirmed it.
+  kStartUnknown,  // The outcome of the start order is unknown.
+  kStopping,      // A stop order was sent.
+  kRecovered,     // Read from the store; its worker has not reported yet.
 };
 
 // One attempt at a task on one worker.
@@ -49,6 +49,7 @@
   std::string machine;  // The machine of the worker.
   RunPhase phase = RunPhase::kPlanned;
   StopReason stop_reason = StopReason::kUnknown;  // Valid in phase kStopping.
+  // When it was placed, or a start, stop or pace order was last given.
   base::TimePoint ordered_at{};
   // When the worker last confirmed the run or a stop order, or the outcome of
   // a start became unknown; zero while a start or stop order is unanswered.
@@ -56,9 +57,9 @@
   base::TimePoint progressed_at{};  // When `percent` last changed.
   // Since when a long-running task serves users; zero while it does not.
   base::TimePoint serving_since{};
-  int percent = -1;
-  int paced_percent = 100;
-  std::int64_t load = 0;
+  int percent = -1;         // Progress; -1 until the worker has listed the run.
+  int paced_percent = 100;  // For fillers: the speed last ordered.
+  std::int64_t load = 0;    // See ListedRun::load.
   // The newest checkpoint of this run, or the one it was started from.
   std::string checkpoint;
 };
@@ -69,20 +70,20 @@
   // Numbers of the failed runs. An end is listed again until it is known to be
   // stored, so a plain counter could count it twice.
   std::vector<std::uint32_t> failed_runs;
-  std::uint32_t last_run = 0;
-  std::string checkpoint;
+  std::uint32_t last_run = 0;  // Number of the last run; 0 for none.
+  std::string checkpoint;      // The newest; empty if there is none.
   // Runs that may be alive. A task is placed again only when it has none.
   std::vector<Run> runs;
   std::string avoided_worker;  // Where the last run failed or was stuck.
-  // Since when a long-running task has stopped serving; zero otherwise.
+  // When a long-running task stopped serving; zero otherwise.
   base::TimePoint unavailable_since{};
 };
 
 // The progress of one step of an occurrence.
 struct StepState {
   std::vector<Task> tasks;
-  std::uint32_t done = 0;
-  bool ready = false;  // All steps that it depends on are done.
+  std::uint32_t done = 0;  // Number of tasks that are done.
+  bool ready = false;      // All steps that it depends on are done.
   // Indices of the tasks to place; empty until the step is ready.
   std::vector<std::uint32_t> waiting;
 };
@@ -102,10 +103,9 @@
   std::string customer;  // Empty for jobs submitted without a key.
   JobSpec spec;
   base::TimePoint arrived_at{};  // When it was first submitted.
-  // The same by the wall clock of the leader that accepted it, from which the
-  // next leader derives the job's age. Wall clocks may jump; a wrong age only
-  // affects the order of jobs, the backlog that admission sees and reported
-  // ages.
+  // The same by the accepting leader's wall clock, since 1970; the next leader
+  // derives the job's age from it. Wall clocks may jump: a wrong age affects
+  // only the order of jobs, the backlog that admission sees and reported ages.
   std::chrono::milliseconds arrived_wall{0};
   base::TimePoint objective{};  // Time by which it should be done.
   // Time after which its result has no value.
@@ -139,6 +139,7 @@
 Occurrence* FindOccurrence(Job& job, std::uint32_t number);
 // The task, or null when the job has no such occurrence, step or task.
 Task* FindTask(const TaskRef& ref);
+// The spec of the task's step.
 const StepSpec& SpecOf(const TaskRef& ref);
 TaskId IdOf(const TaskRef& ref);
 // The key of a step of one occurrence, "job.occurrence.step", for data that
@@ -155,10 +156,12 @@
 // Makes the steps ready whose predecessors are done, and queues their tasks.
 void RefreshReadySteps(Job& job, Occurrence& occurrence);
 
-// Serialize a job's record and its progress for the store, and read them back.
+// Serialize a job's record, which never changes, and its progress for the
+// store.
 std::string EncodeRecord(const Job& job);
 std::string EncodeProgress(const Job& job);
-// Fails with kInvalid when the bytes were not written by the functions above.
+// Read them back: DecodeRecord makes the job, DecodeProgress adds to it. Fail
+// with kInvalid when the bytes were not written by the functions above.
 base::Result<Job> DecodeRecord(const std::string& id, const std::string& bytes);
 base::Result<void> DecodeProgress(Job& job, const std::string& bytes);
 
--- a/include/cassiastile/jobs/job_spec.hpp
+++ b/include/cassiastile/jobs/job_spec.hpp
@@ -18,8 +18,8 @@
   // The caller's estimate of a task's duration; often far off.
   std::chrono::milliseconds estimate{0};
   std::vector<std::uint32_t> after;  // Earlier steps that must be done first.
-  bool checkpointing = false;
-  bool gang = false;  // Makes progress only while all tasks run.
+  bool checkpointing = false;        // A later run resumes from a checkpoint.
+  bool gang = false;                 // Makes progress only while all tasks run.
   // Slower when spread over racks; not used in placement.
   bool single_rack = false;
   // Several runs of a task may be alive at once; the first success counts. The
@@ -28,13 +28,14 @@
   bool long_running = false;  // Runs until the job is cancelled.
   // A filler: uses CPU that other tasks leave idle, and reserves none.
   bool fills = false;
+  // The kind or the rack that a worker must have; empty for any.
   std::string required_label;
   std::string data_rack;             // The rack of its data; slower elsewhere.
   std::uint32_t max_per_worker = 0;  // 0 for no limit.
   // Tasks that may be unavailable at the same time; 0 for no limit.
   std::uint32_t max_unavailable = 0;
   std::string image;
-  // Bound of the tail latency; 0 for none.
+  // Upper limit of the tail latency of a long-running task; 0 for none.
   std::chrono::milliseconds target{0};
 };
 
@@ -46,7 +47,7 @@
   // once, without a due time.
   std::uint32_t repeats = 0;
   std::chrono::milliseconds first_due{0};  // When the first is due, since 1970.
-  std::chrono::milliseconds interval{0};
+  std::chrono::milliseconds interval{0};   // Between due times.
 
   std::uint32_t Occurrences() const { return repeats == 0 ? 1 : repeats; }
 };
--- a/include/cassiastile/jobs/pool_plan.hpp
+++ b/include/cassiastile/jobs/pool_plan.hpp
@@ -15,18 +15,19 @@
   std::string name;
   std::string pool;
   Resources capacity;
-  bool movable = false;   // Up and without runs.
-  bool arriving = false;  // Being moved into the pool.
-  base::TimePoint idle_since{};
+  bool movable = false;          // Up and without runs.
+  bool arriving = false;         // Being moved into the pool.
+  base::TimePoint idle_since{};  // Used only if the machine is movable.
 };
 
 // The demand on one pool.
 struct PoolDemand {
-  bool standby = false;
+  bool standby = false;         // The spare pool.
   Resources used;               // By all tasks.
   Resources long_running_used;  // By long-running tasks.
   Resources unplaced;           // Needed by tasks that could not be placed.
   Work arriving;                // Submitted per millisecond.
+  // Least number of machines, if above PoolPlanOptions::min_machines.
   std::size_t min_machines = 0;
 };
 
@@ -51,7 +52,7 @@
   // A machine is taken for another pool only after a short idle time. It goes
   // to the spare pool when keeping it would cost more than two moves.
   std::chrono::milliseconds idle_before_lending{300};
-  std::chrono::milliseconds idle_before_leaving{2000};
+  std::chrono::milliseconds idle_before_release{2000};
 };
 
 // The capacity that a pool should have: that of its long-running tasks, plus
--- a/include/cassiastile/jobs/scheduler.hpp
+++ b/include/cassiastile/jobs/scheduler.hpp
@@ -28,9 +28,9 @@
   WorkerId worker;
   TaskId task;
   std::uint32_t run = 0;
-  std::string payload;
-  std::string checkpoint;
-  std::string ticket;
+  std::string payload;     // JobSpec::payload.
+  std::string checkpoint;  // To resume from; empty to start anew.
+  std::string ticket;      // Of the placement advisor; empty without one.
 };
 
 // Orders a worker to stop a run.
@@ -54,7 +54,7 @@
   std::string job;
   std::uint32_t occurrence = 0;
   std::uint32_t step = 0;
-  std::vector<std::string> workers;
+  std::vector<std::string> workers;  // The candidates, by id.
   std::chrono::milliseconds validity{0};
 };
 
@@ -76,9 +76,10 @@
 // The rows of one transaction, and what may take effect once it is committed.
 struct Batch {
   std::vector<JobRow> rows;
+  // Starts to order, as task and run number.
   std::vector<std::pair<TaskRef, std::uint32_t>> starts;
-  std::vector<std::string> accepted;
-  std::vector<std::pair<std::string, JobPhase>> phases;
+  std::vector<std::string> accepted;  // Jobs whose acceptance it commits.
+  std::vector<std::pair<std::string, JobPhase>> phases;  // By job.
   // Sequence number of the last end that the rows cover, by worker.
   std::vector<std::pair<WorkerId, std::uint64_t>> ends;
 };
@@ -117,6 +118,7 @@
   std::int64_t long_running_runs = 0;
   // Reserved in this planning round for a task that fits nowhere yet.
   Resources reserved;
+  // Runs that may be alive, as task and run number.
   std::vector<std::pair<TaskRef, std::uint32_t>> runs;
   std::uint64_t last_end = 0;  // Sequence number of the newest end seen.
   // Sequence number of the newest end that the store covers.
@@ -128,7 +130,7 @@
   bool cordoned = false;
   bool wants_report = false;  // A report is needed to settle a run.
 
-  // Adds a run of a step to the capacity in use, and removes it again.
+  // Add a run of a step to the capacity in use, and remove it.
   void Use(const StepSpec& step);
   void Release(const StepSpec& step);
 };
@@ -136,7 +138,7 @@
 // Decides which tasks run where. It does no I/O: observations and the time go
 // in, orders and rows come out. Only the leader's scheduler gives orders. Each
 // start is recorded in the store before it is ordered, so that the next leader
-// knows every run that may be alive.
+// knows every run that may be alive. Not thread-safe.
 class Scheduler {
  public:
   explicit Scheduler(SchedulerOptions options);
@@ -160,8 +162,8 @@
                     JobSpec spec,
                     base::TimePoint now,
                     base::WallTime wall);
-  // Returns false when there is no such job. Acknowledge once the phase is
-  // committed.
+  // Cancels a job that is not finished. Returns false when there is no such
+  // job. Acknowledge once the phase is committed.
   bool Cancel(const std::string& id, base::TimePoint now);
   // The job, or null.
   const Job* FindJob(const std::string& id) const;
@@ -170,10 +172,14 @@
 
   // Observations of workers, and answers to orders.
 
-  // `entries` is the platform's whole list.
+  // The platform's whole list was read. A newer incarnation of a worker drops
+  // the runs of the one before; an unlisted worker is kept while it has runs or
+  // its lease may be valid.
   void WorkersListed(const std::vector<WorkerEntry>& entries,
                      base::TimePoint now);
-  // `asked_at` is when the report was requested.
+  // A worker has reported; `asked_at` is when the report was requested. A
+  // confirmed run that is missing from it has ended. A report of an older
+  // incarnation is ignored.
   void WorkerReported(const std::string& worker,
                       const WorkerReport& report,
                       base::TimePoint asked_at,
@@ -182,8 +188,8 @@
   void WorkerSilent(const std::string& worker, base::TimePoint now);
   // The platform says that this incarnation of a worker has ended.
   void WorkerGone(const WorkerId& worker, base::TimePoint now);
-  // The same, by our own order: the worker need not be asked for reports any
-  // more.
+  // The same, by the leader's own order: the worker need not be asked for
+  // reports any more.
   void WorkerTerminated(const WorkerId& worker, base::TimePoint now);
   // A lease was sent to the worker that ends at `bound` at the latest.
   void LeaseSent(const std::string& worker, base::TimePoint bound);
@@ -198,7 +204,8 @@
                     const TaskId& task,
                     std::uint32_t run,
                     base::TimePoint now);
-  // The advisor has answered: `allowed` holds workers with placement tickets.
+  // The advisor has answered. `allowed` holds the ids of workers that may run
+  // the step, with their placement tickets.
   void AdviceAnswered(
       const AdviceRequest& request,
       const std::vector<std::pair<std::string, std::string>>& allowed,
@@ -209,10 +216,12 @@
   // and places waiting tasks.
   void Plan(base::TimePoint now, base::WallTime wall);
 
-  // The next rows to write, at most `max_rows`; empty if there are none.
+  // The next rows to write, at most `max_rows`, which must be 2 or more; empty
+  // if there are none. The jobs in it count as written, so a scheduler whose
+  // batch could not be committed must be discarded.
   Batch TakeBatch(std::size_t max_rows, base::TimePoint now);
   // Whether there are rows that should be written without delay.
-  bool HasUrgentRows() const { return m_urgent; }
+  bool HasUrgentRows() const { return m_has_urgent_rows; }
   bool HasRows() const { return !m_dirty.empty(); }
   // The batch is committed: updates the jobs and orders the starts in it.
   void Confirm(const Batch& batch, base::TimePoint now);
@@ -224,8 +233,8 @@
   // max_unavailable of a step. Includes workers that are not listed, since
   // their runs may be alive.
   bool CanDrainMachine(const std::string& machine) const;
-  // Stops those long-running tasks of a cordoned worker that their step's
-  // max_unavailable allows to become unavailable now; they are restarted
+  // Stops the long-running tasks of a cordoned worker that may become
+  // unavailable now by their step's max_unavailable; they are restarted
   // elsewhere. Tasks without such a limit run until the worker ends.
   void Evacuate(const std::string& worker, base::TimePoint now);
   // A task because of which CanDrainMachine is false, or nothing.
@@ -272,8 +281,9 @@
   const DurationModel& Durations() const { return m_durations; }
 
  private:
-  // The state of a pool that admission checks a new job against.
-  struct PoolView {
+  // The state of a pool that admission checks a new job against. Reused for a
+  // few milliseconds.
+  struct AdmissionSnapshot {
     base::TimePoint taken_at{};
     // Remaining work of jobs whose result still has value.
     Work backlog;
@@ -300,38 +310,46 @@
   std::string ServiceOf(const Job& job) const;
   const QueueConfig* QueueOf(const Job& job) const;
   bool IsBeyondShare(const std::string& customer, base::TimePoint now);
-  PoolView& ViewOf(const std::string& service, base::TimePoint now);
+  AdmissionSnapshot& AdmissionSnapshotOf(const std::string& service,
+                                         base::TimePoint now);
   AdmissionInput MakeAdmissionInput(const Job& job, base::TimePoint now);
   void SetObjective(Job& job, const QueueConfig& queue);
 
   // scheduler_runs.cpp
   Run* FindRun(const TaskRef& ref, std::uint32_t number);
-  std::optional<TaskRef> Resolve(const TaskId& id);
+  std::optional<TaskRef> FindTaskRef(const TaskId& id);
   void BeginRun(const TaskRef& ref, WorkerState& worker, base::TimePoint now);
   // Removes a run from the scheduler's state and, unless its task is done,
   // queues the task again.
   void DropRun(const TaskRef& ref, std::uint32_t number, base::TimePoint now);
-  void DropRunsOf(WorkerState& worker,
-                  std::int64_t incarnation_ms,
-                  base::TimePoint now);
+  // Drops the runs of all incarnations of the worker but this one.
+  void DropRunsOfOtherIncarnations(WorkerState& worker,
+                                   std::int64_t incarnation_ms,
+                                   base::TimePoint now);
+  // Orders the worker to stop a run. The run is kept until it is known to have
+  // ended.
   void StopRun(const TaskRef& ref,
                Run& run,
                StopReason reason,
                base::TimePoint now);
-  void EndRun(const TaskRef& ref,
-              WorkerState& worker,
-              const ListedEnd& end,
-              base::TimePoint now);
-  void TaskDone(const TaskRef& ref, base::TimePoint now);
-  void TaskFailed(const TaskRef& ref,
-                  std::uint32_t run,
-                  const std::string& worker,
-                  base::TimePoint now);
+  // Applies an end that a worker lists: drops the run, and counts the task as
+  // done or the run as failed.
+  void ApplyEnd(const TaskRef& ref,
+                WorkerState& worker,
+                const ListedEnd& end,
+                base::TimePoint now);
+  void CompleteTask(const TaskRef& ref, base::TimePoint now);
+  void RecordFailedRun(const TaskRef& ref,
+                       std::uint32_t run,
+                       const std::string& worker,
+                       base::TimePoint now);
   // Updates a listed run, or stops it if it is unknown. Returns the task if it
   // is known.
   std::optional<TaskRef> UpdateListedRun(WorkerState& worker,
                                          const ListedRun& listed,
                                          base::TimePoint now);
+  // Drops runs whose lease has ended, stops those whose start was not answered,
+  // and repeats stop orders that were not answered.
   void ExpireRuns(base::TimePoint now);
 
   // scheduler_place.cpp
@@ -344,6 +362,7 @@
                  std::uint32_t step,
                  std::vector<WorkerState*>& workers,
                  base::TimePoint now);
+  // Places all tasks of a step or none. Returns whether they were placed.
   bool PlaceGang(Job& job,
                  Occurrence& occurrence,
                  std::uint32_t step,
@@ -356,20 +375,26 @@
   void Reserve(const TaskRef& ref,
                const std::vector<WorkerState*>& workers,
                const Advice* advice);
-  bool CanHost(const WorkerState& worker,
-               const TaskRef& ref,
-               const Advice* advice) const;
-  WorkerState* Choose(const TaskRef& ref,
-                      const std::vector<WorkerState*>& workers,
-                      const Advice* advice) const;
+  // Whether the worker may run the task, apart from its free capacity.
+  bool IsEligible(const WorkerState& worker,
+                  const TaskRef& ref,
+                  const Advice* advice) const;
+  // The best eligible worker with room, or null.
+  WorkerState* ChooseWorker(const TaskRef& ref,
+                            const std::vector<WorkerState*>& workers,
+                            const Advice* advice) const;
   bool IsServing(const Run& run) const;
   // Whether the max_unavailable of the task's step allows all its runs on a
   // worker to end.
   bool CanEndRunsOn(const TaskRef& ref, const std::string& worker) const;
   // Number of other tasks of the same step that are not serving now.
   std::uint32_t CountOtherUnavailable(const TaskRef& ref) const;
-  bool WithinLimit(const Job& job, const Resources& need) const;
+  // Whether the job's customer may use this much more.
+  bool IsWithinLimit(const Job& job, const Resources& need) const;
+  // Whether the worker may get new tasks.
   bool IsUsable(const WorkerState& worker, base::TimePoint now) const;
+  // The valid advice on a step; otherwise null, after requesting it unless a
+  // request is pending.
   const Advice* AdviceFor(Job& job,
                           const Occurrence& occurrence,
                           std::uint32_t step,
@@ -396,19 +421,22 @@
   std::map<std::string, ArrivalMeter> m_arrivals;        // By service.
   std::map<std::string, Resources> m_arriving_capacity;  // By service.
   std::map<std::string, Resources> m_unplaced;           // By service.
-  std::map<std::string, PoolView> m_views;               // By service.
+  std::map<std::string, AdmissionSnapshot>
+      m_admission_snapshots;  // By service.
   // Needs found to fit nowhere in the current planning round of a service.
   std::vector<Resources> m_unplaceable;
-  std::size_t m_reserved_for_finite = 0;  // In the same round.
+  // Workers reserved for finite tasks in the same round.
+  std::size_t m_reserved_for_finite = 0;
   base::TimePoint m_supervised_at{};
   std::map<std::string, Advice> m_advice;  // By job, occurrence and step.
-  std::unordered_set<Job*> m_dirty;
+  std::unordered_set<Job*> m_dirty;        // Jobs whose rows are to be written.
   std::vector<std::string> m_removed_jobs;  // Their rows are to be removed.
   // Finished jobs that are still kept.
   std::vector<Job*> m_finished;
   DurationModel m_durations;
-  bool m_urgent = false;
+  bool m_has_urgent_rows = false;
   Orders m_orders;
+  // Runs in phase kPlanned that are not yet in a batch.
   std::vector<std::pair<TaskRef, std::uint32_t>> m_planned;
 };
 
--- a/include/cassiastile/jobs/scheduler_options.hpp
+++ b/include/cassiastile/jobs/scheduler_options.hpp
@@ -4,7 +4,7 @@
 
 namespace cassiastile::jobs {
 
-// Time limits of the scheduler. Hosts read them from their settings.
+// Time limits of the scheduler.
 struct SchedulerOptions {
   // A worker whose last report is older gets no new tasks. A healthy worker
   // reports at least once a second.
--- a/include/cassiastile/jobs/worker_health.hpp
+++ b/include/cassiastile/jobs/worker_health.hpp
@@ -13,13 +13,14 @@
  public:
   void RunSucceeded();
   void RunFailed(base::TimePoint now);
-  // The worker refused an order though it seemed to have room, or gave no
-  // answer.
+  // Call it when the worker refused an order though it seemed to have room, or
+  // gave no answer.
   void Refused(base::TimePoint now);
 
   // While quarantined, a worker gets no new tasks.
   bool IsQuarantined(base::TimePoint now) const;
-  // While on probation, a worker gets at most one task at a time.
+  // On probation, after three failed runs in a row, a worker gets at most one
+  // task at a time.
   bool IsOnProbation() const { return m_failures_in_row >= kProbationFailures; }
 
  private:
--- a/include/cassiastile/jobs/worker_view.hpp
+++ b/include/cassiastile/jobs/worker_view.hpp
@@ -28,8 +28,8 @@
 struct WorkerEntry {
   WorkerId id;
   std::string service;
-  std::string machine;  // Runs one worker at a time.
-  std::string endpoint;
+  std::string machine;   // Runs one worker at a time.
+  std::string endpoint;  // HOST:PORT.
   std::string availability_zone;
   std::string kind;
   std::string rack;
@@ -60,10 +60,10 @@
 enum class StopReason : std::uint8_t {
   kJobOver,  // Its job is done, failed or cancelled.
   // The outcome of its start is unknown and its worker does not list it.
-  kDoubtful,
+  kStartUnknown,
   kUnanswered,  // Its start was not answered in time.
   kUnknown,     // The scheduler does not know it.
-  kCopy,        // Another run of the task has succeeded.
+  kDuplicate,   // Another run of the task has succeeded.
   kStuck,       // It makes no progress or is far too slow.
   kDraining,    // Its worker is draining.
   kEvacuated,   // Its machine is due for maintenance.
@@ -71,10 +71,10 @@
 
 inline constexpr std::array<base::EnumName<StopReason>, 8> kStopReasonNames{{
     {StopReason::kJobOver, "job over"},
-    {StopReason::kDoubtful, "doubtful"},
+    {StopReason::kStartUnknown, "doubtful"},
     {StopReason::kUnanswered, "unanswered"},
     {StopReason::kUnknown, "unknown run"},
-    {StopReason::kCopy, "copy done"},
+    {StopReason::kDuplicate, "copy done"},
     {StopReason::kStuck, "stuck"},
     {StopReason::kDraining, "worker draining"},
     {StopReason::kEvacuated, "evacuated"},
@@ -85,7 +85,7 @@
   TaskId task;
   std::uint32_t run = 0;
   std::string checkpoint;
-  // Progress; a long-running task serves users at 100.
+  // Progress; a long-running task serves users once it is 100.
   int percent = 0;
   // Tail latency in milliseconds for a task with a target, otherwise CPU use in
   // thousandths of a core. Approximate, over the last half second.
@@ -94,14 +94,15 @@
 
 // A run that a worker lists as ended, in every report until it is acknowledged.
 struct ListedEnd {
-  std::uint64_t sequence = 0;
+  std::uint64_t sequence = 0;  // Increases with each end of an incarnation.
   TaskId task;
   std::uint32_t run = 0;
   RunEnd how = RunEnd::kStopped;
   std::string checkpoint;
 };
 
-// A worker's answer to a lease extension.
+// A worker's answer to a lease extension: all its runs, and the ends that are
+// not acknowledged.
 struct WorkerReport {
   std::int64_t incarnation_ms = 0;
   std::chrono::milliseconds clock{0};  // The worker's own steady clock.
--- a/src/cassiastile/jobs/admission.cpp
+++ b/src/cassiastile/jobs/admission.cpp
@@ -10,9 +10,8 @@
 // Estimates of single jobs are noisy, so a job is refused only when the
 // expected wait clearly exceeds its slack.
 constexpr double kTolerance = 1.15;
-// Every job gets this much slack, so that a job that is late already, because
-// its caller got no answer for a while, is still accepted where it hardly has
-// to wait.
+// Least slack of every job, so that a job that is already late, because its
+// caller got no answer for a while, is still accepted where it hardly waits.
 constexpr std::chrono::milliseconds kMinSlack{300};
 constexpr std::chrono::milliseconds kMinRetryAfter{1000};
 constexpr std::chrono::milliseconds kMaxRetryAfter{10000};
@@ -25,13 +24,15 @@
     return {};
   }
   // The scarcer resource decides.
-  constexpr double kPerCore = 1000.0;
-  const double wait_ms = std::max(
-      input.backlog.cpu * kPerCore / static_cast<double>(input.pool.cpu),
-      input.backlog.memory / static_cast<double>(input.pool.memory));
+  constexpr double kMillicoresPerCore = 1000.0;
+  const double wait_ms =
+      std::max(input.backlog.cpu * kMillicoresPerCore /
+                   static_cast<double>(input.pool.cpu),
+               input.backlog.memory / static_cast<double>(input.pool.memory));
   AdmissionVerdict verdict;
   verdict.wait = std::chrono::milliseconds(std::llround(wait_ms));
-  verdict.slack = std::max(kMinSlack, input.objective - input.critical_path);
+  verdict.slack =
+      std::max(kMinSlack, input.time_to_objective - input.critical_path);
   if (input.beyond_share) {
     verdict.admitted = false;
     verdict.retry_after = kMinRetryAfter;
--- a/src/cassiastile/jobs/admission_test.cpp
+++ b/src/cassiastile/jobs/admission_test.cpp
@@ -14,7 +14,7 @@
   input.backlog = {.cpu = backlog_core_seconds * 1000, .memory = 0};
   input.pool = {100000, 1000000, 0};
   input.critical_path = milliseconds(1000);
-  input.objective = milliseconds(2000);
+  input.time_to_objective = milliseconds(2000);
   return input;
 }
 
@@ -22,8 +22,8 @@
   EXPECT_TRUE(Admit(MakeInput(90)).admitted);
 }
 
-// Demand of five times the pool: each job accepted beyond the slack would be
-// late and make those behind it late.
+// At a demand of five times the pool, each job accepted beyond the slack would
+// be late and make those behind it late.
 TEST(AdmissionTest, RefusesJobThatWouldMissItsObjective) {
   const AdmissionVerdict verdict = Admit(MakeInput(400));
   EXPECT_FALSE(verdict.admitted);
@@ -68,7 +68,7 @@
 // After a change of leader, callers submit jobs again that are already late.
 TEST(AdmissionTest, LateJobIsTakenWhereItWaitsForNoOthers) {
   AdmissionInput input = MakeInput(20);
-  input.objective = milliseconds(-2000);
+  input.time_to_objective = milliseconds(-2000);
   EXPECT_TRUE(Admit(input).admitted);
   input.backlog.cpu = 60 * 1000;
   EXPECT_FALSE(Admit(input).admitted);
--- a/src/cassiastile/jobs/arrival_meter.cpp
+++ b/src/cassiastile/jobs/arrival_meter.cpp
@@ -6,15 +6,17 @@
 
 namespace {
 
-// Long enough for about ten jobs of a busy queue, short enough to see its load
-// rise well before a machine could be moved.
+// Over this time, rates are averaged: long enough for about ten jobs of a busy
+// queue, short enough to see its load rise well before a machine could be
+// moved.
 constexpr std::chrono::milliseconds kRateWindow{500};
-// Callers that were refused submit the job again within some seconds.
+// Within this time, a job that is submitted again counts once: callers that
+// were refused retry within some seconds.
 constexpr std::chrono::milliseconds kRetryWindow{3000};
-// Longer than any caller was seen to keep retrying.
-constexpr std::chrono::milliseconds kMaxAge{30000};
-// A few megabytes; a few hundred arrivals per second are usual.
-constexpr std::size_t kMaxEntries = 20000;
+// Callers keep retrying for less than this.
+constexpr std::chrono::milliseconds kMaxFirstArrivalAge{30000};
+// Takes a few megabytes; a few hundred arrivals per second are usual.
+constexpr std::size_t kMaxFirstArrivals = 20000;
 
 }  // namespace
 
@@ -30,16 +32,17 @@
   return *this;
 }
 
-base::TimePoint FirstArrivals::Note(const std::string& job,
-                                    base::TimePoint now) {
-  while (!m_order.empty() && (now - m_order.front().first > kMaxAge ||
-                              m_order.size() > kMaxEntries)) {
-    m_first.erase(m_order.front().second);
-    m_order.pop_front();
+base::TimePoint FirstArrivals::RecordArrival(const std::string& job,
+                                             base::TimePoint now) {
+  while (!m_oldest_first.empty() &&
+         (now - m_oldest_first.front().first > kMaxFirstArrivalAge ||
+          m_oldest_first.size() > kMaxFirstArrivals)) {
+    m_arrival_of_job.erase(m_oldest_first.front().second);
+    m_oldest_first.pop_front();
   }
-  const auto [found, is_new] = m_first.emplace(job, now);
+  const auto [found, is_new] = m_arrival_of_job.emplace(job, now);
   if (is_new) {
-    m_order.emplace_back(now, job);
+    m_oldest_first.emplace_back(now, job);
   }
   return found->second;
 }
@@ -47,14 +50,14 @@
 void ArrivalMeter::Add(const std::string& job,
                        const Work& work,
                        base::TimePoint now) {
-  Forget(now);
+  RemoveExpired(now);
   if (m_jobs.insert(job).second) {
     m_arrivals.push_back({job, work, now});
   }
 }
 
 Work ArrivalMeter::Rate(base::TimePoint now) {
-  Forget(now);
+  RemoveExpired(now);
   Work sum;
   for (const Arrival& arrival : m_arrivals) {
     if (now - arrival.at < kRateWindow) {
@@ -66,12 +69,12 @@
 }
 
 double ArrivalMeter::JobsPerSecond(base::TimePoint now) {
-  Forget(now);
+  RemoveExpired(now);
   return static_cast<double>(m_arrivals.size()) /
          std::chrono::duration<double>(kRetryWindow).count();
 }
 
-void ArrivalMeter::Forget(base::TimePoint now) {
+void ArrivalMeter::RemoveExpired(base::TimePoint now) {
   while (!m_arrivals.empty() && now - m_arrivals.front().at > kRetryWindow) {
     m_jobs.erase(m_arrivals.front().job);
     m_arrivals.pop_front();
--- a/src/cassiastile/jobs/arrival_meter_test.cpp
+++ b/src/cassiastile/jobs/arrival_meter_test.cpp
@@ -11,27 +11,27 @@
 
 TEST(FirstArrivalsTest, KeepsTheFirstTimeOfAResubmittedJob) {
   FirstArrivals arrivals;
-  EXPECT_EQ(arrivals.Note("job", kBegin), kBegin);
-  EXPECT_EQ(arrivals.Note("job", kBegin + milliseconds(4000)), kBegin);
-  EXPECT_EQ(arrivals.Note("other", kBegin + milliseconds(4000)),
+  EXPECT_EQ(arrivals.RecordArrival("job", kBegin), kBegin);
+  EXPECT_EQ(arrivals.RecordArrival("job", kBegin + milliseconds(4000)), kBegin);
+  EXPECT_EQ(arrivals.RecordArrival("other", kBegin + milliseconds(4000)),
             kBegin + milliseconds(4000));
 }
 
 TEST(FirstArrivalsTest, ForgetsJobsNotSubmittedForLong) {
   FirstArrivals arrivals;
-  arrivals.Note("job", kBegin);
+  arrivals.RecordArrival("job", kBegin);
   const base::TimePoint later = kBegin + std::chrono::seconds(31);
-  EXPECT_EQ(arrivals.Note("job", later), later);
+  EXPECT_EQ(arrivals.RecordArrival("job", later), later);
 }
 
 // A flood of jobs that are all refused must not fill the memory.
 TEST(FirstArrivalsTest, ForgetsTheOldestWhenThereAreTooMany) {
   FirstArrivals arrivals;
-  arrivals.Note("first", kBegin);
+  arrivals.RecordArrival("first", kBegin);
   for (int i = 0; i < 20010; ++i) {
-    arrivals.Note(std::to_string(i), kBegin + milliseconds(1));
+    arrivals.RecordArrival(std::to_string(i), kBegin + milliseconds(1));
   }
-  EXPECT_EQ(arrivals.Note("first", kBegin + milliseconds(2)),
+  EXPECT_EQ(arrivals.RecordArrival("first", kBegin + milliseconds(2)),
             kBegin + milliseconds(2));
 }
 
--- a/src/cassiastile/jobs/duration_model.cpp
+++ b/src/cassiastile/jobs/duration_model.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Least weight of a new sample. The first samples get the weight that they have
-// in a plain mean, which is larger.
+// Least weight of a new sample. The first samples weigh more, as in a plain
+// mean.
 constexpr double kMinGain = 0.05;
 constexpr std::chrono::milliseconds kDefaultDuration{1000};
 // Incremented when older programs can't read the new layout.
@@ -60,7 +60,7 @@
   if (estimate.count() <= 0) {
     return std::chrono::milliseconds(std::llround(entry.mean_ms));
   }
-  // Inverse-variance weights.
+  // Each prediction is weighted by the inverse of its mean squared error.
   const double weight =
       entry.mean_error / std::max(1e-6, entry.mean_error + entry.ratio_error);
   const double expected = weight * by_ratio + (1 - weight) * entry.mean_ms;
@@ -122,9 +122,9 @@
 Work WorkOf(const StepSpec& step,
             std::chrono::milliseconds each,
             double tasks) {
-  constexpr double kPerCore = 1000.0;
+  constexpr double kMillicoresPerCore = 1000.0;
   const double millis = tasks * static_cast<double>(each.count());
-  return {millis * static_cast<double>(step.need.cpu) / kPerCore,
+  return {millis * static_cast<double>(step.need.cpu) / kMillicoresPerCore,
           millis * static_cast<double>(step.need.memory)};
 }
 
--- a/src/cassiastile/jobs/pool_plan.cpp
+++ b/src/cassiastile/jobs/pool_plan.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-bool IsPositive(const Resources& value) {
+bool IsAnyPositive(const Resources& value) {
   return value.cpu > 0 || value.memory > 0 || value.gpus > 0;
 }
 
@@ -40,7 +40,7 @@
   }
 
  private:
-  bool IsStandby(const std::string& pool) const {
+  bool IsSparePool(const std::string& pool) const {
     const auto found = m_pools.find(pool);
     return found != m_pools.end() && found->second.standby;
   }
@@ -52,9 +52,10 @@
                : std::max(m_options.min_machines, found->second.min_machines);
   }
 
-  // Whether the machine's pool has enough capacity and machines without it.
+  // Whether the machine's pool has enough capacity and machines without it;
+  // true for every machine of the spare pool.
   bool IsSurplus(const PoolMachine& machine) {
-    if (IsStandby(machine.pool)) {
+    if (IsSparePool(machine.pool)) {
       return true;
     }
     const Resources left = m_capacity[machine.pool] - machine.capacity;
@@ -66,7 +67,7 @@
   const PoolMachine* FindDonor(const std::string& pool) {
     const PoolMachine* best = nullptr;
     for (const PoolMachine& machine : m_machines) {
-      const bool standby = IsStandby(machine.pool);
+      const bool standby = IsSparePool(machine.pool);
       const bool idle = standby || m_now - machine.idle_since >=
                                        m_options.idle_before_lending;
       if (!machine.movable || machine.pool == pool || !idle ||
@@ -74,7 +75,7 @@
         continue;
       }
       // A machine that is already running costs no more in its new pool.
-      if (best == nullptr || (IsStandby(best->pool) && !standby)) {
+      if (best == nullptr || (IsSparePool(best->pool) && !standby)) {
         best = &machine;
       }
     }
@@ -90,9 +91,9 @@
     m_moves.push_back({machine.name, machine.pool, to});
   }
 
-  // Moves machines into a pool until it has enough or none is left.
+  // Moves machines into a pool until it has enough or there is no donor.
   void FillPool(const std::string& pool) {
-    while (IsPositive(m_wanted[pool] - m_capacity[pool]) ||
+    while (IsAnyPositive(m_wanted[pool] - m_capacity[pool]) ||
            m_machine_count[pool] < MinMachines(pool)) {
       const PoolMachine* donor = FindDonor(pool);
       if (donor == nullptr) {
@@ -111,8 +112,8 @@
     }
     for (const PoolMachine& machine : m_machines) {
       const bool long_idle =
-          m_now - machine.idle_since >= m_options.idle_before_leaving;
-      if (machine.movable && long_idle && !IsStandby(machine.pool) &&
+          m_now - machine.idle_since >= m_options.idle_before_release;
+      if (machine.movable && long_idle && !IsSparePool(machine.pool) &&
           !m_moved.contains(machine.name) && IsSurplus(machine)) {
         Move(machine, spare->first);
       }
@@ -134,7 +135,7 @@
 
 Resources DesiredCapacity(const PoolDemand& demand,
                           const PoolPlanOptions& options) {
-  constexpr double kPerCore = 1000.0;
+  constexpr double kMillicoresPerCore = 1000.0;
   const auto need = [&options](double arriving, std::int64_t running,
                                std::int64_t unplaced) {
     const double waiting =
@@ -144,8 +145,8 @@
   };
   const Resources running = demand.used - demand.long_running_used;
   Resources wanted = demand.long_running_used;
-  wanted.cpu +=
-      need(demand.arriving.cpu * kPerCore, running.cpu, demand.unplaced.cpu);
+  wanted.cpu += need(demand.arriving.cpu * kMillicoresPerCore, running.cpu,
+                     demand.unplaced.cpu);
   wanted.memory +=
       need(demand.arriving.memory, running.memory, demand.unplaced.memory);
   wanted.gpus += running.gpus + demand.unplaced.gpus;
--- a/src/cassiastile/jobs/pool_plan_test.cpp
+++ b/src/cassiastile/jobs/pool_plan_test.cpp
@@ -35,7 +35,7 @@
   std::map<std::string, PoolDemand> m_pools{{"spare", {.standby = true}}};
 };
 
-// The load of a queue rises: work for 100 cores arrives at two machines.
+// Work for 100 cores arrives at a pool of two machines with 16 cores each.
 TEST_F(PoolPlanTest, RisingLoadFetchesAllMachinesAtOnce) {
   m_pools["busy"].arriving = {.cpu = 100, .memory = 0};
   Add("busy", 2, milliseconds(0));
@@ -89,7 +89,7 @@
   EXPECT_THAT(Plan(), IsEmpty());
 }
 
-TEST_F(PoolPlanTest, LongRunningStepsGetTheirDistinctWorkers) {
+TEST_F(PoolPlanTest, PoolBelowItsMinimumFetchesMachines) {
   m_pools["lasting"].min_machines = 6;
   Add("lasting", 3, milliseconds(0));
   Add("spare", 5, milliseconds(60000));
--- a/src/cassiastile/jobs/scheduler.cpp
+++ b/src/cassiastile/jobs/scheduler.cpp
@@ -15,14 +15,15 @@
       wall.time_since_epoch());
 }
 
-// How long a PoolView is reused: a pool changes little in so short a time, and
-// each new view visits all of its jobs.
-constexpr std::chrono::milliseconds kMaxViewAge{20};
+// How long an AdmissionSnapshot is reused: a pool changes little in so short a
+// time, and each new snapshot visits all of its jobs.
+constexpr std::chrono::milliseconds kMaxSnapshotAge{20};
 
 // The result of a job has no value after this many times its allowed duration.
 constexpr int kWorthlessFactor = 3;
 
-// The fraction of a task that remains, from its most advanced run.
+// The fraction of a task that remains, by the progress of its most advanced
+// run.
 double RemainingFraction(const Task& task) {
   int percent = 0;
   for (const Run& run : task.runs) {
@@ -51,8 +52,8 @@
   return work;
 }
 
-// Number of workers that a long-running step must be spread over, plus one to
-// move a task to; 0 for other steps.
+// Number of distinct workers over which a long-running step must be spread,
+// plus one to move a task to; 0 for other steps.
 std::size_t DistinctWorkers(const StepSpec& step) {
   if (!step.long_running) {
     return 0;
@@ -184,47 +185,50 @@
          m_customer_arrivals[customer].JobsPerSecond(now) > config->weight;
 }
 
-Scheduler::PoolView& Scheduler::ViewOf(const std::string& service,
-                                       base::TimePoint now) {
-  PoolView& view = m_views[service];
-  if (view.taken_at != base::TimePoint{} && now - view.taken_at < kMaxViewAge) {
-    return view;
+Scheduler::AdmissionSnapshot& Scheduler::AdmissionSnapshotOf(
+    const std::string& service,
+    base::TimePoint now) {
+  AdmissionSnapshot& snapshot = m_admission_snapshots[service];
+  if (snapshot.taken_at != base::TimePoint{} &&
+      now - snapshot.taken_at < kMaxSnapshotAge) {
+    return snapshot;
   }
-  view = {};
-  view.taken_at = now;
+  snapshot = {};
+  snapshot.taken_at = now;
   for (const auto& [id, job] : m_unfinished) {
     if (job->worthless_after > now && ServiceOf(*job) == service) {
-      view.backlog += RemainingWork(*job, m_durations);
+      snapshot.backlog += RemainingWork(*job, m_durations);
     }
   }
   for (const auto& [id, worker] : m_workers) {
     if (worker.entry.service == service && IsUsable(worker, now)) {
-      view.free += worker.entry.capacity - worker.used;
-      view.pool += worker.entry.capacity - worker.long_running_used;
+      snapshot.free += worker.entry.capacity - worker.used;
+      snapshot.pool += worker.entry.capacity - worker.long_running_used;
     }
   }
   if (const auto arriving = m_arriving_capacity.find(service);
       arriving != m_arriving_capacity.end()) {
-    view.pool += arriving->second;
+    snapshot.pool += arriving->second;
   }
   if (const auto unplaced = m_unplaced.find(service);
       unplaced != m_unplaced.end()) {
-    view.free -= unplaced->second;
+    snapshot.free -= unplaced->second;
   }
-  return view;
+  return snapshot;
 }
 
 AdmissionInput Scheduler::MakeAdmissionInput(const Job& job,
                                              base::TimePoint now) {
-  const PoolView& view = ViewOf(job.service, now);
+  const AdmissionSnapshot& snapshot = AdmissionSnapshotOf(job.service, now);
   AdmissionInput input;
-  input.backlog = view.backlog;
-  input.pool = view.pool;
+  input.backlog = snapshot.backlog;
+  input.pool = snapshot.pool;
   const StepSpec& first = job.spec.steps.front();
-  input.fits_now = Fits(CapacityNeed(first) * first.count, view.free);
+  input.fits_now = Fits(CapacityNeed(first) * first.count, snapshot.free);
   input.critical_path = std::ranges::max(job.critical_paths);
-  input.objective = std::chrono::duration_cast<std::chrono::milliseconds>(
-      job.objective - now);
+  input.time_to_objective =
+      std::chrono::duration_cast<std::chrono::milliseconds>(job.objective -
+                                                            now);
   return input;
 }
 
@@ -246,7 +250,7 @@
   job.service = queue.service;
   job.customer = customer;
   job.spec = std::move(spec);
-  job.arrived_at = m_first_arrivals.Note(id, now);
+  job.arrived_at = m_first_arrivals.RecordArrival(id, now);
   job.arrived_wall =
       Millis(wall) - std::chrono::duration_cast<std::chrono::milliseconds>(
                          now - job.arrived_at);
@@ -280,12 +284,12 @@
   }
   if (!timed) {
     BeginOccurrence(job, 0);
-    // Callers that arrive before the view is renewed must not all be given the
-    // same free capacity.
-    PoolView& view = ViewOf(job.service, now);
+    // Callers that arrive before the snapshot is renewed must not all be given
+    // the same free capacity.
+    AdmissionSnapshot& snapshot = AdmissionSnapshotOf(job.service, now);
     const StepSpec& first = job.spec.steps.front();
-    view.backlog += work;
-    view.free -= CapacityNeed(first) * first.count;
+    snapshot.backlog += work;
+    snapshot.free -= CapacityNeed(first) * first.count;
   }
   m_unfinished.emplace(id, &job);
   m_jobs.emplace(id, std::move(owned));
@@ -350,7 +354,7 @@
 void Scheduler::MarkDirty(Job& job, bool urgent) {
   job.dirty = true;
   m_dirty.insert(&job);
-  m_urgent = m_urgent || urgent;
+  m_has_urgent_rows = m_has_urgent_rows || urgent;
 }
 
 void Scheduler::Finish(Job& job, JobPhase phase, base::TimePoint now) {
@@ -427,7 +431,7 @@
     m_removed_jobs.pop_back();
   }
   if (m_dirty.empty()) {
-    m_urgent = false;
+    m_has_urgent_rows = false;
     for (const auto& [id, worker] : m_workers) {
       if (worker.last_end > worker.acked_end) {
         batch.ends.emplace_back(worker.entry.id, worker.last_end);
--- a/src/cassiastile/jobs/scheduler_bench.hpp
+++ b/src/cassiastile/jobs/scheduler_bench.hpp
@@ -25,10 +25,10 @@
   Submission Submit(const std::string& id, JobSpec spec);
   // Plans, commits all rows and returns the orders.
   Orders Step();
-  // The same, and answers all starts with success.
+  // The same; also answers all starts with success and returns them.
   std::vector<StartOrder> StepAndStart();
   void Report(const std::string& worker, const WorkerReport& report);
-  // A report with the runs of the worker and its ends.
+  // A report that lists the runs and ends of the worker.
   WorkerReport Listing(const std::string& worker) const;
   // Ends a run with this sequence number and reports it.
   void End(const StartOrder& order, RunEnd how, std::uint64_t sequence);
@@ -39,7 +39,7 @@
   SchedulerBench Successor(std::chrono::milliseconds silent_for) const;
   void Advance(std::chrono::milliseconds by) { m_clock.Advance(by); }
   base::TimePoint Now() const { return m_clock.Now(); }
-  Scheduler& Get() { return *m_scheduler; }
+  Scheduler& GetScheduler() { return *m_scheduler; }
 
  private:
   void ListWorkers();
--- a/src/cassiastile/jobs/scheduler_place.cpp
+++ b/src/cassiastile/jobs/scheduler_place.cpp
@@ -11,15 +11,17 @@
 // Penalties of a worker, in thousandths of a core. The worker with the least
 // free CPU is chosen, and a penalty counts as that much additional free CPU.
 constexpr std::int64_t kFailedHereCost = 1000000;
-constexpr std::int64_t kRemoteCost = 100000;
-// For more tasks of a step on one worker than may be unavailable at once.
+constexpr std::int64_t kRemoteCost = 100000;  // The data is in another rack.
+// More tasks of a step would be on the worker than may be unavailable at once.
 constexpr std::int64_t kColocationCost = 200000;
-// Long-running tasks are packed together, and finite tasks kept off them.
+// For each long-running task on the worker: long-running tasks are packed
+// together, and finite tasks kept away from them.
 constexpr std::int64_t kLongRunningPackingBonus = 20000;
 constexpr std::int64_t kInterferenceCost = 1000;
 
-// Leases and timeouts are in the order of seconds, and a loaded scheduler spent
-// most of its time supervising all runs in every planning round.
+// Runs are supervised at this interval, since supervising them in every
+// planning round took most of a loaded scheduler's time. Leases and timeouts
+// are in the order of seconds.
 constexpr std::chrono::milliseconds kSupervisionInterval{50};
 
 // Number of workers of a service that are reserved for finite tasks that could
@@ -33,8 +35,8 @@
 enum class Urgency : std::uint8_t {
   kLongRunning,  // Serves users as long as it runs.
   kOnTime,       // Can still meet its objective.
-  // Cannot meet its objective (any more), so it takes no capacity from those
-  // that can.
+  // Can't meet its objective any more, so it takes no capacity from those that
+  // can.
   kLate,
   kWorthless,  // Its result has no value any more.
 };
@@ -118,7 +120,7 @@
          !worker.health.IsQuarantined(now);
 }
 
-bool Scheduler::WithinLimit(const Job& job, const Resources& need) const {
+bool Scheduler::IsWithinLimit(const Job& job, const Resources& need) const {
   const CustomerConfig* customer = m_config->FindCustomer(job.customer);
   if (customer == nullptr) {
     return true;
@@ -238,7 +240,7 @@
     base::TimePoint now) {
   Advice& advice =
       m_advice[StepName(request.job, request.occurrence, request.step)];
-  // Tickets must still be valid when the order arrives.
+  // Subtracted, so that tickets are still valid when the order arrives.
   constexpr std::chrono::milliseconds kMargin{300};
   advice.valid_until = now + std::max(validity - kMargin, kMargin);
   advice.asked_at = {};
@@ -278,10 +280,10 @@
   bool full = IsFull(CapacityNeed(spec), workers);
   for (const std::uint32_t index : step.waiting) {
     const TaskRef ref{&job, occurrence.number, step_number, index};
-    const bool allowed = WithinLimit(job, spec.need);
+    const bool allowed = IsWithinLimit(job, spec.need);
     WorkerState* worker = nullptr;
     if (allowed && !full) {
-      worker = Choose(ref, workers, advice);
+      worker = ChooseWorker(ref, workers, advice);
       full = worker == nullptr;
     }
     if (worker == nullptr) {
@@ -312,18 +314,18 @@
     return false;
   }
   const StepSpec& spec = job.spec.steps[step_number];
-  if (!WithinLimit(job, spec.need * spec.count)) {
+  if (!IsWithinLimit(job, spec.need * spec.count)) {
     return false;
   }
   std::vector<WorkerState*> places;
   const Resources need = CapacityNeed(spec);
   for (const std::uint32_t index : step.waiting) {
-    WorkerState* place =
-        Choose({&job, occurrence.number, step_number, index}, workers, nullptr);
+    WorkerState* place = ChooseWorker(
+        {&job, occurrence.number, step_number, index}, workers, nullptr);
     if (place == nullptr) {
       break;
     }
-    place->used += need;  // Reserved while the others are placed.
+    place->used += need;  // Held while the others are placed.
     places.push_back(place);
   }
   for (WorkerState* place : places) {
@@ -366,9 +368,9 @@
   return full;
 }
 
-bool Scheduler::CanHost(const WorkerState& worker,
-                        const TaskRef& ref,
-                        const Advice* advice) const {
+bool Scheduler::IsEligible(const WorkerState& worker,
+                           const TaskRef& ref,
+                           const Advice* advice) const {
   const StepSpec& spec = SpecOf(ref);
   const WorkerEntry& entry = worker.entry;
   const bool has_label = spec.required_label.empty() ||
@@ -393,7 +395,7 @@
     const bool can_fit =
         Fits(worker->long_running_used + need, worker->entry.capacity);
     if (!can_fit || worker->reserved != Resources{} ||
-        !CanHost(*worker, ref, advice)) {
+        !IsEligible(*worker, ref, advice)) {
       continue;
     }
     const Resources missing = worker->used + need - worker->entry.capacity;
@@ -412,9 +414,9 @@
   }
 }
 
-WorkerState* Scheduler::Choose(const TaskRef& ref,
-                               const std::vector<WorkerState*>& workers,
-                               const Advice* advice) const {
+WorkerState* Scheduler::ChooseWorker(const TaskRef& ref,
+                                     const std::vector<WorkerState*>& workers,
+                                     const Advice* advice) const {
   const StepSpec& spec = SpecOf(ref);
   const Task& task = *FindTask(ref);
   const Resources need = CapacityNeed(spec);
@@ -422,7 +424,7 @@
   std::int64_t best_cost = 0;
   for (WorkerState* worker : workers) {
     const WorkerEntry& entry = worker->entry;
-    if (!HasRoom(*worker, need) || !CanHost(*worker, ref, advice)) {
+    if (!HasRoom(*worker, need) || !IsEligible(*worker, ref, advice)) {
       continue;
     }
     // Best fit, so that unneeded machines become idle and large tasks find
--- a/src/cassiastile/jobs/scheduler_runs.cpp
+++ b/src/cassiastile/jobs/scheduler_runs.cpp
@@ -22,7 +22,7 @@
   return found == task->runs.end() ? nullptr : &*found;
 }
 
-std::optional<TaskRef> Scheduler::Resolve(const TaskId& id) {
+std::optional<TaskRef> Scheduler::FindTaskRef(const TaskId& id) {
   const auto found = m_jobs.find(id.job);
   if (found == m_jobs.end()) {
     return std::nullopt;
@@ -99,9 +99,9 @@
   MarkDirty(*ref.job, false);
 }
 
-void Scheduler::DropRunsOf(WorkerState& worker,
-                           std::int64_t incarnation_ms,
-                           base::TimePoint now) {
+void Scheduler::DropRunsOfOtherIncarnations(WorkerState& worker,
+                                            std::int64_t incarnation_ms,
+                                            base::TimePoint now) {
   const auto runs = worker.runs;
   for (const auto& [ref, number] : runs) {
     const Run* run = FindRun(ref, number);
@@ -138,7 +138,7 @@
       continue;
     }
     if (other_incarnation) {
-      DropRunsOf(worker, entry.id.incarnation_ms, now);
+      DropRunsOfOtherIncarnations(worker, entry.id.incarnation_ms, now);
       worker.has_reported = false;
       worker.last_end = 0;
       worker.acked_end = 0;
@@ -172,7 +172,7 @@
     return;
   }
   if (report.incarnation_ms > worker->entry.id.incarnation_ms) {
-    DropRunsOf(*worker, report.incarnation_ms, now);
+    DropRunsOfOtherIncarnations(*worker, report.incarnation_ms, now);
     worker->entry.id.incarnation_ms = report.incarnation_ms;
     worker->last_end = 0;
     worker->acked_end = 0;
@@ -187,8 +187,8 @@
       continue;
     }
     worker->last_end = end.sequence;
-    if (const auto ref = Resolve(end.task)) {
-      EndRun(*ref, *worker, end, now);
+    if (const auto ref = FindTaskRef(end.task)) {
+      ApplyEnd(*ref, *worker, end, now);
     }
   }
   std::vector<std::pair<TaskRef, std::uint32_t>> listed;
@@ -199,7 +199,7 @@
     }
   }
   // A run that is missing from a newer report has ended without being listed,
-  // or its order will not be carried out any more.
+  // or its start order will not be carried out any more.
   const auto runs = worker->runs;
   for (const auto& [ref, number] : runs) {
     Run* run = FindRun(ref, number);
@@ -207,9 +207,9 @@
         std::ranges::find(listed, std::pair(ref, number)) != listed.end()) {
       continue;
     }
-    if (run->phase == RunPhase::kDoubtful && run->confirmed_at < asked_at) {
-      // The order may still arrive; a stop makes the worker refuse it.
-      StopRun(ref, *run, StopReason::kDoubtful, now);
+    if (run->phase == RunPhase::kStartUnknown && run->confirmed_at < asked_at) {
+      // The start order may still arrive; a stop makes the worker refuse it.
+      StopRun(ref, *run, StopReason::kStartUnknown, now);
       continue;
     }
     const bool settled = run->phase == RunPhase::kRecovered ||
@@ -226,7 +226,7 @@
 std::optional<TaskRef> Scheduler::UpdateListedRun(WorkerState& worker,
                                                   const ListedRun& listed,
                                                   base::TimePoint now) {
-  const auto ref = Resolve(listed.task);
+  const auto ref = FindTaskRef(listed.task);
   Run* run = ref ? FindRun(*ref, listed.run) : nullptr;
   if (run == nullptr || run->worker != worker.entry.id) {
     m_orders.stops.push_back(
@@ -256,19 +256,20 @@
     }
   }
   if (run->phase == RunPhase::kRecovered || run->phase == RunPhase::kStarting ||
-      run->phase == RunPhase::kDoubtful) {
+      run->phase == RunPhase::kStartUnknown) {
     run->phase = RunPhase::kRunning;
     run->confirmed_at = now;
   }
   return ref;
 }
 
-void Scheduler::EndRun(const TaskRef& ref,
-                       WorkerState& worker,
-                       const ListedEnd& end,
-                       base::TimePoint now) {
+void Scheduler::ApplyEnd(const TaskRef& ref,
+                         WorkerState& worker,
+                         const ListedEnd& end,
+                         base::TimePoint now) {
   Task& task = *FindTask(ref);
-  // Known only of confirmed runs that started without a checkpoint.
+  // When the run began. Known only of confirmed runs that started without a
+  // checkpoint; only their durations are learnt.
   base::TimePoint began{};
   if (const Run* run = FindRun(ref, end.run)) {
     began = run->checkpoint.empty() ? run->confirmed_at : base::TimePoint{};
@@ -288,14 +289,14 @@
           ref.job->queue, SpecOf(ref).estimate,
           std::chrono::duration_cast<std::chrono::milliseconds>(now - began));
     }
-    TaskDone(ref, now);
+    CompleteTask(ref, now);
   } else if (end.how == RunEnd::kFailed) {
     worker.health.RunFailed(now);
-    TaskFailed(ref, end.run, worker.entry.id.id, now);
+    RecordFailedRun(ref, end.run, worker.entry.id.id, now);
   }
 }
 
-void Scheduler::TaskDone(const TaskRef& ref, base::TimePoint now) {
+void Scheduler::CompleteTask(const TaskRef& ref, base::TimePoint now) {
   Job& job = *ref.job;
   if (IsFinished(job.phase) || SpecOf(ref).long_running) {
     return;
@@ -317,8 +318,8 @@
     std::erase(step.waiting, i);
     if (!whole_gang) {
       for (Run& copy : task.runs) {
-        StopRun({&job, ref.occurrence, ref.step, i}, copy, StopReason::kCopy,
-                now);
+        StopRun({&job, ref.occurrence, ref.step, i}, copy,
+                StopReason::kDuplicate, now);
       }
     }
   }
@@ -337,10 +338,10 @@
   }
 }
 
-void Scheduler::TaskFailed(const TaskRef& ref,
-                           std::uint32_t run,
-                           const std::string& worker,
-                           base::TimePoint now) {
+void Scheduler::RecordFailedRun(const TaskRef& ref,
+                                std::uint32_t run,
+                                const std::string& worker,
+                                base::TimePoint now) {
   Job& job = *ref.job;
   Task& task = *FindTask(ref);
   if (IsFinished(job.phase) || task.done) {
@@ -364,7 +365,7 @@
                               std::uint32_t number,
                               StartResult result,
                               base::TimePoint now) {
-  const auto ref = Resolve(task);
+  const auto ref = FindTaskRef(task);
   Run* run = ref ? FindRun(*ref, number) : nullptr;
   WorkerState* worker = FindWorker(id.id);
   if (run == nullptr || worker == nullptr || run->worker != id) {
@@ -384,7 +385,7 @@
       return;
     case StartResult::kUnknown:
       if (run->phase == RunPhase::kStarting) {
-        run->phase = RunPhase::kDoubtful;
+        run->phase = RunPhase::kStartUnknown;
         run->confirmed_at = now;
         worker->wants_report = true;
       }
@@ -415,7 +416,7 @@
                              const TaskId& task,
                              std::uint32_t number,
                              base::TimePoint now) {
-  const auto ref = Resolve(task);
+  const auto ref = FindTaskRef(task);
   Run* run = ref ? FindRun(*ref, number) : nullptr;
   if (run == nullptr || run->worker != id) {
     return;
--- a/src/cassiastile/jobs/scheduler_supervision.cpp
+++ b/src/cassiastile/jobs/scheduler_supervision.cpp
@@ -11,15 +11,16 @@
 // A finite task whose percentage has not changed for this long is stuck; a
 // healthy worker reports progress several times a second.
 constexpr std::chrono::milliseconds kStuckAfter{2000};
-// A run that is slower than expected by this factor is restarted elsewhere.
+// A run that takes this many times its expected duration, and at least
+// kMinSlowAge, before it is half done is restarted elsewhere.
 constexpr int kSlowFactor = 4;
-constexpr std::chrono::milliseconds kSlowAtLeast{1500};
-// Fillers are slowed down at once and sped up in steps; in percent.
-constexpr int kMinPace = 0;
-constexpr int kPaceStep = 25;
-// Share of its target that tail latency must stay below before fillers are sped
-// up.
-constexpr double kSpeedUpShare = 0.7;
+constexpr std::chrono::milliseconds kMinSlowAge{1500};
+// Fillers are slowed down at once and sped up in steps.
+constexpr int kMinPacePercent = 0;
+constexpr int kPaceStepPercent = 25;
+// Fillers are sped up only while each tail latency is below this fraction of
+// its target.
+constexpr double kSpeedUpFraction = 0.7;
 constexpr std::chrono::milliseconds kPaceInterval{500};
 
 }  // namespace
@@ -61,7 +62,7 @@
   const auto age = now - run.confirmed_at;
   const bool stuck = now - run.progressed_at > kStuckAfter;
   const bool slow =
-      age > kSlowAtLeast && age > kSlowFactor * expected && run.percent < 50;
+      age > kMinSlowAge && age > kSlowFactor * expected && run.percent < 50;
   if (!stuck && !slow) {
     return;
   }
@@ -101,7 +102,7 @@
     well_below_target =
         well_below_target &&
         static_cast<double>(run->load) <
-            kSpeedUpShare * static_cast<double>(spec.target.count());
+            kSpeedUpFraction * static_cast<double>(spec.target.count());
   }
   for (const auto& [ref, number] : worker.runs) {
     const StepSpec& spec = SpecOf(ref);
@@ -111,9 +112,9 @@
     }
     int wanted = run->paced_percent;
     if (above_target) {
-      wanted = kMinPace;
+      wanted = kMinPacePercent;
     } else if (well_below_target && now - run->ordered_at > kPaceInterval) {
-      wanted = std::min(100, run->paced_percent + kPaceStep);
+      wanted = std::min(100, run->paced_percent + kPaceStepPercent);
     }
     if (wanted != run->paced_percent) {
       run->paced_percent = wanted;
--- a/src/cassiastile/jobs/scheduler_test.cpp
+++ b/src/cassiastile/jobs/scheduler_test.cpp
@@ -25,19 +25,20 @@
   ASSERT_THAT(starts, SizeIs(1));
   EXPECT_EQ(starts.front().run, 1U);
   bench.End(starts.front(), RunEnd::kDone, 1);
-  EXPECT_EQ(bench.Get().FindJob(kJob)->stored_phase, JobPhase::kRunning);
+  EXPECT_EQ(bench.GetScheduler().FindJob(kJob)->stored_phase,
+            JobPhase::kRunning);
   bench.Step();
-  EXPECT_EQ(bench.Get().FindJob(kJob)->stored_phase, JobPhase::kDone);
-  EXPECT_EQ(bench.Get().FindWorker("a")->acked_end, 1U);
+  EXPECT_EQ(bench.GetScheduler().FindJob(kJob)->stored_phase, JobPhase::kDone);
+  EXPECT_EQ(bench.GetScheduler().FindWorker("a")->acked_end, 1U);
 }
 
 TEST(SchedulerTest, StartsNothingBeforeItsRecordIsCommitted) {
   SchedulerBench bench;
   bench.AddWorker("a");
   bench.Submit(kJob, SchedulerBench::OneTask());
-  bench.Get().Plan(bench.Now(), base::WallTime{});
-  EXPECT_THAT(bench.Get().TakeOrders().starts, IsEmpty());
-  EXPECT_FALSE(bench.Get().FindJob(kJob)->accepted);
+  bench.GetScheduler().Plan(bench.Now(), base::WallTime{});
+  EXPECT_THAT(bench.GetScheduler().TakeOrders().starts, IsEmpty());
+  EXPECT_FALSE(bench.GetScheduler().FindJob(kJob)->accepted);
   EXPECT_THAT(bench.Step().starts, SizeIs(1));
 }
 
@@ -69,7 +70,7 @@
   EXPECT_EQ(second.front().task.step, 1U);
 }
 
-TEST(SchedulerTest, JobFailsAfterItsAttempts) {
+TEST(SchedulerTest, JobFailsAfterMaxAttempts) {
   SchedulerBench bench(2);
   bench.AddWorker("a");
   bench.AddWorker("b");
@@ -81,7 +82,8 @@
   EXPECT_NE(second.front().worker.id, first.front().worker.id);
   bench.End(second.front(), RunEnd::kFailed, 1);
   bench.Step();
-  EXPECT_EQ(bench.Get().FindJob(kJob)->stored_phase, JobPhase::kFailed);
+  EXPECT_EQ(bench.GetScheduler().FindJob(kJob)->stored_phase,
+            JobPhase::kFailed);
 }
 
 // A worker lists an end until it is acknowledged, so after a takeover the new
@@ -98,7 +100,7 @@
   successor.Report("a", successor.Listing("a"));
   successor.Report("b", successor.Listing("b"));
   successor.StepAndStart();
-  EXPECT_EQ(successor.Get().FindJob(kJob)->phase, JobPhase::kRunning);
+  EXPECT_EQ(successor.GetScheduler().FindJob(kJob)->phase, JobPhase::kRunning);
 }
 
 TEST(SchedulerTest, EndListedAgainAfterATakeoverCompletesNoOtherStep) {
@@ -116,7 +118,7 @@
   SchedulerBench successor = bench.Successor(milliseconds(10000));
   successor.Report("a", successor.Listing("a"));
   successor.Step();
-  EXPECT_FALSE(IsFinished(successor.Get().FindJob(kJob)->phase));
+  EXPECT_FALSE(IsFinished(successor.GetScheduler().FindJob(kJob)->phase));
 }
 
 TEST(SchedulerTest, SuccessorAdoptsWhatRuns) {
@@ -131,7 +133,8 @@
   EXPECT_THAT(successor.StepAndStart(), IsEmpty());
   successor.End(starts.front(), RunEnd::kDone, 1);
   successor.Step();
-  EXPECT_EQ(successor.Get().FindJob(kJob)->stored_phase, JobPhase::kDone);
+  EXPECT_EQ(successor.GetScheduler().FindJob(kJob)->stored_phase,
+            JobPhase::kDone);
 }
 
 TEST(SchedulerTest, SuccessorKeepsTheObjectiveOfAJob) {
@@ -139,10 +142,11 @@
   bench.AddWorker("a");
   bench.Submit(kJob, SchedulerBench::OneTask());
   bench.StepAndStart();
-  const base::TimePoint objective = bench.Get().FindJob(kJob)->objective;
+  const base::TimePoint objective =
+      bench.GetScheduler().FindJob(kJob)->objective;
   bench.Advance(milliseconds(5000));
   SchedulerBench successor = bench.Successor(milliseconds(10000));
-  EXPECT_EQ(successor.Get().FindJob(kJob)->objective, objective);
+  EXPECT_EQ(successor.GetScheduler().FindJob(kJob)->objective, objective);
 }
 
 TEST(SchedulerTest, SuccessorWaitsForSilentWorkersLeases) {
@@ -183,15 +187,16 @@
   const Orders orders = bench.Step();
   ASSERT_THAT(orders.starts, SizeIs(1));
   const StartOrder start = orders.starts.front();
-  bench.Get().StartAnswered(start.worker, start.task, start.run,
-                            StartResult::kUnknown, bench.Now());
-  EXPECT_TRUE(bench.Get().FindWorker(start.worker.id)->wants_report);
+  bench.GetScheduler().StartAnswered(start.worker, start.task, start.run,
+                                     StartResult::kUnknown, bench.Now());
+  EXPECT_TRUE(bench.GetScheduler().FindWorker(start.worker.id)->wants_report);
   bench.Advance(milliseconds(10));
   bench.Report(start.worker.id, bench.Listing(start.worker.id));
   const Orders stops = bench.Step();
   ASSERT_THAT(stops.stops, SizeIs(1));
   EXPECT_THAT(stops.starts, IsEmpty());
-  bench.Get().StopAnswered(start.worker, start.task, start.run, bench.Now());
+  bench.GetScheduler().StopAnswered(start.worker, start.task, start.run,
+                                    bench.Now());
   EXPECT_THAT(bench.Step().starts, IsEmpty());
   bench.Advance(milliseconds(10));
   bench.Report(start.worker.id, bench.Listing(start.worker.id));
@@ -205,8 +210,8 @@
   bench.AddWorker("a");
   bench.Submit(kJob, SchedulerBench::OneTask());
   const StartOrder start = bench.Step().starts.front();
-  bench.Get().StartAnswered(start.worker, start.task, start.run,
-                            StartResult::kUnknown, bench.Now());
+  bench.GetScheduler().StartAnswered(start.worker, start.task, start.run,
+                                     StartResult::kUnknown, bench.Now());
   WorkerReport report = bench.Listing("a");
   ListedRun& run = report.running.emplace_back();
   run.task = start.task;
@@ -234,9 +239,10 @@
   bench.AddWorker("a");
   bench.Submit(kJob, SchedulerBench::LongRunning(2, 1));
   bench.StepAndStart();
-  EXPECT_TRUE(bench.Get().Cancel(kJob, bench.Now()));
+  EXPECT_TRUE(bench.GetScheduler().Cancel(kJob, bench.Now()));
   EXPECT_THAT(bench.Step().stops, SizeIs(2));
-  EXPECT_EQ(bench.Get().FindJob(kJob)->stored_phase, JobPhase::kCancelled);
+  EXPECT_EQ(bench.GetScheduler().FindJob(kJob)->stored_phase,
+            JobPhase::kCancelled);
 }
 
 TEST(SchedulerTest, LongRunningTaskStartsAgainHoweverItEnds) {
@@ -251,7 +257,7 @@
     ASSERT_THAT(starts, SizeIs(1));
     bench.End(starts.front(), how, ++sequence);
   }
-  EXPECT_FALSE(IsFinished(bench.Get().FindJob(kJob)->phase));
+  EXPECT_FALSE(IsFinished(bench.GetScheduler().FindJob(kJob)->phase));
 }
 
 TEST(SchedulerTest, DrainsNoMoreOfAStepThanItAllows) {
@@ -262,9 +268,9 @@
   bench.StepAndStart();
   bench.Report("a", bench.Listing("a"));
   bench.Report("b", bench.Listing("b"));
-  EXPECT_TRUE(bench.Get().CanDrainMachine("machine-a"));
-  bench.Get().MarkVacated("a", bench.Now());
-  EXPECT_FALSE(bench.Get().CanDrainMachine("machine-b"));
+  EXPECT_TRUE(bench.GetScheduler().CanDrainMachine("machine-a"));
+  bench.GetScheduler().MarkVacated("a", bench.Now());
+  EXPECT_FALSE(bench.GetScheduler().CanDrainMachine("machine-b"));
 }
 
 TEST(SchedulerTest, TaskOnASilentWorkerCountsAsUnavailable) {
@@ -275,8 +281,8 @@
   bench.StepAndStart();
   bench.Report("a", bench.Listing("a"));
   bench.Report("b", bench.Listing("b"));
-  bench.Get().WorkerSilent("a", bench.Now());
-  EXPECT_FALSE(bench.Get().CanDrainMachine("machine-b"));
+  bench.GetScheduler().WorkerSilent("a", bench.Now());
+  EXPECT_FALSE(bench.GetScheduler().CanDrainMachine("machine-b"));
 }
 
 TEST(SchedulerTest, StaysWithinTheCapacityOfWorkers) {
@@ -322,12 +328,12 @@
   const base::TimePoint first_request = bench.Now();
   // All accepted jobs are cancelled, so that there is free capacity again.
   for (int i = 0; i < taken; ++i) {
-    bench.Get().Cancel(std::to_string(i), bench.Now());
+    bench.GetScheduler().Cancel(std::to_string(i), bench.Now());
   }
   bench.Advance(milliseconds(1000));
   ASSERT_EQ(bench.Submit(refused_job, whole_worker).verdict,
             Submission::Verdict::kNew);
-  EXPECT_EQ(bench.Get().FindJob(refused_job)->objective,
+  EXPECT_EQ(bench.GetScheduler().FindJob(refused_job)->objective,
             first_request + milliseconds(1600));
 }
 
@@ -352,9 +358,9 @@
   bench.StepAndStart();
   bench.Report("a", bench.Listing("a"));
   SchedulerBench next = bench.Successor(milliseconds(8000));
-  EXPECT_FALSE(next.Get().CanDrainMachine("machine-a"));
+  EXPECT_FALSE(next.GetScheduler().CanDrainMachine("machine-a"));
   next.RemoveWorker("a");
-  EXPECT_FALSE(next.Get().CanDrainMachine("machine-a"));
+  EXPECT_FALSE(next.GetScheduler().CanDrainMachine("machine-a"));
 }
 
 // A full pool in which small tasks take all capacity that becomes free.
@@ -418,9 +424,9 @@
   bench.Submit(kJob, SchedulerBench::OneTask());
   const auto starts = bench.Step().starts;
   ASSERT_THAT(starts, SizeIs(1));
-  bench.Get().StartAnswered(starts.front().worker, starts.front().task,
-                            starts.front().run, StartResult::kUnknown,
-                            bench.Now());
+  bench.GetScheduler().StartAnswered(starts.front().worker, starts.front().task,
+                                     starts.front().run, StartResult::kUnknown,
+                                     bench.Now());
   bench.AddWorker("b");
   bench.AddWorker("a", 2);
   const Orders orders = bench.Step();
