--- a/include/cassiastile/fleet/change.hpp
+++ b/include/cassiastile/fleet/change.hpp
@@ -22,7 +22,7 @@
   std::uint64_t document_version = 0;
   // The row of the accepted document. A change that removes capacity names its
   // version, so that it conflicts once a newer document has been accepted.
-  platform::Precondition head;
+  platform::Precondition document_row;
   // The fencing token of the shard's owner. Absent for an operator's action,
   // which any control host may make; there, the row versions alone prevent
   // conflicting changes.
--- a/include/cassiastile/fleet/host_observer.hpp
+++ b/include/cassiastile/fleet/host_observer.hpp
@@ -30,16 +30,16 @@
   base::Duration TimeOutOfService(const std::string& host) const;
 
   // Makes the next Observe poll the machine.
-  void Forget(const std::string& host);
+  void Invalidate(const std::string& host);
 
  private:
   struct WatchedHost {
     HostState state = HostState::kInService;
     std::string pool;
-    base::TimePoint state_since;
-    base::TimePoint out_since;
+    base::TimePoint state_since;  // When its state or pool last changed.
+    base::TimePoint out_since;    // When it left service.
     base::TimePoint polled_at;
-    bool known = false;
+    bool is_current = false;  // Whether `last` need not be polled again yet.
     HostObservation last;
   };
 
--- a/include/cassiastile/fleet/progress.hpp
+++ b/include/cassiastile/fleet/progress.hpp
@@ -27,7 +27,7 @@
   bool machine_missing = false;  // The machine service does not know it.
   HostWork work;
   // Time in the current state, on this process's clock.
-  base::Duration in_state{};
+  base::Duration time_in_state{};
 };
 
 // The actions that a host may need next.
--- a/include/cassiastile/fleet/reconciler.hpp
+++ b/include/cassiastile/fleet/reconciler.hpp
@@ -84,7 +84,11 @@
 
   // Operators' actions, which any control host may make. They carry no fencing
   // token; the row versions prevent conflicting changes. The audit entry is
-  // part of the same transaction.
+  // part of the same transaction. Errors: kNotFound for an unknown host or
+  // wave; kConflict if its state does not allow the action, if a row has
+  // changed since Refresh or, for DrainHost, if a newer document has been
+  // accepted; kOverloaded if the budget does not allow the drain; the table's
+  // errors.
   base::Result<void> DrainHost(const std::string& host,
                                const std::string& actor,
                                const AuditAddition& audit);
@@ -113,7 +117,7 @@
     return m_limiting_rules;
   }
 
-  // The hosts with work past their drain deadline, and a description of it.
+  // A description of the work that runs past the drain deadline, by host.
   const std::map<std::string, std::string>& OverdueDrains() const {
     return m_overdue_drains;
   }
@@ -132,7 +136,7 @@
   struct Round;          // The working state of one Tick of one pool.
   class ActionExecutor;  // Carries out the next action of one host.
 
-  ChangeContext Context(
+  ChangeContext MakeContext(
       const std::string& actor,
       const std::optional<platform::Precondition>& fence) const;
   Round StartRound(const std::string& pool,
@@ -145,7 +149,7 @@
   // Each returns false if the round must stop.
   bool AdvanceHosts(Round& round);
   bool AdvanceHost(Round& round, const std::string& host);
-  bool UndrainFromEndedWave(Round& round, const Stored<HostRecord>& host);
+  bool UndrainFromStoppedWave(Round& round, const Stored<HostRecord>& host);
   bool UndrainExcessHosts(Round& round);
   bool RegisterHosts(Round& round);
   bool DrainDepartingHosts(Round& round);
@@ -165,7 +169,7 @@
   std::optional<Stored<WaveRecord>> CurrentWaveOf(const HostRecord& host) const;
   std::optional<Stored<WaveRecord>> WaveForFailure(
       const HostRecord& host,
-      base::Duration in_state) const;
+      base::Duration time_in_state) const;
   std::vector<platform::Precondition> RackRows(const std::string& host) const;
   WaveInput MakeWaveInput(const Round& round, const config::Wave& wave) const;
   std::map<std::string, PoolWaveProgress> ProgressByPool(
--- a/include/cassiastile/fleet/state.hpp
+++ b/include/cassiastile/fleet/state.hpp
@@ -26,7 +26,7 @@
   std::map<std::string, Stored<PoolRecord>> pools;
   std::map<std::string, Stored<HostRecord>> hosts;
   std::map<std::string, Stored<WaveRecord>> waves;
-  platform::Precondition head;  // The row of the accepted document.
+  platform::Precondition document_row;  // The row of the accepted document.
   std::uint64_t document_version = 0;
 };
 
@@ -48,7 +48,7 @@
   base::Result<void> Read(FleetState& state);
 
   // Makes the next Read read all hosts.
-  void Forget();
+  void Invalidate();
 
  private:
   base::Result<void> ReadHosts(FleetState& next, const FleetState& last);
--- a/include/cassiastile/fleet/wave_plan.hpp
+++ b/include/cassiastile/fleet/wave_plan.hpp
@@ -52,7 +52,7 @@
 };
 
 // Whether the wave's current run has maintained the host.
-bool IsDone(const WaveRecord& wave, const HostRecord& host);
+bool HasMaintained(const WaveRecord& wave, const HostRecord& host);
 
 // The hosts that the wave could drain now, in the order to drain them: those in
 // service, known to be up and not yet maintained. First come the hosts with the
--- a/include/cassiastile/fleet/window.hpp
+++ b/include/cassiastile/fleet/window.hpp
@@ -11,7 +11,8 @@
 // Minutes since midnight UTC.
 std::uint32_t MinuteOfDay(base::WallTime time);
 
-// Whether a wave may drain hosts at the given time.
+// Whether a wave may drain hosts at the given time. A window whose start and
+// end are the same is always open.
 bool IsOpen(const config::Window& window, base::WallTime time);
 
 // The given time if the window is open then, else the next opening.
--- a/src/cassiastile/fleet/change.cpp
+++ b/src/cassiastile/fleet/change.cpp
@@ -8,6 +8,7 @@
 
 namespace {
 
+// The pool's row after a change to one of its hosts.
 Stored<PoolRecord> NextPool(const ChangeContext& context,
                             Stored<PoolRecord> pool,
                             const std::string& host) {
@@ -64,6 +65,8 @@
                                      std::move(observation)});
 }
 
+// Makes the drain depend on the version of the wave's row or, for a canary,
+// write that row.
 void AddWave(Change& change,
              const DrainRequest& request,
              const std::string& host) {
@@ -94,7 +97,7 @@
 }
 
 // Whether the host has been through the reboot that its wave requested.
-bool IsMaintained(const HostRecord& host) {
+bool WasRebootedByWave(const HostRecord& host) {
   return !host.wave.empty() && host.boots.has_value();
 }
 
@@ -124,7 +127,7 @@
                           Describe(count) + ".");
   }
   Change change = StartChange(context, name, "draining");
-  change.preconditions.push_back(context.head);
+  change.preconditions.push_back(context.document_row);
   change.preconditions.insert(change.preconditions.end(),
                               request.rack_rows.begin(),
                               request.rack_rows.end());
@@ -150,7 +153,7 @@
                     const Stored<PoolRecord>& pool_record,
                     const std::string& host) {
   Change change = StartChange(context, host, "in service");
-  change.preconditions.push_back(context.head);
+  change.preconditions.push_back(context.document_row);
   AddReason(change, context, "pool membership", "pools",
             "the document places it in " + pool_record.record.pool);
   Stored<HostRecord> stored;
@@ -210,7 +213,7 @@
     change.preconditions.push_back({WaveKey(wave->record.wave), wave->version});
   }
   Stored<HostRecord> next = NextHost(context, host, HostState::kRebooting,
-                                     "drained; the reboot is asked for");
+                                     "drained; reboot requested");
   next.record.boots = boots;
   change.hosts.push_back(std::move(next));
   change.pools.push_back(NextPool(context, pool_record, host.record.host));
@@ -238,7 +241,7 @@
   AddReason(change, context, "return", "", detail);
   Stored<PoolRecord> next_pool = NextPool(context, pool_record, name);
   next_pool.record.out.erase(name);
-  const bool maintained = IsMaintained(host.record);
+  const bool maintained = WasRebootedByWave(host.record);
   Stored<HostRecord> next = NextInService(context, host, std::move(detail));
   if (maintained) {
     next.record.done_wave = host.record.wave;
@@ -257,7 +260,7 @@
   const std::string& name = host.record.host;
   const bool failed = host.record.state == HostState::kFailed;
   Change change = StartChange(context, name, "moved to " + to.record.pool);
-  change.preconditions.push_back(context.head);
+  change.preconditions.push_back(context.document_row);
   AddReason(change, context, "move", "pools", host.record.detail);
   Stored<PoolRecord> next_from = NextPool(context, from, name);
   next_from.record.out.erase(name);
@@ -290,7 +293,7 @@
                   const Stored<HostRecord>& host) {
   const std::string& name = host.record.host;
   Change change = StartChange(context, name, "removed");
-  change.preconditions.push_back(context.head);
+  change.preconditions.push_back(context.document_row);
   AddReason(change, context, "pool membership", "pools",
             "the document no longer has it");
   Stored<PoolRecord> next_pool = NextPool(context, pool_record, name);
--- a/src/cassiastile/fleet/fake_fleet.hpp
+++ b/src/cassiastile/fleet/fake_fleet.hpp
@@ -125,8 +125,10 @@
   }
   platform::MemoryTable& Rows() { return m_table; }
 
-  bool down = false;
-  double lose_answer = 0;
+  bool down = false;       // Reads and commits fail with kUnavailable.
+  double lose_answer = 0;  // Probability that a commit's answer is lost.
+  // Probability that a transaction is applied only at the next read, and its
+  // answer is lost.
   double delay_apply = 0;
   std::uint64_t budget_violations = 0;
   std::uint64_t pool_violations = 0;
@@ -285,7 +287,7 @@
   bool down = false;
   std::set<std::string> silent;  // Hosts whose status is unavailable.
   std::set<std::string> stuck;   // Hosts that never come back from a reboot.
-  std::map<std::string, std::uint32_t> reboots;
+  std::map<std::string, std::uint32_t> reboots;  // Number, by host.
 
  private:
   struct Machine {
--- a/src/cassiastile/fleet/host_observer.cpp
+++ b/src/cassiastile/fleet/host_observer.cpp
@@ -23,16 +23,16 @@
     watched.state = host.state;
     watched.pool = host.pool;
     watched.state_since = now;
-    watched.known = false;
+    watched.is_current = false;
   }
-  const bool due = !watched.known || host.state != HostState::kInService ||
+  const bool due = !watched.is_current || host.state != HostState::kInService ||
                    now - watched.polled_at >= m_interval;
   if (due) {
     QueryMachine(host.host, watched, now);
   }
   HostObservation seen = watched.last;
   seen.work = m_work.WorkOn(host.host);
-  seen.in_state = now - watched.state_since;
+  seen.time_in_state = now - watched.state_since;
   return seen;
 }
 
@@ -45,10 +45,10 @@
   return m_clock.Now() - found->second.out_since;
 }
 
-void HostObserver::Forget(const std::string& host) {
+void HostObserver::Invalidate(const std::string& host) {
   const auto found = m_watched.find(host);
   if (found != m_watched.end()) {
-    found->second.known = false;
+    found->second.is_current = false;
   }
 }
 
@@ -58,7 +58,7 @@
   const auto status = m_machines.Status(host);
   watched.last = {};
   watched.polled_at = now;
-  watched.known = status.has_value();
+  watched.is_current = status.has_value();
   if (status) {
     watched.last.status = *status;
   } else {
--- a/src/cassiastile/fleet/progress.cpp
+++ b/src/cassiastile/fleet/progress.cpp
@@ -44,7 +44,7 @@
     return MarkFailed{DescribeMachine(seen)};
   }
   if (seen.status && seen.status->state == MachineState::kRebooting) {
-    return MarkFailed{"the machine reboots without having been asked to"};
+    return MarkFailed{"the machine is rebooting without a request"};
   }
   return NoAction{};
 }
@@ -78,7 +78,7 @@
   if (IsDrained(seen)) {
     return ActionWhenDrained(host, seen, {});
   }
-  if (!seen.status || seen.in_state <= drain.deadline) {
+  if (!seen.status || seen.time_in_state <= drain.deadline) {
     return NoAction{};
   }
   if (drain.cut_at_deadline && seen.status->draining) {
@@ -94,7 +94,7 @@
   if (IsUp(seen) && seen.status->boots > boots) {
     return BeginProbe{};
   }
-  if (seen.in_state > options.reboot_timeout) {
+  if (seen.time_in_state > options.reboot_timeout) {
     return MarkFailed{
         fmt::format("not back {} s after its reboot was asked for: {}",
                     options.reboot_timeout.count(), DescribeMachine(seen))};
@@ -110,7 +110,7 @@
   if (!IsUp(seen)) {
     return MarkFailed{DescribeMachine(seen) + " while it was probed"};
   }
-  if (seen.in_state < options.probe_time) {
+  if (seen.time_in_state < options.probe_time) {
     return NoAction{};
   }
   return ReturnToService{
--- a/src/cassiastile/fleet/property_test.cpp
+++ b/src/cassiastile/fleet/property_test.cpp
@@ -39,7 +39,7 @@
 }
 
 RC_GTEST_PROP(RacingOwnersProperty,
-              StaleReadsNeverTakeTooMuch,
+              StaleReadsBreakNoInvariant,
               (std::uint64_t seed)) {
   const auto steps = *rc::gen::container<std::vector<Step>>(rc::gen::tuple(
       rc::gen::inRange(0, kEvents), rc::gen::inRange<std::uint32_t>(0, 120)));
--- a/src/cassiastile/fleet/race_test.cpp
+++ b/src/cassiastile/fleet/race_test.cpp
@@ -121,7 +121,7 @@
   EXPECT_TRUE(m_world.Pool("p0").out.empty());
 }
 
-TEST_F(RaceTest, FailureDuringADrainUndrainsTheHost) {
+TEST_F(RaceTest, FailureOfAnotherHostUndrainsADrainingHost) {
   MakeAllBusy();
   m_first.Tick("p0", std::nullopt);
   ASSERT_EQ(m_world.Pool("p0").out.size(), 1U);
--- a/src/cassiastile/fleet/reconciler.cpp
+++ b/src/cassiastile/fleet/reconciler.cpp
@@ -71,14 +71,14 @@
   }
 }
 
-ChangeContext Reconciler::Context(
+ChangeContext Reconciler::MakeContext(
     const std::string& actor,
     const std::optional<platform::Precondition>& fence) const {
   ChangeContext context;
   context.actor = actor;
   context.wall = m_ports.clock.WallNow();
   context.document_version = m_document->version;
-  context.head = m_state.head;
+  context.document_row = m_state.document_row;
   context.fence = fence;
   return context;
 }
@@ -89,7 +89,7 @@
   Round round;
   round.pool = pool;
   round.declared = FindPool(m_index, pool);
-  round.context = Context(m_name, fence);
+  round.context = MakeContext(m_name, fence);
   round.has_latest_document = m_state.document_version == m_document->version;
   for (const std::string& host : round.Members(m_state)) {
     round.seen[host] = m_observer.Observe(m_state.hosts.at(host).record);
@@ -101,7 +101,7 @@
   const auto commit =
       m_ports.table.Apply(MakeTransaction(change, base::MakeId(m_random)));
   if (!commit) {
-    m_reader.Forget();
+    m_reader.Invalidate();
     return tl::unexpected(commit.error());
   }
   ApplyChange(change, m_state);
@@ -113,7 +113,7 @@
 bool Reconciler::CommitInRound(Round& round, Change change) {
   round.members.reset();
   for (const auto& host : change.hosts) {
-    m_observer.Forget(host.record.host);
+    m_observer.Invalidate(host.record.host);
     round.seen.try_emplace(host.record.host);
   }
   return Commit(std::move(change)).has_value();
@@ -136,7 +136,7 @@
     Change change = ReturnHost(
         round.context, FindPoolRecord(m_state, round.pool), stored,
         CurrentWaveOf(stored.record),
-        "given back undrained; the pool is short: " + Describe(count));
+        "undrained; its pool exceeds its budget: " + Describe(count));
     if (!CommitInRound(round, std::move(change))) {
       return false;
     }
@@ -158,7 +158,7 @@
     }
     if (seen.status->draining != draining &&
         m_ports.machines.SetDraining(host, draining)) {
-      m_observer.Forget(host);
+      m_observer.Invalidate(host);
     }
   }
 }
--- a/src/cassiastile/fleet/reconciler_hosts.cpp
+++ b/src/cassiastile/fleet/reconciler_hosts.cpp
@@ -44,8 +44,8 @@
   }
 
   bool operator()(const BeginProbe& /*action*/) const {
-    m_reconciler.RecordRebootTime(m_host.record,
-                                  m_round.seen[m_host.record.host].in_state);
+    m_reconciler.RecordRebootTime(
+        m_host.record, m_round.seen[m_host.record.host].time_in_state);
     return m_reconciler.CommitInRound(
         m_round, StartProbe(m_round.context, Pool(), m_host));
   }
@@ -61,10 +61,11 @@
     const HostRecord& host = m_host.record;
     const Stored<PoolRecord> to =
         FindPoolRecord(m_reconciler.m_state, host.bound_for);
-    const bool gone = FindPool(m_reconciler.m_index, host.bound_for) == nullptr;
+    const bool pool_removed =
+        FindPool(m_reconciler.m_index, host.bound_for) == nullptr;
     const bool needless = !host.stands_in_for.empty() &&
                           !to.record.out.contains(host.stands_in_for);
-    if (gone || needless) {
+    if (pool_removed || needless) {
       return (*this)(ReturnToService{"its move is no longer needed"});
     }
     if (!m_round.has_latest_document) {
@@ -87,7 +88,7 @@
     HostFailure failure;
     failure.evidence = action.evidence;
     failure.wave = m_reconciler.WaveForFailure(
-        m_host.record, m_round.seen[m_host.record.host].in_state);
+        m_host.record, m_round.seen[m_host.record.host].time_in_state);
     if (failure.wave) {
       const config::Wave* wave = config::FindWave(
           m_reconciler.m_document->fleet, failure.wave->record.wave);
@@ -127,11 +128,12 @@
 bool Reconciler::AdvanceHost(Round& round, const std::string& host) {
   const Stored<HostRecord> stored = m_state.hosts.at(host);
   const std::optional<Stored<WaveRecord>> wave = CurrentWaveOf(stored.record);
-  const bool ended = stored.record.reason == OutReason::kWave &&
-                     (!wave || wave->record.state == WaveState::kHalted ||
-                      wave->record.state == WaveState::kAborted);
-  if (stored.record.state == HostState::kDraining && ended) {
-    return UndrainFromEndedWave(round, stored);
+  const bool wave_stopped =
+      stored.record.reason == OutReason::kWave &&
+      (!wave || wave->record.state == WaveState::kHalted ||
+       wave->record.state == WaveState::kAborted);
+  if (stored.record.state == HostState::kDraining && wave_stopped) {
+    return UndrainFromStoppedWave(round, stored);
   }
   DrainPolicy drain = m_options.default_drain;
   if (const config::Wave* declared =
@@ -143,12 +145,12 @@
   return std::visit(ActionExecutor(*this, round, stored), action);
 }
 
-bool Reconciler::UndrainFromEndedWave(Round& round,
-                                      const Stored<HostRecord>& host) {
+bool Reconciler::UndrainFromStoppedWave(Round& round,
+                                        const Stored<HostRecord>& host) {
   return CommitInRound(
       round, ReturnHost(round.context, FindPoolRecord(m_state, round.pool),
                         host, CurrentWaveOf(host.record),
-                        "given back undrained; its wave goes on no more"));
+                        "undrained; its wave was halted or has ended"));
 }
 
 bool Reconciler::RegisterHosts(Round& round) {
@@ -195,14 +197,15 @@
   const DeclaredHost* declared = FindHost(m_index, host.record.host);
   if (host.record.state == HostState::kFailed) {
     // Nothing runs on a failed host, so there is nothing to drain.
-    Stored<HostRecord> leaver = host;
-    leaver.record.bound_for = declared != nullptr ? declared->pool->name : "";
+    Stored<HostRecord> departing = host;
+    departing.record.bound_for =
+        declared != nullptr ? declared->pool->name : "";
     const Stored<PoolRecord> from = FindPoolRecord(m_state, round.pool);
     return CommitInRound(
         round,
         declared != nullptr
             ? MoveHost(round.context, from,
-                       FindPoolRecord(m_state, declared->pool->name), leaver)
+                       FindPoolRecord(m_state, declared->pool->name), departing)
             : RemoveHost(round.context, from, host));
   }
   if (host.record.state != HostState::kInService) {
--- a/src/cassiastile/fleet/reconciler_moves.cpp
+++ b/src/cassiastile/fleet/reconciler_moves.cpp
@@ -116,15 +116,15 @@
       return false;
     }
   }
-  const std::int32_t shift = DemandDrivenSizeChange(pool.name);
+  const std::int32_t size_change = DemandDrivenSizeChange(pool.name);
   const std::int32_t moving_in =
       CountSpareHostsMovingIn(m_state, m_index, pool.name);
-  for (std::int32_t i = moving_in; i < shift; ++i) {
+  for (std::int32_t i = moving_in; i < size_change; ++i) {
     DrainRequest request;
     request.reason = OutReason::kMoving;
     request.bound_for = pool.name;
     request.detail =
-        fmt::format("the demand on {} has grown to stay", pool.name);
+        fmt::format("the demand on {} has grown lastingly", pool.name);
     if (!MoveSpareHost(round, request)) {
       return false;
     }
@@ -150,12 +150,12 @@
       !round.has_latest_document) {
     return true;
   }
-  const std::int32_t shift = DemandDrivenSizeChange(round.pool);
+  const std::int32_t size_change = DemandDrivenSizeChange(round.pool);
   const bool measured = m_ports.demand != nullptr &&
                         m_ports.demand->Demand(round.pool).has_value();
   const auto size =
       static_cast<std::int32_t>(CountMembers(m_state, round.pool));
-  std::int32_t surplus = measured ? -shift : size;
+  std::int32_t surplus = measured ? -size_change : size;
   surplus -= CountLeaving(m_state, round.pool);
   const PoolRecord record = FindPoolRecord(m_state, round.pool).record;
   const std::vector<std::string> members = round.Members(m_state);
@@ -164,16 +164,17 @@
     const DeclaredHost* declared = FindHost(m_index, host);
     const bool from_spare = declared != nullptr && declared->pool->spare &&
                             stored.state == HostState::kInService;
-    const bool stands_in = record.out.contains(stored.stands_in_for);
-    const bool ended = !stored.stands_in_for.empty() && !stands_in;
-    if (!from_spare || stands_in || (!ended && surplus <= 0)) {
+    const bool still_replacing = record.out.contains(stored.stands_in_for);
+    const bool replacement_over =
+        !stored.stands_in_for.empty() && !still_replacing;
+    if (!from_spare || still_replacing || (!replacement_over && surplus <= 0)) {
       continue;
     }
-    surplus -= ended ? 0 : 1;
+    surplus -= replacement_over ? 0 : 1;
     DrainRequest request;
     request.reason = OutReason::kMoving;
     request.bound_for = declared->pool->name;
-    request.detail = "no longer needed here; it goes back to the spare";
+    request.detail = "no longer needed here; it returns to the spare pool";
     base::Result<Change> change = PlanDrain(round, host, request);
     if (change && !CommitInRound(round, std::move(*change))) {
       return false;
--- a/src/cassiastile/fleet/reconciler_operator_actions.cpp
+++ b/src/cassiastile/fleet/reconciler_operator_actions.cpp
@@ -53,7 +53,7 @@
                           "; only a draining host can be returned to service.");
   }
   return CommitWithAudit(
-      ReturnHost(Context(actor, std::nullopt),
+      ReturnHost(MakeContext(actor, std::nullopt),
                  FindPoolRecord(m_state, stored.record.pool), stored,
                  CurrentWaveOf(stored.record), "returned by " + actor),
       audit);
@@ -67,7 +67,7 @@
     return base::Fail(base::ErrorCode::kNotFound, "No such wave: " + wave);
   }
   base::Result<Change> change = TransitionWave(
-      Context(actor, std::nullopt), FindWaveRecord(m_state, wave), action);
+      MakeContext(actor, std::nullopt), FindWaveRecord(m_state, wave), action);
   if (!change) {
     return tl::unexpected(change.error());
   }
--- a/src/cassiastile/fleet/reconciler_waves.cpp
+++ b/src/cassiastile/fleet/reconciler_waves.cpp
@@ -44,15 +44,15 @@
 
 std::optional<Stored<WaveRecord>> Reconciler::WaveForFailure(
     const HostRecord& host,
-    base::Duration in_state) const {
+    base::Duration time_in_state) const {
   if (auto wave = CurrentWaveOf(host)) {
     return wave;
   }
   const auto found = m_state.waves.find(host.done_wave);
   if (found == m_state.waves.end() ||
       found->second.record.state != WaveState::kRunning ||
-      !IsDone(found->second.record, host) ||
-      in_state > m_options.correlation_time) {
+      !HasMaintained(found->second.record, host) ||
+      time_in_state > m_options.correlation_time) {
     return std::nullopt;
   }
   return found->second;
@@ -185,7 +185,7 @@
       continue;
     }
     ++found->second.total;
-    if (IsDone(record, stored.record)) {
+    if (HasMaintained(record, stored.record)) {
       ++found->second.done;
     } else if (IsLeftOut(stored.record)) {
       ++found->second.left_out;
--- a/src/cassiastile/fleet/state.cpp
+++ b/src/cassiastile/fleet/state.cpp
@@ -46,7 +46,7 @@
   if (!row) {
     return tl::unexpected(row.error());
   }
-  state.head = {kHeadKey, 0};
+  state.document_row = {kHeadKey, 0};
   if (!*row) {
     return {};
   }
@@ -58,7 +58,7 @@
         "The row config/head is not a JSON object with an unsigned "
         "version.");
   }
-  state.head.version = (*row)->version;
+  state.document_row.version = (*row)->version;
   state.document_version = json["version"].get<std::uint64_t>();
   return {};
 }
@@ -122,7 +122,7 @@
   return {};
 }
 
-void StateReader::Forget() {
+void StateReader::Invalidate() {
   m_has_all_hosts = false;
 }
 
--- a/src/cassiastile/fleet/wave_plan.cpp
+++ b/src/cassiastile/fleet/wave_plan.cpp
@@ -27,7 +27,7 @@
       [&](const auto& host) { return IsOutForWave(input, host); }));
 }
 
-std::uint32_t RackOut(const WaveInput& input, const WaveHost& host) {
+std::uint32_t CountRackOut(const WaveInput& input, const WaveHost& host) {
   const auto found = input.rack_out.find(RackKey(host.host));
   return found == input.rack_out.end() ? 0 : found->second;
 }
@@ -72,7 +72,7 @@
   return host.zone + "/" + (host.rack.empty() ? host.name : host.rack);
 }
 
-bool IsDone(const WaveRecord& wave, const HostRecord& host) {
+bool HasMaintained(const WaveRecord& wave, const HostRecord& host) {
   return host.done_wave == wave.wave && host.done_run == wave.run;
 }
 
@@ -80,7 +80,7 @@
   std::vector<const WaveHost*> hosts;
   for (const WaveHost& host : input.hosts) {
     if (host.record.state == HostState::kInService && host.known_up &&
-        !IsDone(*input.record, host.record)) {
+        !HasMaintained(*input.record, host.record)) {
       hosts.push_back(&host);
     }
   }
@@ -91,7 +91,7 @@
   const auto rank = [&](const WaveHost* host) {
     return std::tuple(host->work.without_checkpoint, host->work.running,
                       host->work.longest_remaining, zones.at(host->host.zone),
-                      RackOut(input, *host));
+                      CountRackOut(input, *host));
   };
   std::stable_sort(hosts.begin(), hosts.end(),
                    [&](const WaveHost* left, const WaveHost* right) {
@@ -164,7 +164,7 @@
     }
   }
   forecast.basis =
-      fmt::format("{} s a host, {}; window {}{}", maintenance_time.count(),
+      fmt::format("{} s per host, {}; window {}{}", maintenance_time.count(),
                   measured ? "measured in this run" : "assumed",
                   Describe(wave.window), shortage);
   return forecast;
--- a/src/cassiastile/fleet/wave_test.cpp
+++ b/src/cassiastile/fleet/wave_test.cpp
@@ -33,7 +33,7 @@
   EXPECT_EQ(world.table.pool_violations, 0U) << world.table.first_violation;
 }
 
-TEST(WaveTest, CanariesGoAloneAndFirst) {
+TEST(WaveTest, CanariesAreDrainedFirstAndOneAtATime) {
   auto document = fake::MakeDocument({.pools = 2, .hosts = 6});
   document->fleet.waves[0].canaries = 2;
   fake::World world(document);
@@ -165,12 +165,13 @@
   world.Start(reconciler);
   world.RunWave(reconciler, kLongEnough);
   EXPECT_EQ(world.machines.reboots["p0-h0"], 1U);
-  bool told = false;
+  bool is_reported = false;
   for (const base::Decision& decision : world.sink.decisions) {
-    told = told || Reasons(decision).find("cut at the drain deadline") !=
-                       std::string::npos;
+    is_reported =
+        is_reported || Reasons(decision).find("cut at the drain deadline") !=
+                           std::string::npos;
   }
-  EXPECT_TRUE(told);
+  EXPECT_TRUE(is_reported);
 }
 
 TEST(WaveTest, HostsWithTheLeastWorkGoFirst) {
