--- a/include/cassiastile/sim/invariant_checker.hpp
+++ b/include/cassiastile/sim/invariant_checker.hpp
@@ -38,18 +38,18 @@
   const std::vector<std::string>& Violations() const { return m_violations; }
   // Null for a job that was not submitted.
   const jobs::JobSpec* SpecOf(const std::string& job) const;
-  // Number of its tasks that have ended successfully.
+  // Number of the job's tasks that have ended successfully.
   std::size_t DoneTasks(const std::string& job) const;
-  // Number of its runs that are alive.
+  // Number of the job's runs that are alive.
   std::size_t RunningTasks(const std::string& job) const;
 
  private:
   // What is known of one job.
   struct JobState {
     jobs::JobSpec spec;
-    bool refused = false;
-    bool accepted = false;
-    // Ended successfully, acknowledged or not.
+    bool refused = false;   // Every answer so far was a refusal.
+    bool accepted = false;  // Accepted, and not cancelled since.
+    // Tasks that have ended successfully, acknowledged or not.
     std::set<jobs::TaskId> done;
     // Workers that run each task.
     std::map<jobs::TaskId, std::vector<std::string>> running;
@@ -60,6 +60,7 @@
                   std::uint32_t step) const;
 
   std::map<std::string, JobState> m_job_states;
+  // Tasks whose successful end the scheduler has acknowledged.
   std::set<jobs::TaskId> m_acknowledged;
   std::vector<std::string> m_violations;
 };
--- a/include/cassiastile/sim/table_model.hpp
+++ b/include/cassiastile/sim/table_model.hpp
@@ -19,7 +19,8 @@
   // none; otherwise returns a conflict with the current rows.
   host::TransactionReply Apply(const host::RowTransaction& transaction,
                                std::chrono::milliseconds now);
-  // The rows of a part with keys not below `from`, at most `limit`.
+  // The rows of a part whose keys are `from` or greater, in order of their
+  // keys, at most `limit`.
   host::RowPage Read(const std::string& table,
                      const std::string& part,
                      const std::string& from,
@@ -42,7 +43,7 @@
   std::map<Key, host::Row> m_rows;  // By table, part and key.
   std::vector<host::Row> m_history;
   std::uint64_t m_version = 0;
-  std::uint64_t m_forgotten = 0;  // History up to this version is gone.
+  std::uint64_t m_compacted_up_to = 0;  // History up to this version is gone.
 };
 
 }  // namespace cassiastile::sim
--- a/include/cassiastile/sim/worker_model.hpp
+++ b/include/cassiastile/sim/worker_model.hpp
@@ -27,23 +27,25 @@
 };
 
 // Models one incarnation of a worker: its fencing token, lease and runs, and
-// the list of ended runs. Time is passed in, and Advance must be called at or
-// after NextEvent.
+// the list of ended runs. Time is passed in, and Advance must be called at
+// NextEvent or later.
 class WorkerModel {
  public:
   // The observer must outlive the model.
   WorkerModel(jobs::WorkerEntry entry,
-              base::TimePoint began,
+              base::TimePoint started,
               RunObserver& observer);
 
-  // `step` says what the task needs and how long it takes; `until` is the end
-  // of the lease by the worker's own clock.
+  // Starts a run, and extends the lease to `lease_until` by the worker's own
+  // clock. `step` says what the task needs and how long it takes; `fence` is
+  // the leader's fencing token.
   jobs::StartResult Start(const jobs::StartOrder& order,
                           const jobs::StepSpec& step,
                           std::uint64_t fence,
-                          std::chrono::milliseconds until,
+                          std::chrono::milliseconds lease_until,
                           base::TimePoint now);
-  // Returns false when a newer fencing token has been seen.
+  // Stops a run, and refuses its start from then on. Returns false when a newer
+  // fencing token has been seen.
   bool Stop(const jobs::TaskId& task,
             std::uint32_t run,
             std::uint64_t fence,
@@ -85,9 +87,9 @@
   jobs::Resources m_used;
   std::map<jobs::TaskId, Run> m_running;
   // For each task, the number up to which its runs are refused.
-  std::map<jobs::TaskId, std::uint32_t> m_closed;
+  std::map<jobs::TaskId, std::uint32_t> m_refused_up_to;
   std::vector<jobs::ListedEnd> m_ended;
-  std::uint64_t m_sequence = 0;
+  std::uint64_t m_sequence = 0;  // Of the last listed end.
 };
 
 }  // namespace cassiastile::sim
--- a/include/cassiastile/sim/worker_timer.hpp
+++ b/include/cassiastile/sim/worker_timer.hpp
@@ -11,8 +11,8 @@
 // can be set after each call to the model.
 class WorkerTimer {
  public:
-  // The loop must outlive the timer. `due` runs on it.
-  WorkerTimer(host::Loop& loop, std::function<void()> due);
+  // The loop must outlive the timer. `on_due` runs on it.
+  WorkerTimer(host::Loop& loop, std::function<void()> on_due);
 
   // Requests a call at a time, if there is one. If a call is due sooner, it is
   // kept, and its callback must set the timer again.
@@ -20,7 +20,7 @@
 
  private:
   host::Loop& m_loop;
-  std::function<void()> m_due;
+  std::function<void()> m_on_due;
   std::optional<base::TimePoint> m_at;  // When the next call is due.
   host::Lifetime m_lifetime;
 };
--- a/src/cassiastile/sim/invariant_checker.cpp
+++ b/src/cassiastile/sim/invariant_checker.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string Name(const jobs::TaskId& task) {
+std::string FormatTask(const jobs::TaskId& task) {
   return fmt::format("{}.{}.{}.{}", task.job, task.occurrence, task.step,
                      task.index);
 }
@@ -73,28 +73,29 @@
   const auto found = m_job_states.find(task.job);
   if (found == m_job_states.end() ||
       found->second.spec.payload != order.payload) {
-    Violate(fmt::format("task {} was never submitted", Name(task)));
+    Violate(fmt::format("task {} was never submitted", FormatTask(task)));
     return;
   }
   JobState& state = found->second;
   if (state.refused) {
-    Violate(fmt::format("task {} runs though its job was refused", Name(task)));
+    Violate(fmt::format("task {} runs though its job was refused",
+                        FormatTask(task)));
   }
   for (const std::uint32_t before : state.spec.steps[task.step].after) {
     if (!IsStepDone(state, task, before)) {
-      Violate(fmt::format("task {} runs before step {} is done", Name(task),
-                          before));
+      Violate(fmt::format("task {} runs before step {} is done",
+                          FormatTask(task), before));
     }
   }
   std::vector<std::string>& running = state.running[task];
   if (!running.empty()) {
-    Violate(fmt::format("task {} runs twice: on {} and {}", Name(task),
+    Violate(fmt::format("task {} runs twice: on {} and {}", FormatTask(task),
                         running.front(), worker.id));
   }
   running.push_back(worker.id);
   if (m_acknowledged.contains(task)) {
     Violate(fmt::format("task {} started after its end was acknowledged",
-                        Name(task)));
+                        FormatTask(task)));
   }
 }
 
--- a/src/cassiastile/sim/table_model.cpp
+++ b/src/cassiastile/sim/table_model.cpp
@@ -64,7 +64,7 @@
                                 std::uint64_t after) const {
   host::FeedPage page;
   page.version = m_version;
-  page.history_compacted = after < m_forgotten;
+  page.history_compacted = after < m_compacted_up_to;
   if (page.history_compacted) {
     return page;
   }
@@ -78,7 +78,7 @@
 
 void TableModel::CompactHistory() {
   m_history.clear();
-  m_forgotten = m_version;
+  m_compacted_up_to = m_version;
 }
 
 const host::Row* TableModel::Find(const std::string& table,
--- a/src/cassiastile/sim/worker_model.cpp
+++ b/src/cassiastile/sim/worker_model.cpp
@@ -10,14 +10,14 @@
 using std::chrono::milliseconds;
 
 // Time that a long-running task takes to start up before it serves.
-constexpr milliseconds kStartup{300};
+constexpr milliseconds kStartupTime{300};
 
 }  // namespace
 
 WorkerModel::WorkerModel(jobs::WorkerEntry entry,
-                         base::TimePoint began,
+                         base::TimePoint started,
                          RunObserver& observer)
-    : m_entry(std::move(entry)), m_started(began), m_observer(observer) {}
+    : m_entry(std::move(entry)), m_started(started), m_observer(observer) {}
 
 milliseconds WorkerModel::Clock(base::TimePoint now) const {
   return std::chrono::duration_cast<milliseconds>(now - m_started);
@@ -26,22 +26,22 @@
 jobs::StartResult WorkerModel::Start(const jobs::StartOrder& order,
                                      const jobs::StepSpec& step,
                                      std::uint64_t fence,
-                                     milliseconds until,
+                                     milliseconds lease_until,
                                      base::TimePoint now) {
   if (fence < m_fence) {
     return jobs::StartResult::kFenced;
   }
   m_fence = fence;
-  if (until <= Clock(now)) {
+  if (lease_until <= Clock(now)) {
     return jobs::StartResult::kTooLate;
   }
-  m_lease_until = std::max(m_lease_until, until);
+  m_lease_until = std::max(m_lease_until, lease_until);
   if (const auto same = m_running.find(order.task); same != m_running.end()) {
     return same->second.number == order.run ? jobs::StartResult::kRunning
                                             : jobs::StartResult::kStaleRun;
   }
-  if (const auto closed = m_closed.find(order.task);
-      closed != m_closed.end() && order.run <= closed->second) {
+  if (const auto refused = m_refused_up_to.find(order.task);
+      refused != m_refused_up_to.end() && order.run <= refused->second) {
     return jobs::StartResult::kStaleRun;
   }
   const jobs::Resources need = jobs::CapacityNeed(step);
@@ -67,7 +67,7 @@
   }
   m_fence = fence;
   Advance(now);
-  m_closed[task] = std::max(m_closed[task], run);
+  m_refused_up_to[task] = std::max(m_refused_up_to[task], run);
   const auto found = m_running.find(task);
   if (found != m_running.end() && found->second.number <= run) {
     Finish(task, jobs::RunEnd::kStopped);
@@ -107,7 +107,7 @@
     listed.run = run.number;
     const auto age = now - run.began;
     if (run.ends == base::TimePoint{}) {
-      listed.percent = age > kStartup ? 100 : 0;
+      listed.percent = age > kStartupTime ? 100 : 0;
     } else {
       listed.percent = static_cast<int>(100 * age / (run.ends - run.began));
     }
@@ -159,7 +159,7 @@
   const Run run = found->second;
   m_running.erase(found);
   m_used -= run.need;
-  m_closed[task] = std::max(m_closed[task], run.number);
+  m_refused_up_to[task] = std::max(m_refused_up_to[task], run.number);
   m_ended.push_back({++m_sequence, task, run.number, how, ""});
   m_observer.RunEnded(m_entry.id, task, run.number, how);
 }
--- a/src/cassiastile/sim/worker_timer.cpp
+++ b/src/cassiastile/sim/worker_timer.cpp
@@ -4,8 +4,8 @@
 
 namespace cassiastile::sim {
 
-WorkerTimer::WorkerTimer(host::Loop& loop, std::function<void()> due)
-    : m_loop(loop), m_due(std::move(due)) {}
+WorkerTimer::WorkerTimer(host::Loop& loop, std::function<void()> on_due)
+    : m_loop(loop), m_on_due(std::move(on_due)) {}
 
 void WorkerTimer::Set(std::optional<base::TimePoint> at) {
   if (!at || (m_at && *m_at <= *at)) {
@@ -16,7 +16,7 @@
                m_lifetime.Guard([this, at = *at] {
                  if (m_at == at) {  // Else an earlier call replaced it.
                    m_at.reset();
-                   m_due();
+                   m_on_due();
                  }
                }));
 }
