--- a/include/cassiastile/base/clock.hpp
+++ b/include/cassiastile/base/clock.hpp
@@ -12,7 +12,8 @@
 
 // The source of time, passed to every component. Measure durations and
 // deadlines with Now, which is monotonic. WallNow can jump in either direction
-// and is only for times shown to people.
+// and is only for times that people or other processes read, for due times and
+// for maintenance windows.
 class Clock {
  public:
   virtual ~Clock() = default;
--- a/include/cassiastile/daemon/run_daemon.hpp
+++ b/include/cassiastile/daemon/run_daemon.hpp
@@ -20,25 +20,25 @@
 };
 
 // Adapts a class to Daemon. The class needs a static Start(Options) that
-// returns base::Result<std::unique_ptr<Host>>, and a Stop().
-template <typename Host>
+// returns a base::Result of a std::unique_ptr to it, and a Stop().
+template <typename Implementation>
 class HostDaemon final : public Daemon {
  public:
   template <typename Options>
   static base::Result<std::unique_ptr<HostDaemon>> Start(Options options) {
-    auto host = Host::Start(std::move(options));
-    if (!host) {
-      return tl::unexpected(host.error());
+    auto implementation = Implementation::Start(std::move(options));
+    if (!implementation) {
+      return tl::unexpected(implementation.error());
     }
     auto running = std::make_unique<HostDaemon>();
-    running->m_host = std::move(*host);
+    running->m_implementation = std::move(*implementation);
     return running;
   }
 
-  void Stop() override { m_host->Stop(); }
+  void Stop() override { m_implementation->Stop(); }
 
  private:
-  std::unique_ptr<Host> m_host;
+  std::unique_ptr<Implementation> m_implementation;
 };
 
 // Starts logging and loads the settings file named on the command line. On
@@ -64,13 +64,13 @@
               const Start& start) {
   const StopSignal signal;
   const auto command = ReadCommandLine(program, argc, argv);
-  if (const auto* answered = std::get_if<EarlyExit>(&command)) {
-    return answered->exit_status;
+  if (const auto* early_exit = std::get_if<EarlyExit>(&command)) {
+    return early_exit->exit_status;
   }
   const auto& invocation = std::get<Invocation>(command);
   auto loaded = LoadSettings(invocation);
-  if (const auto* answered = std::get_if<EarlyExit>(&loaded)) {
-    return answered->exit_status;
+  if (const auto* early_exit = std::get_if<EarlyExit>(&loaded)) {
+    return early_exit->exit_status;
   }
   auto& settings = std::get<config::Settings>(loaded);
   auto options = read(settings);
--- a/src/cassiastile/daemon/daemon_test.cpp
+++ b/src/cassiastile/daemon/daemon_test.cpp
@@ -25,7 +25,7 @@
   EXPECT_TRUE(std::get<Invocation>(command).check_only);
 }
 
-TEST(HealthTest, ReadinessFollowsTheProcess) {
+TEST(HealthTest, RoutesFollowReadinessAndUpdateMetrics) {
   wire::Router router;
   wire::Metrics metrics;
   bool ready = true;
--- a/src/cassiastile/daemon/platform_access.cpp
+++ b/src/cassiastile/daemon/platform_access.cpp
@@ -10,8 +10,9 @@
 
 constexpr std::int64_t kMaxCallsPerSecond = 10000;
 
-platform::HttpPlatformOptions MakeLink(wire::HttpClient& client,
-                                       const PlatformAccessOptions& options) {
+platform::HttpPlatformOptions MakeHttpOptions(
+    wire::HttpClient& client,
+    const PlatformAccessOptions& options) {
   return {&client, options.address, options.timeout};
 }
 
@@ -43,11 +44,11 @@
 PlatformAccess::PlatformAccess(const base::Clock& clock,
                                const PlatformAccessOptions& options)
     : m_client(wire::HttpClient::Create()),
-      m_table(MakeLink(*m_client, options)),
+      m_table(MakeHttpOptions(*m_client, options)),
       m_guard(m_table, clock, Sleep, base::MakeRandom()(), options.guard),
-      m_objects(MakeLink(*m_client, options)),
-      m_hosts(MakeLink(*m_client, options)),
-      m_machines(MakeLink(*m_client, options)),
+      m_objects(MakeHttpOptions(*m_client, options)),
+      m_hosts(MakeHttpOptions(*m_client, options)),
+      m_machines(MakeHttpOptions(*m_client, options)),
       m_decisions(
           platform::DecisionLog::Create(m_objects, MakeLogOptions(options))) {}
 
