--- a/include/cassiastile/jobs/job.hpp
+++ b/include/cassiastile/jobs/job.hpp
@@ -82,8 +82,8 @@
 // The progress of one step of an occurrence.
 struct StepState {
   std::vector<Task> tasks;
-  std::uint32_t done = 0;  // Number of tasks that are done.
-  bool ready = false;      // All steps that it depends on are done.
+  std::uint32_t tasks_done = 0;
+  bool ready = false;  // All steps that it depends on are done.
   // Indices of the tasks to place; empty until the step is ready.
   std::vector<std::uint32_t> waiting;
 };
@@ -121,7 +121,7 @@
   std::uint32_t next_occurrence = 0;
   std::vector<Occurrence> occurrences;  // Those that have begun.
   std::uint32_t occurrences_done = 0;
-  std::uint32_t runs = 0;  // Number of runs of its tasks that may be alive.
+  std::uint32_t live_runs = 0;  // Runs of its tasks that may be alive.
 };
 
 // Refers to a task inside the scheduler. Valid while the scheduler keeps the
--- a/include/cassiastile/jobs/scheduler_options.hpp
+++ b/include/cassiastile/jobs/scheduler_options.hpp
@@ -8,7 +8,7 @@
 struct SchedulerOptions {
   // A worker whose last report is older gets no new tasks. A healthy worker
   // reports at least once a second.
-  std::chrono::milliseconds stale_report{2500};
+  std::chrono::milliseconds max_report_age{2500};
   // How long a finished job's state is kept; finished_state_s in the settings.
   std::chrono::milliseconds keep_finished{120000};
 };
--- a/include/cassiastile/jobs/worker_view.hpp
+++ b/include/cassiastile/jobs/worker_view.hpp
@@ -118,7 +118,7 @@
   kTooLate,   // The lease in the order had expired on arrival.
   kNoRoom,    // The worker's capacity is in use.
   kNoTicket,  // The placement ticket is not valid there.
-  kBusy,      // The worker is unhealthy and did nothing.
+  kBusy,      // The worker takes no orders now; it did nothing.
   // Another incarnation of the worker has the address now.
   kOtherIncarnation,
   kRejected,     // The worker can't read the order.
--- a/src/cassiastile/jobs/job.cpp
+++ b/src/cassiastile/jobs/job.cpp
@@ -67,7 +67,7 @@
     step.ready = std::ranges::all_of(
         job.spec.steps[i].after, [&occurrence](std::uint32_t before) {
           const StepState& earlier = occurrence.steps[before];
-          return earlier.done == earlier.tasks.size();
+          return earlier.tasks_done == earlier.tasks.size();
         });
     if (!step.ready) {
       continue;
--- a/src/cassiastile/jobs/job_codec.cpp
+++ b/src/cassiastile/jobs/job_codec.cpp
@@ -114,7 +114,7 @@
     run.checkpoint = task.checkpoint;
   }
   if (task.done) {
-    ++occurrence.steps[step].done;
+    ++occurrence.steps[step].tasks_done;
   }
 }
 
@@ -132,7 +132,7 @@
     DecodeTask(archive, occurrence);
   }
   for (const StepState& step : occurrence.steps) {
-    occurrence.steps_done += step.done == step.tasks.size() ? 1 : 0;
+    occurrence.steps_done += step.tasks_done == step.tasks.size() ? 1 : 0;
   }
   RefreshReadySteps(job, occurrence);
 }
--- a/src/cassiastile/jobs/scheduler.cpp
+++ b/src/cassiastile/jobs/scheduler.cpp
@@ -165,7 +165,7 @@
             worker.Use(SpecOf(ref));
             m_used_by_customer[job.customer] += SpecOf(ref).need;
             run.ordered_at = now;
-            ++job.runs;
+            ++job.live_runs;
           }
         }
       }
@@ -383,8 +383,8 @@
 
 void Scheduler::RemoveFinished(base::TimePoint now) {
   std::erase_if(m_finished, [this, now](Job* job) {
-    if (now - job->finished_at < m_options.keep_finished || job->runs > 0 ||
-        job->dirty) {
+    if (now - job->finished_at < m_options.keep_finished ||
+        job->live_runs > 0 || job->dirty) {
       return false;
     }
     m_removed_jobs.push_back(job->id);
--- a/src/cassiastile/jobs/scheduler_runs.cpp
+++ b/src/cassiastile/jobs/scheduler_runs.cpp
@@ -49,7 +49,7 @@
   worker.Use(spec);
   worker.runs.emplace_back(ref, run.number);
   m_used_by_customer[ref.job->customer] += spec.need;
-  ++ref.job->runs;
+  ++ref.job->live_runs;
   if (ref.job->phase == JobPhase::kQueued) {
     ref.job->phase = JobPhase::kRunning;
   }
@@ -75,7 +75,7 @@
     }
   }
   m_used_by_customer[ref.job->customer] -= spec.need;
-  --ref.job->runs;
+  --ref.job->live_runs;
   if (!run->checkpoint.empty()) {
     task->checkpoint = run->checkpoint;
   }
@@ -314,7 +314,7 @@
       continue;
     }
     task.done = true;
-    ++step.done;
+    ++step.tasks_done;
     std::erase(step.waiting, i);
     if (!whole_gang) {
       for (Run& copy : task.runs) {
@@ -323,7 +323,7 @@
       }
     }
   }
-  if (step.done < step.tasks.size()) {
+  if (step.tasks_done < step.tasks.size()) {
     return;
   }
   MarkDirty(job, true);
