--- a/include/cassiastile/entry/claim_store.hpp
+++ b/include/cassiastile/entry/claim_store.hpp
@@ -37,7 +37,7 @@
   std::chrono::milliseconds claim_write_interval{60};
   std::chrono::milliseconds outcome_write_interval{250};
   std::size_t max_batch = 64;      // Claims, or outcomes, per transaction.
-  std::size_t max_waiting = 1024;  // Claims, and outcomes, not yet written.
+  std::size_t max_waiting = 1024;  // Claims not yet written; outcomes likewise.
 };
 
 // Commits the claims of idempotency keys in batches, so that the table gets far
@@ -56,16 +56,17 @@
   ClaimStore(const ClaimStore&) = delete;
   ClaimStore& operator=(const ClaimStore&) = delete;
 
-  // Fails the waiting claims and rejects new ones. Outcomes are still accepted.
+  // Fails the waiting claims and rejects new ones. Outcomes are still accepted;
+  // the destructor writes them.
   void Stop();
 
-  // Claims the row `key`. The callback runs exactly once: on the store's
-  // thread, in Stop, or within this call when too many claims wait or the store
-  // has stopped.
+  // Claims the row with the table key `key`. The callback runs exactly once: on
+  // the store's thread, in Stop, or within this call when too many claims wait
+  // or the store has stopped.
   void AcquireClaim(std::string key, work::Claim claim, ClaimCallback callback);
 
   // Records the outcome of a request whose claim was committed. Dropped when
-  // too many outcomes wait.
+  // too many outcomes wait or the table can't be written.
   void RecordOutcome(std::string key,
                      const work::Claim& claim,
                      const work::Outcome& outcome);
@@ -82,18 +83,18 @@
   struct PendingOutcome {
     std::string key;
     std::string nonce;
-    std::optional<work::Claim> claim;  // Nothing to delete the row.
+    std::optional<work::Claim> claim;  // Empty to delete the row.
   };
 
   std::string NewNonce();
   void Run();
   bool WaitForWork(std::unique_lock<std::mutex>& lock);
-  std::vector<PendingClaim> NextClaims();
-  std::vector<PendingOutcome> NextOutcomes();
+  std::vector<PendingClaim> TakeDueClaims();
+  std::vector<PendingOutcome> TakeDueOutcomes();
   void CommitClaims(std::vector<PendingClaim> batch);
   static std::vector<PendingClaim> ExtractDuplicates(
       std::vector<PendingClaim>& batch);
-  void Resolve(std::vector<PendingClaim>& batch);
+  void AnswerExistingClaims(std::vector<PendingClaim>& batch);
   void CommitOutcomes(const std::vector<PendingOutcome>& batch);
   void WriteOutcome(const PendingOutcome& pending);
   void FailAll(std::vector<PendingClaim>& batch, bool may_be_written);
--- a/include/cassiastile/entry/credit_account.hpp
+++ b/include/cassiastile/entry/credit_account.hpp
@@ -25,17 +25,17 @@
   // From now on nothing is started above the grants; a resource without a grant
   // counts as zero. Returns an upper bound of what stays in use, which may
   // exceed a grant where more was in use already.
-  virtual Grants Allow(const Grants& grants, base::TimePoint now) = 0;
+  virtual Grants ApplyGrants(const Grants& grants, base::TimePoint now) = 0;
 };
 
-// Releases all credits that another consumer does not have in use.
+// Makes another consumer release all credits that it does not have in use.
 class ReleasingConsumer final : public CreditConsumer {
  public:
   // The consumer must outlive this object.
   explicit ReleasingConsumer(CreditConsumer& consumer) : m_consumer(consumer) {}
 
   CreditNeeds Needs(const work::LedgerRow& row, base::TimePoint now) override;
-  Grants Allow(const Grants& grants, base::TimePoint now) override;
+  Grants ApplyGrants(const Grants& grants, base::TimePoint now) override;
 
  private:
   CreditConsumer& m_consumer;
@@ -52,9 +52,10 @@
 
 // This host's share of one ledger row. Use of credits stops before the write
 // that releases them, and starts only after the write that grants them is known
-// to have been applied. For use by one thread.
+// to have been applied. For use by one thread at a time.
 class CreditAccount {
  public:
+  // The table must outlive the account.
   CreditAccount(platform::Table& table,
                 std::string key,
                 work::HolderName holder,
@@ -79,7 +80,7 @@
                          std::uint64_t version,
                          work::LedgerRow planned,
                          base::TimePoint now);
-  bool Resolve();
+  bool ResolveLastWrite();
 
   platform::Table& m_table;
   std::string m_key;
--- a/include/cassiastile/entry/credit_plan.hpp
+++ b/include/cassiastile/entry/credit_plan.hpp
@@ -16,12 +16,14 @@
 
 // What this host needs of one resource, in credits.
 struct CreditNeed {
-  std::uint32_t capacity = 0;  // Of the whole resource, by the fleet document.
+  // Of the whole resource, as the fleet document sets it.
+  std::uint32_t capacity = 0;
   std::uint32_t in_use = 0;
   std::uint32_t wanted = 0;
 };
 
-// By resource name: a runner for slots, a team for its limit.
+// Needs and granted credits, by the name of the resource: a runner for its
+// slots, a team for its request limit.
 using CreditNeeds = std::map<std::string, CreditNeed>;
 using Grants = std::map<std::string, std::uint32_t>;
 
--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -42,6 +42,7 @@
   std::chrono::milliseconds tick{20};
   std::chrono::milliseconds listing_interval{500};
   std::chrono::milliseconds member_read_interval{5000};
+  // A random time of up to the jitter is added to each interval.
   std::chrono::milliseconds credit_sync_interval{250};
   std::chrono::milliseconds credit_sync_jitter{100};
 };
@@ -75,8 +76,8 @@
 
   // Whether this host should get requests: it has applied a configuration and
   // is not draining. Says nothing about runners.
-  bool Ready() const;
-  // Makes Ready false, so that the load balancer sends requests elsewhere.
+  bool IsReady() const;
+  // Makes IsReady false, so that the load balancer sends requests elsewhere.
   // Requests are still accepted and finished.
   void StartDrain();
   // Releases this host's credits in the table. Call it once no request runs.
@@ -95,14 +96,15 @@
 
   EntryService(EntryOptions options, const EntryDependencies& dependencies);
   void Start();
-  void Handle(wire::HttpRequest request, wire::HttpResponder respond);
-  void HandleValid(ValidatedRequest validated,
-                   const std::shared_ptr<const wire::HttpRequest>& request,
-                   wire::HttpResponder respond);
-  void Claim(const ValidatedRequest& validated,
-             const std::string& key,
-             const std::shared_ptr<ServiceGateway>& gateway,
-             GatewayRequest request);
+  void HandleRequest(wire::HttpRequest request, wire::HttpResponder respond);
+  void HandleValidRequest(
+      ValidatedRequest validated,
+      const std::shared_ptr<const wire::HttpRequest>& request,
+      wire::HttpResponder respond);
+  void ClaimAndAccept(const ValidatedRequest& validated,
+                      const std::string& key,
+                      const std::shared_ptr<ServiceGateway>& gateway,
+                      GatewayRequest request);
   void Answer(const std::string& service,
               const work::RequestTicket& ticket,
               const wire::HttpRequest& request,
@@ -119,7 +121,7 @@
   void RunTicks();
   void RunListing();
   void RunCredits();
-  bool Sleep(std::chrono::milliseconds length);
+  bool SleepUnlessStopping(std::chrono::milliseconds length);
   void ApplyConfiguration();
   void AddService(const config::Service& service);
   void RecheckKeys();
@@ -128,7 +130,7 @@
   void SyncCredits();
   std::vector<std::pair<CreditAccount*, std::shared_ptr<ServiceShard>>>
   AllAccounts();
-  bool AnyLacksSlots() const;
+  bool HasWaitingRequests() const;
   CreditSyncResult SyncAccount(CreditAccount& account,
                                CreditConsumer& consumer);
 
@@ -137,7 +139,7 @@
   work::HolderName m_holder;
   std::atomic<work::RequestId> m_next_id{1};
   std::atomic<bool> m_draining{false};
-  std::atomic<std::uint64_t> m_version{0};
+  std::atomic<std::uint64_t> m_applied_version{0};
 
   std::mutex m_random_mutex;
   base::Random m_random;
--- a/include/cassiastile/entry/holder_watch.hpp
+++ b/include/cassiastile/entry/holder_watch.hpp
@@ -26,10 +26,10 @@
 work::HolderName MakeHolderName(const std::string& host,
                                 std::uint64_t incarnation);
 
-// Finds the holders of credits that are gone, so that nothing of theirs can run
-// any more: those whose process was replaced by a newer incarnation, and those
+// Finds the holders of credits that are gone and can have nothing running any
+// more: those whose process was replaced by a newer incarnation, and those
 // whose host has long been missing from the host list while this host is
-// listed.
+// listed. Not thread-safe.
 class HolderWatch {
  public:
   HolderWatch(std::string own_name, HolderWatchOptions options);
@@ -52,15 +52,14 @@
       const std::set<work::HolderName>& holders,
       base::TimePoint now);
 
-  // Whether other hosts may soon forfeit this host's credits: it has neither
-  // been listed nor reached the table for `max_absence` minus twice
-  // `longest_request`. So it can stop using the credits before others take
-  // them.
+  // Whether other hosts may soon forfeit this host's credits, so that it must
+  // stop using them first: it has neither been listed nor reached the table for
+  // `max_absence` minus twice `longest_request`.
   bool MayBeForfeited(base::TimePoint last_table_answer,
                       base::TimePoint now) const;
 
  private:
-  struct Seen {
+  struct ObservedHost {
     std::uint64_t incarnation = 0;
     base::TimePoint incarnation_since{};
     std::optional<base::TimePoint> missing_since;
@@ -68,9 +67,9 @@
 
   std::string m_own_name;
   HolderWatchOptions m_options;
-  std::map<std::string, Seen> m_hosts;
+  std::map<std::string, ObservedHost> m_hosts;
   bool m_self_listed = false;
-  base::TimePoint m_self_seen{};
+  base::TimePoint m_self_last_listed{};
 };
 
 }  // namespace cassiastile::entry
--- a/include/cassiastile/entry/service_gateway.hpp
+++ b/include/cassiastile/entry/service_gateway.hpp
@@ -24,17 +24,18 @@
 // Settings of a service's gateway.
 struct ServiceGatewayOptions {
   ServiceShardOptions shard;
-  std::string host;  // This host's name, the first part of request ids.
+  std::string host;  // Not read; request ids begin with `shard.holder`.
   std::size_t max_answer_bytes = 4U << 20U;
   std::chrono::milliseconds probe_timeout{1000};
   std::chrono::milliseconds connect_timeout{1000};
 };
 
-// One service at this host: its shard decides, the gateway calls the runners.
+// Runs the requests for one service at this host: its shard decides which
+// runner gets each, and the gateway sends them.
 class ServiceGateway {
  public:
-  // The clock and the client must outlive the calls of the gateway. Destroy the
-  // client, which ends the calls, before the gateway.
+  // The clock must outlive the gateway. The client must be destroyed before the
+  // gateway: that ends the calls, whose callbacks use the gateway.
   ServiceGateway(ServiceGatewayOptions options,
                  const base::Clock& clock,
                  wire::HttpClient& client,
--- a/include/cassiastile/entry/service_shard.hpp
+++ b/include/cassiastile/entry/service_shard.hpp
@@ -31,8 +31,8 @@
   std::function<void(work::FinishRequest)> finish;
 };
 
-// The requests of one service on this host, guarded by a lock of their own.
-// Consumes the credits for the slots of the service's runners.
+// The requests of one service on this host, guarded by its own lock. Consumes
+// the credits for the slots of the service's runners.
 class ServiceShard final : public CreditConsumer {
  public:
   ServiceShard(ServiceShardOptions options,
@@ -48,7 +48,8 @@
   void EndTry(work::TryId try_id, work::TryResult result, base::TimePoint now);
   // Records the result of a runner's health probe.
   void EndProbe(const std::string& runner, bool healthy, base::TimePoint now);
-  // Acts on what is due by time. Call it every few tens of milliseconds.
+  // Handles timeouts, probes and hedging. Must be called every few tens of
+  // milliseconds.
   void Tick(base::TimePoint now);
   // Sets the listed runners; one that is missing gets no new requests.
   void SetRunners(const std::vector<work::ListedRunner>& listed,
@@ -60,7 +61,7 @@
                          work::RefusalReason reason);
 
   CreditNeeds Needs(const work::LedgerRow& row, base::TimePoint now) override;
-  Grants Allow(const Grants& grants, base::TimePoint now) override;
+  Grants ApplyGrants(const Grants& grants, base::TimePoint now) override;
 
   // Whether requests wait for slots on this host.
   bool HasWaitingRequests() const;
--- a/include/cassiastile/entry/team_credits.hpp
+++ b/include/cassiastile/entry/team_credits.hpp
@@ -16,17 +16,17 @@
 
 // A service's name and its shard on this host.
 using NamedShard = std::pair<std::string, std::shared_ptr<ServiceShard>>;
-using ShardFinder = std::function<std::vector<NamedShard>()>;
+using ShardLister = std::function<std::vector<NamedShard>()>;
 
 // Consumes the credits for teams' request limits: splits what this host was
-// granted for each team among its services, and sets the weights of teams.
+// granted for each team among its services, and sets the weight of each team.
 class TeamCredits final : public CreditConsumer {
  public:
   // The source must outlive this object.
-  TeamCredits(const config::FleetSource& source, ShardFinder shards);
+  TeamCredits(const config::FleetSource& source, ShardLister list_shards);
 
   CreditNeeds Needs(const work::LedgerRow& row, base::TimePoint now) override;
-  Grants Allow(const Grants& grants, base::TimePoint now) override;
+  Grants ApplyGrants(const Grants& grants, base::TimePoint now) override;
 
   // Sets the quotas of all teams again, after a change of the fleet document or
   // a new service.
@@ -35,17 +35,17 @@
  private:
   using Demands = std::map<std::string, std::map<std::string, std::uint32_t>>;
 
-  Grants AllowLocked(const Grants& grants);
+  Grants ApplyGrantsLocked(const Grants& grants);
   std::uint32_t SplitAmongShards(const std::string& team,
                                  std::uint32_t weight,
                                  std::uint32_t granted);
 
   const config::FleetSource& m_source;
-  ShardFinder m_shards;
+  ShardLister m_list_shards;
   std::mutex m_mutex;
   std::map<std::string, work::Ledger> m_split;     // By team, among services.
   std::map<std::string, std::uint32_t> m_running;  // Requests, by team.
-  Grants m_granted;   // The grants of the last Allow.
+  Grants m_granted;   // The grants of the last ApplyGrants.
   Demands m_demands;  // By team and service.
 };
 
--- a/src/cassiastile/entry/claim_store.cpp
+++ b/src/cassiastile/entry/claim_store.cpp
@@ -13,11 +13,11 @@
 
 constexpr int kMaxCommitRounds = 4;
 
-// Removes and returns the first items, `most` at most.
+// Removes and returns at most `limit` items from the front.
 template <typename Item>
-std::vector<Item> PopUpTo(std::deque<Item>& from, std::size_t most) {
+std::vector<Item> PopUpTo(std::deque<Item>& from, std::size_t limit) {
   std::vector<Item> taken;
-  while (!from.empty() && taken.size() < most) {
+  while (!from.empty() && taken.size() < limit) {
     taken.push_back(std::move(from.front()));
     from.pop_front();
   }
@@ -52,8 +52,8 @@
     return;
   }
   m_thread.join();
-  for (PendingClaim& waiting : m_pending_claims) {
-    waiting.callback(ClaimFailed{});
+  for (PendingClaim& pending : m_pending_claims) {
+    pending.callback(ClaimFailed{});
   }
   m_pending_claims.clear();
 }
@@ -93,8 +93,8 @@
 void ClaimStore::Run() {
   std::unique_lock lock(m_mutex);
   while (WaitForWork(lock)) {
-    std::vector<PendingClaim> claims = NextClaims();
-    const std::vector<PendingOutcome> outcomes = NextOutcomes();
+    std::vector<PendingClaim> claims = TakeDueClaims();
+    const std::vector<PendingOutcome> outcomes = TakeDueOutcomes();
     lock.unlock();
     CommitClaims(std::move(claims));
     CommitOutcomes(outcomes);
@@ -126,7 +126,7 @@
   return false;
 }
 
-std::vector<ClaimStore::PendingClaim> ClaimStore::NextClaims() {
+std::vector<ClaimStore::PendingClaim> ClaimStore::TakeDueClaims() {
   const auto now = SteadyClock::now();
   if (m_pending_claims.empty() || now < m_next_claim_write) {
     return {};
@@ -135,7 +135,7 @@
   return PopUpTo(m_pending_claims, m_options.max_batch);
 }
 
-std::vector<ClaimStore::PendingOutcome> ClaimStore::NextOutcomes() {
+std::vector<ClaimStore::PendingOutcome> ClaimStore::TakeDueOutcomes() {
   const auto now = SteadyClock::now();
   if (m_pending_outcomes.empty() || now < m_next_outcome_write) {
     return {};
@@ -152,15 +152,15 @@
     platform::Transaction transaction;
     transaction.nonce = NewNonce();
     std::vector<PendingClaim> duplicates = ExtractDuplicates(batch);
-    for (const PendingClaim& waiting : batch) {
-      transaction.preconditions.push_back({waiting.key, 0});
+    for (const PendingClaim& pending : batch) {
+      transaction.preconditions.push_back({pending.key, 0});
       transaction.writes.push_back(
-          {waiting.key, work::FormatClaim(waiting.claim)});
+          {pending.key, work::FormatClaim(pending.claim)});
     }
     const auto commit = m_table.Apply(transaction);
     if (commit) {
-      for (PendingClaim& waiting : batch) {
-        waiting.callback(ClaimCommitted{});
+      for (PendingClaim& pending : batch) {
+        pending.callback(ClaimCommitted{});
       }
       batch = std::move(duplicates);
       continue;
@@ -170,7 +170,7 @@
       FailAll(batch, commit.error().code == base::ErrorCode::kUnknown);
       return;
     }
-    Resolve(batch);
+    AnswerExistingClaims(batch);
   }
   FailAll(batch, false);
 }
@@ -181,8 +181,8 @@
     std::vector<PendingClaim>& batch) {
   std::set<std::string> keys;
   const auto duplicates = std::stable_partition(
-      batch.begin(), batch.end(), [&keys](const PendingClaim& waiting) {
-        return keys.insert(waiting.key).second;
+      batch.begin(), batch.end(), [&keys](const PendingClaim& pending) {
+        return keys.insert(pending.key).second;
       });
   std::vector<PendingClaim> taken(std::make_move_iterator(duplicates),
                                   std::make_move_iterator(batch.end()));
@@ -191,23 +191,23 @@
 }
 
 // Answers the claims that already have a row and removes them from the batch.
-void ClaimStore::Resolve(std::vector<PendingClaim>& batch) {
+void ClaimStore::AnswerExistingClaims(std::vector<PendingClaim>& batch) {
   std::vector<PendingClaim> free;
-  for (PendingClaim& waiting : batch) {
-    const auto row = m_table.Get(waiting.key);
+  for (PendingClaim& pending : batch) {
+    const auto row = m_table.Get(pending.key);
     if (!row) {
-      waiting.callback(ClaimFailed{});
+      pending.callback(ClaimFailed{});
       continue;
     }
     if (!row->has_value()) {
-      free.push_back(std::move(waiting));
+      free.push_back(std::move(pending));
       continue;
     }
     auto found = work::ParseClaim((*row)->value);
     if (found) {
-      waiting.callback(ClaimExists{std::move(*found)});
+      pending.callback(ClaimExists{std::move(*found)});
     } else {
-      waiting.callback(ClaimFailed{});
+      pending.callback(ClaimFailed{});
     }
   }
   batch = std::move(free);
@@ -217,18 +217,18 @@
 // nevertheless is deleted later.
 void ClaimStore::FailAll(std::vector<PendingClaim>& batch,
                          bool may_be_written) {
-  for (PendingClaim& waiting : batch) {
+  for (PendingClaim& pending : batch) {
     if (may_be_written) {
-      RecordOutcome(waiting.key, waiting.claim, work::NotRun{});
+      RecordOutcome(pending.key, pending.claim, work::NotRun{});
     }
-    waiting.callback(ClaimFailed{});
+    pending.callback(ClaimFailed{});
   }
   batch.clear();
 }
 
-// Writes all outcomes in one transaction under version 1, since most rows were
-// written only once, by their claim. If a row is to be deleted or the write
-// fails, each row is looked up and written on its own.
+// Writes all outcomes in one transaction that requires row version 1, since
+// most rows were written only once, by their claim. If a row is to be deleted
+// or the write fails, each row is looked up and written on its own.
 void ClaimStore::CommitOutcomes(const std::vector<PendingOutcome>& batch) {
   if (batch.empty()) {
     return;
--- a/src/cassiastile/entry/credit_account.cpp
+++ b/src/cassiastile/entry/credit_account.cpp
@@ -58,8 +58,9 @@
   return needs;
 }
 
-Grants ReleasingConsumer::Allow(const Grants& grants, base::TimePoint now) {
-  return m_consumer.Allow(grants, now);
+Grants ReleasingConsumer::ApplyGrants(const Grants& grants,
+                                      base::TimePoint now) {
+  return m_consumer.ApplyGrants(grants, now);
 }
 
 CreditAccount::CreditAccount(platform::Table& table,
@@ -74,7 +75,7 @@
 CreditSyncResult CreditAccount::Sync(CreditConsumer& consumer,
                                      const GoneHolderFinder& find_gone,
                                      base::TimePoint now) {
-  if (!Resolve()) {
+  if (!ResolveLastWrite()) {
     return CreditSyncResult::kUnreachable;
   }
   const auto read = m_table.Get(m_key);
@@ -91,7 +92,7 @@
   work::LedgerRow planned = PlanLedgerRow(
       *row, m_holder, consumer.Needs(*row, now), find_gone(HoldersOf(*row)));
   if (!IsWorthWriting(*row, planned, m_holder)) {
-    consumer.Allow(GrantsOf(*row, m_holder), now);
+    consumer.ApplyGrants(GrantsOf(*row, m_holder), now);
     return CreditSyncResult::kUnchanged;
   }
   return Write(consumer, *row, version, std::move(planned), now);
@@ -104,7 +105,7 @@
                                       base::TimePoint now) {
   const Grants held = GrantsOf(row, m_holder);
   const Grants in_use =
-      consumer.Allow(MinimumOf(held, GrantsOf(planned, m_holder)), now);
+      consumer.ApplyGrants(MinimumOf(held, GrantsOf(planned, m_holder)), now);
   KeepInUse(planned, row, m_holder, in_use);
   platform::Transaction transaction;
   transaction.nonce = m_holder + "/" + m_key + "/" + base::MakeId(m_random);
@@ -112,14 +113,14 @@
   transaction.writes.push_back({m_key, work::FormatLedgerRow(planned)});
   const auto commit = m_table.Apply(transaction);
   if (commit) {
-    consumer.Allow(GrantsOf(planned, m_holder), now);
+    consumer.ApplyGrants(GrantsOf(planned, m_holder), now);
     return CreditSyncResult::kWritten;
   }
   switch (commit.error().code) {
     case base::ErrorCode::kConflict:
       return CreditSyncResult::kConflict;
     case base::ErrorCode::kUnavailable:
-      consumer.Allow(held, now);
+      consumer.ApplyGrants(held, now);
       return CreditSyncResult::kUnreachable;
     default:
       m_unresolved = std::move(transaction);
@@ -130,7 +131,7 @@
 // If the answer to the last write was lost, repeats the write under the same
 // nonce, so that the table applies it at most once. Returns whether the outcome
 // is known now.
-bool CreditAccount::Resolve() {
+bool CreditAccount::ResolveLastWrite() {
   if (!m_unresolved) {
     return true;
   }
--- a/src/cassiastile/entry/credit_account_test.cpp
+++ b/src/cassiastile/entry/credit_account_test.cpp
@@ -11,13 +11,13 @@
 constexpr base::TimePoint kStart{std::chrono::hours(1)};
 const std::string kKey = "ledger/slots/draw";
 
-// Requests a fixed number of slots on one runner.
+// Needs as many slots of the runner r1 as the test sets.
 class FixedConsumer final : public CreditConsumer {
  public:
   CreditNeeds Needs(const work::LedgerRow&, base::TimePoint) override {
     return {{"r1", {8, in_use, wanted}}};
   }
-  Grants Allow(const Grants& grants, base::TimePoint) override {
+  Grants ApplyGrants(const Grants& grants, base::TimePoint) override {
     const auto found = grants.find("r1");
     allowed = found == grants.end() ? 0 : found->second;
     return {{"r1", in_use}};
@@ -28,7 +28,7 @@
   std::uint32_t allowed = 0;
 };
 
-std::set<work::HolderName> Nobody(const std::set<work::HolderName>&) {
+std::set<work::HolderName> NoneGone(const std::set<work::HolderName>&) {
   return {};
 }
 
@@ -50,64 +50,64 @@
 };
 
 TEST_F(CreditAccountTest, CreditsAreUsedAfterTheWriteThatGrantsThem) {
-  EXPECT_EQ(m_account.Sync(m_consumer, Nobody, kStart),
+  EXPECT_EQ(m_account.Sync(m_consumer, NoneGone, kStart),
             CreditSyncResult::kWritten);
   EXPECT_EQ(m_consumer.allowed, 8U);
 }
 
 TEST_F(CreditAccountTest, LostAnswerGrantsNothingUntilItIsResolved) {
   m_table.SetFaults({.delay_apply = 1});
-  EXPECT_EQ(m_account.Sync(m_consumer, Nobody, kStart),
+  EXPECT_EQ(m_account.Sync(m_consumer, NoneGone, kStart),
             CreditSyncResult::kUnreachable);
   EXPECT_EQ(m_consumer.allowed, 0U);
   // The write of the other host is applied first, so the delayed one conflicts.
   m_table.SetFaults({});
-  m_other_account.Sync(m_other, Nobody, kStart);
-  while (m_account.Sync(m_consumer, Nobody, kStart) ==
+  m_other_account.Sync(m_other, NoneGone, kStart);
+  while (m_account.Sync(m_consumer, NoneGone, kStart) ==
          CreditSyncResult::kUnreachable) {
   }
   EXPECT_LE(m_consumer.allowed + m_other.allowed, 8U);
 }
 
 TEST_F(CreditAccountTest, ReleaseStopsUseEvenWhenTheAnswerIsLost) {
-  m_account.Sync(m_consumer, Nobody, kStart);
+  m_account.Sync(m_consumer, NoneGone, kStart);
   m_consumer.wanted = 2;
   m_table.SetFaults({.lose_answer = 1});
-  m_account.Sync(m_consumer, Nobody, kStart);
+  m_account.Sync(m_consumer, NoneGone, kStart);
   EXPECT_EQ(m_consumer.allowed, 2U);
   EXPECT_EQ(GrantedIn("e1#1"), 2U);
 }
 
 TEST_F(CreditAccountTest, GrantedCreditsStayUsableWhileTheStoreIsDown) {
-  m_account.Sync(m_consumer, Nobody, kStart);
+  m_account.Sync(m_consumer, NoneGone, kStart);
   m_table.SetFaults({.down = true});
   m_consumer.wanted = 0;
-  EXPECT_EQ(m_account.Sync(m_consumer, Nobody, kStart),
+  EXPECT_EQ(m_account.Sync(m_consumer, NoneGone, kStart),
             CreditSyncResult::kUnreachable);
   EXPECT_EQ(m_consumer.allowed, 8U);
 }
 
 TEST_F(CreditAccountTest, CreditsInUseAreNotReleased) {
-  m_account.Sync(m_consumer, Nobody, kStart);
+  m_account.Sync(m_consumer, NoneGone, kStart);
   m_consumer.in_use = 5;
-  ReleasingConsumer returning(m_consumer);
-  m_account.Sync(returning, Nobody, kStart);
+  ReleasingConsumer releasing(m_consumer);
+  m_account.Sync(releasing, NoneGone, kStart);
   EXPECT_EQ(GrantedIn("e1#1"), 5U);
 }
 
-TEST_F(CreditAccountTest, SmallChangesAreNotWritten) {
+TEST_F(CreditAccountTest, UnchangedNeedsAreNotWritten) {
   m_consumer.wanted = 3;
-  m_account.Sync(m_consumer, Nobody, kStart);
+  m_account.Sync(m_consumer, NoneGone, kStart);
   const auto writes = m_table.Counts().writes;
   for (int i = 0; i < 10; ++i) {
-    EXPECT_EQ(m_account.Sync(m_consumer, Nobody, kStart),
+    EXPECT_EQ(m_account.Sync(m_consumer, NoneGone, kStart),
               CreditSyncResult::kUnchanged);
   }
   EXPECT_EQ(m_table.Counts().writes, writes);
 }
 
 TEST_F(CreditAccountTest, GoneHolderForfeitsItsCredits) {
-  m_other_account.Sync(m_other, Nobody, kStart);
+  m_other_account.Sync(m_other, NoneGone, kStart);
   const auto gone = [](const std::set<work::HolderName>&) {
     return std::set<work::HolderName>{"e2#1"};
   };
--- a/src/cassiastile/entry/credit_plan.cpp
+++ b/src/cassiastile/entry/credit_plan.cpp
@@ -137,11 +137,11 @@
     }
   }
   std::uint32_t left = target;
-  for (const auto* part : {&same_zone, &other_zones}) {
-    const auto count = static_cast<std::uint32_t>(part->size());
+  for (const auto* group : {&same_zone, &other_zones}) {
+    const auto count = static_cast<std::uint32_t>(group->size());
     const std::uint32_t each =
         std::min(slots_per_runner, DivideUp(left, count));
-    for (const std::string& name : *part) {
+    for (const std::string& name : *group) {
       CreditNeed& need = needs[name];
       need.wanted = std::max(need.wanted, each);
       const std::uint32_t obtainable =
--- a/src/cassiastile/entry/entry_host.cpp
+++ b/src/cassiastile/entry/entry_host.cpp
@@ -70,7 +70,7 @@
   wire::Router router;
   m_service->AddRoutes(router);
   daemon::AddHealthRoutes(
-      router, [this] { return m_service->Ready(); }, m_metrics,
+      router, [this] { return m_service->IsReady(); }, m_metrics,
       [this] {
         m_service->UpdateMetrics();
         m_platform.UpdateMetrics(m_metrics);
--- a/src/cassiastile/entry/entry_hosts_test.cpp
+++ b/src/cassiastile/entry/entry_hosts_test.cpp
@@ -88,7 +88,7 @@
   EXPECT_EQ(m_runner->Log().size(), 1U);
 }
 
-TEST_F(EntryHostsTest, UnclaimableKeyIsNotRun) {
+TEST_F(EntryHostsTest, RequestWhoseKeyCannotBeClaimedIsNotRun) {
   EXPECT_EQ(m_client->Call(MakeCall(m_first, "warm"))->status, 200);
   m_shared.table.SetFaults({.down = true});
   const auto refused =
@@ -152,7 +152,7 @@
   EXPECT_LE(m_runner->Counts().peak_connections, 64U);
 }
 
-TEST_F(EntryHostsTest, StoppingHostFinishesWhatItTook) {
+TEST_F(EntryHostsTest, StoppingHostFinishesAcceptedRequests) {
   m_runner->SetServiceTime(std::chrono::milliseconds(30));
   Answers answers;
   for (int i = 0; i < 20; ++i) {
@@ -167,7 +167,7 @@
   }
 }
 
-TEST_F(EntryHostsTest, StoppedHostsSlotsGoToTheOther) {
+TEST_F(EntryHostsTest, StoppedHostReleasesItsSlots) {
   EXPECT_EQ(m_client->Call(MakeCall(m_first, "entry"))->status, 200);
   m_first.Stop();
   const auto row = m_shared.table.Get("ledger/slots/draw").value();
--- a/src/cassiastile/entry/entry_service.cpp
+++ b/src/cassiastile/entry/entry_service.cpp
@@ -84,12 +84,12 @@
 void EntryService::AddRoutes(wire::Router& router) {
   router.Add("*", "/v1/services/:service/*path",
              [this](wire::HttpRequest request, wire::HttpResponder respond) {
-               Handle(std::move(request), std::move(respond));
+               HandleRequest(std::move(request), std::move(respond));
              });
 }
 
-bool EntryService::Ready() const {
-  return !m_draining.load() && m_version.load() > 0;
+bool EntryService::IsReady() const {
+  return !m_draining.load() && m_applied_version.load() > 0;
 }
 
 void EntryService::StartDrain() {
@@ -118,8 +118,8 @@
   }
 }
 
-void EntryService::Handle(wire::HttpRequest request,
-                          wire::HttpResponder respond) {
+void EntryService::HandleRequest(wire::HttpRequest request,
+                                 wire::HttpResponder respond) {
   const base::TimePoint now = m_dependencies.clock.Now();
   const auto accepted = m_dependencies.fleet.Current();
   const ValidationContext context{accepted.get(),
@@ -133,10 +133,10 @@
            work::Outcome(validated.error()), respond);
     return;
   }
-  HandleValid(std::move(*validated), shared, std::move(respond));
+  HandleValidRequest(std::move(*validated), shared, std::move(respond));
 }
 
-void EntryService::HandleValid(
+void EntryService::HandleValidRequest(
     ValidatedRequest validated,
     const std::shared_ptr<const wire::HttpRequest>& request,
     wire::HttpResponder respond) {
@@ -157,7 +157,8 @@
     return;
   }
   if (validated.idempotency_key) {
-    Claim(validated, *validated.idempotency_key, gateway, std::move(accepted));
+    ClaimAndAccept(validated, *validated.idempotency_key, gateway,
+                   std::move(accepted));
     return;
   }
   gateway->Accept(std::move(accepted));
@@ -165,10 +166,11 @@
 
 // Claims the caller's idempotency key; the request is sent only if that
 // succeeds.
-void EntryService::Claim(const ValidatedRequest& validated,
-                         const std::string& key,
-                         const std::shared_ptr<ServiceGateway>& gateway,
-                         GatewayRequest request) {
+void EntryService::ClaimAndAccept(
+    const ValidatedRequest& validated,
+    const std::string& key,
+    const std::shared_ptr<ServiceGateway>& gateway,
+    GatewayRequest request) {
   auto refusal =
       gateway->Shard().Preview(request.ticket, m_dependencies.clock.Now());
   if (refusal) {
@@ -242,7 +244,7 @@
   context.id = NewId();
   context.service = service;
   context.ticket = ticket;
-  context.version = m_version.load();
+  context.version = m_applied_version.load();
   context.at = m_dependencies.clock.WallNow();
   context.now = m_dependencies.clock.Now();
   const auto gateway = FindGateway(service);
--- a/src/cassiastile/entry/entry_service_test.cpp
+++ b/src/cassiastile/entry/entry_service_test.cpp
@@ -38,7 +38,7 @@
   }
 
   // How often a body was processed, at both runners.
-  std::size_t Runs(const std::string& body) const {
+  std::size_t RunCount(const std::string& body) const {
     std::size_t count = 0;
     for (const auto* runner : {m_first.get(), m_second.get()}) {
       for (const auto& execution : runner->Log()) {
@@ -64,7 +64,7 @@
   const auto response = Call("POST", "/v1/services/draw/order?x=1", "band 7");
   EXPECT_EQ(response.status, 200);
   EXPECT_EQ(response.body, "band 7");
-  EXPECT_EQ(Runs("band 7"), 1U);
+  EXPECT_EQ(RunCount("band 7"), 1U);
 }
 
 TEST_F(EntryServiceTest, RunnersNeverSeeTheCallersKey) {
@@ -77,7 +77,7 @@
   EXPECT_EQ(passed, (wire::HttpHeaders{{"Accept", "*/*"}}));
 }
 
-TEST_F(EntryServiceTest, TakesWorkOnlyWithTheTeamsKey) {
+TEST_F(EntryServiceTest, RequestsWithoutAValidKeyAreRefused) {
   wire::HttpCall call = MakeCall("POST", "/v1/services/draw/order", "x");
   call.headers.clear();
   EXPECT_EQ(m_client->Call(call)->status, 401);
@@ -86,7 +86,7 @@
   EXPECT_EQ(refused.status, 401);
   EXPECT_EQ(ExecutionIn(refused), "not-run");
   EXPECT_EQ(refused.body.find("wrong"), std::string::npos);
-  EXPECT_EQ(Runs("x"), 0U);
+  EXPECT_EQ(RunCount("x"), 0U);
 }
 
 TEST_F(EntryServiceTest, WithdrawnKeyIsRefused) {
@@ -101,7 +101,7 @@
   const auto refused = Call("POST", "/v1/services/draw/order", "x");
   EXPECT_EQ(refused.status, 503);
   EXPECT_EQ(ExecutionIn(refused), "not-run");
-  EXPECT_EQ(Runs("x"), 0U);
+  EXPECT_EQ(RunCount("x"), 0U);
   wire::HttpCall open = MakeCall("GET", "/v1/services/news/today");
   open.headers.clear();
   EXPECT_EQ(m_client->Call(open)->status, 200);
@@ -142,7 +142,7 @@
   const auto response = m_client->Call(call).value();
   EXPECT_GE(response.status, 500);
   EXPECT_EQ(ExecutionIn(response), "unknown");
-  EXPECT_EQ(Runs("entry"), 1U);
+  EXPECT_EQ(RunCount("entry"), 1U);
 }
 
 TEST_P(BrokenAnswerTest, IdempotentIsTriedAtAnotherRunner) {
@@ -184,7 +184,7 @@
   const auto refused = Call("POST", "/v1/services/draw/order", "x");
   EXPECT_EQ(refused.status, 503);
   EXPECT_EQ(ExecutionIn(refused), "not-run");
-  EXPECT_EQ(Runs("x"), 0U);
+  EXPECT_EQ(RunCount("x"), 0U);
 }
 
 TEST_F(EntryServiceTest, SilentConnectionsAreHiddenFromCallers) {
@@ -194,7 +194,7 @@
   m_first->BlackholeConnections();
   m_second->BlackholeConnections();
   EXPECT_EQ(Call("POST", "/v1/services/draw/order", "entry").status, 200);
-  EXPECT_EQ(Runs("entry"), 1U);
+  EXPECT_EQ(RunCount("entry"), 1U);
   for (int i = 0; i < 4; ++i) {
     EXPECT_EQ(Call("PUT", "/v1/services/draw/order", "again").status, 200);
   }
@@ -218,8 +218,9 @@
   for (int i = 0; i < 50; ++i) {
     slow.emplace_back(context);
     slow.back().connect({asio::ip::address_v4::loopback(), m_host.Port()});
-    const std::string part = "POST /v1/services/draw/x HTTP/1.1\r\nHost: a\r\n";
-    asio::write(slow.back(), asio::buffer(part));
+    const std::string partial_request =
+        "POST /v1/services/draw/x HTTP/1.1\r\nHost: a\r\n";
+    asio::write(slow.back(), asio::buffer(partial_request));
   }
   EXPECT_EQ(Call("POST", "/v1/services/draw/order", "x").status, 200);
   EXPECT_EQ(m_first->Counts().peak_running + m_second->Counts().peak_running,
--- a/src/cassiastile/entry/entry_threads.cpp
+++ b/src/cassiastile/entry/entry_threads.cpp
@@ -55,7 +55,7 @@
 }
 
 void EntryService::RunTicks() {
-  while (Sleep(m_options.tick)) {
+  while (SleepUnlessStopping(m_options.tick)) {
     ApplyConfiguration();
     RecheckKeys();
     for (const auto& [name, shard] : AllShards()) {
@@ -73,38 +73,38 @@
       next_members =
           m_dependencies.clock.Now() + m_options.member_read_interval;
     }
-  } while (Sleep(m_options.listing_interval));
+  } while (SleepUnlessStopping(m_options.listing_interval));
 }
 
 // Synchronizes credits periodically, and at once when requests begin to wait.
 void EntryService::RunCredits() {
-  std::chrono::milliseconds left{0};
-  bool lacked = false;
-  while (Sleep(m_options.tick)) {
-    left -= m_options.tick;
-    const bool lacks = AnyLacksSlots();
-    if (left.count() > 0 && !(lacks && !lacked)) {
+  std::chrono::milliseconds until_sync{0};
+  bool was_waiting = false;
+  while (SleepUnlessStopping(m_options.tick)) {
+    until_sync -= m_options.tick;
+    const bool waiting = HasWaitingRequests();
+    if (until_sync.count() > 0 && !(waiting && !was_waiting)) {
       continue;
     }
-    lacked = lacks;
+    was_waiting = waiting;
     SyncCredits();
     std::uniform_int_distribution<std::int64_t> jitter(
         0, m_options.credit_sync_jitter.count());
     const std::lock_guard lock(m_random_mutex);
-    left = m_options.credit_sync_interval +
-           std::chrono::milliseconds(jitter(m_random));
+    until_sync = m_options.credit_sync_interval +
+                 std::chrono::milliseconds(jitter(m_random));
   }
 }
 
-// Returns false when the service stops.
-bool EntryService::Sleep(std::chrono::milliseconds length) {
+// Returns false at once when the service stops.
+bool EntryService::SleepUnlessStopping(std::chrono::milliseconds length) {
   std::unique_lock lock(m_stop_mutex);
   return !m_stop_wake.wait_for(lock, length, [this] { return m_stopping; });
 }
 
 void EntryService::ApplyConfiguration() {
   const auto accepted = m_dependencies.fleet.Current();
-  if (!accepted || accepted->version == m_version.load()) {
+  if (!accepted || accepted->version == m_applied_version.load()) {
     return;
   }
   for (const config::Service& service : accepted->fleet.services) {
@@ -116,7 +116,7 @@
                                                 : service->slots_per_runner);
   }
   m_team_credits.Refresh();
-  m_version.store(accepted->version);
+  m_applied_version.store(accepted->version);
 }
 
 void EntryService::AddService(const config::Service& service) {
@@ -214,7 +214,7 @@
   return all;
 }
 
-bool EntryService::AnyLacksSlots() const {
+bool EntryService::HasWaitingRequests() const {
   const std::vector<NamedShard> shards = AllShards();
   return std::any_of(shards.begin(), shards.end(), [](const NamedShard& named) {
     return named.second->HasWaitingRequests();
@@ -239,7 +239,7 @@
   if (sync_result == CreditSyncResult::kUnreachable &&
       m_watch.MayBeForfeited(account.LastAnswer(),
                              m_dependencies.clock.Now())) {
-    consumer.Allow({}, m_dependencies.clock.Now());
+    consumer.ApplyGrants({}, m_dependencies.clock.Now());
   }
   return sync_result;
 }
--- a/src/cassiastile/entry/holder_watch.cpp
+++ b/src/cassiastile/entry/holder_watch.cpp
@@ -12,7 +12,7 @@
   std::uint64_t incarnation = 0;
 };
 
-// Reverses MakeHolderName; nothing for other names.
+// Reverses MakeHolderName; returns nothing for names that it did not make.
 std::optional<HolderParts> SplitHolderName(const work::HolderName& holder) {
   const std::size_t separator = holder.rfind('#');
   if (separator == std::string::npos) {
@@ -50,7 +50,7 @@
     m_hosts[host.name].missing_since.reset();
   }
   m_self_listed = present.contains(m_own_name);
-  m_self_seen = m_self_listed ? now : m_self_seen;
+  m_self_last_listed = m_self_listed ? now : m_self_listed_at;
   for (auto& [name, seen] : m_hosts) {
     if (!present.contains(name) && !seen.missing_since) {
       seen.missing_since = now;
@@ -61,7 +61,7 @@
 void HolderWatch::ObserveIncarnation(const std::string& host,
                                      std::uint64_t incarnation,
                                      base::TimePoint now) {
-  Seen& seen = m_hosts[host];
+  ObservedHost& seen = m_hosts[host];
   if (incarnation > seen.incarnation) {
     seen.incarnation = incarnation;
     seen.incarnation_since = now;
@@ -74,7 +74,7 @@
     return false;
   }
   const auto [found, added] = m_hosts.try_emplace(parts->host);
-  Seen& seen = found->second;
+  ObservedHost& seen = found->second;
   if (added) {
     seen.missing_since = now;
   }
@@ -99,7 +99,8 @@
 
 bool HolderWatch::MayBeForfeited(base::TimePoint last_table_answer,
                                  base::TimePoint now) const {
-  const base::TimePoint last_contact = std::max(last_table_answer, m_self_seen);
+  const base::TimePoint last_contact =
+      std::max(last_table_answer, m_self_last_listed);
   return now - last_contact >=
          m_options.max_absence - 2 * m_options.longest_request;
 }
--- a/src/cassiastile/entry/refusal_decision.cpp
+++ b/src/cassiastile/entry/refusal_decision.cpp
@@ -31,7 +31,7 @@
   return context.ticket.id != 0;
 }
 
-std::string Observe(const RefusalContext& context) {
+std::string DescribeObservation(const RefusalContext& context) {
   if (!WasAccepted(context)) {
     return "refused on arrival, before it was queued";
   }
@@ -51,12 +51,14 @@
 
   base::Reason operator()(const work::NotRun& not_run) const {
     return {std::string(work::NameOf(not_run.reason)),
-            SectionOf(not_run.reason), context.version, Observe(context)};
+            SectionOf(not_run.reason), context.version,
+            DescribeObservation(context)};
   }
 
   base::Reason operator()(const work::MaybeRan& maybe_ran) const {
     return {std::string(work::NameOf(maybe_ran.reason)), "", context.version,
-            "last sent to " + maybe_ran.runner + "; " + Observe(context)};
+            "last sent to " + maybe_ran.runner + "; " +
+                DescribeObservation(context)};
   }
 };
 
--- a/src/cassiastile/entry/service_shard.cpp
+++ b/src/cassiastile/entry/service_shard.cpp
@@ -95,7 +95,7 @@
                     row, m_options.holder);
 }
 
-Grants ServiceShard::Allow(const Grants& grants, base::TimePoint now) {
+Grants ServiceShard::ApplyGrants(const Grants& grants, base::TimePoint now) {
   const std::lock_guard lock(m_mutex);
   m_dispatcher.SetSlots(grants, now);
   Grants in_use;
--- a/src/cassiastile/entry/team_credits.cpp
+++ b/src/cassiastile/entry/team_credits.cpp
@@ -19,8 +19,9 @@
 
 }  // namespace
 
-TeamCredits::TeamCredits(const config::FleetSource& source, ShardFinder shards)
-    : m_source(source), m_shards(std::move(shards)) {}
+TeamCredits::TeamCredits(const config::FleetSource& source,
+                         ShardLister list_shards)
+    : m_source(source), m_list_shards(std::move(list_shards)) {}
 
 CreditNeeds TeamCredits::Needs(const work::LedgerRow&, base::TimePoint now) {
   const auto accepted = m_source.Current();
@@ -30,7 +31,7 @@
   }
   const std::lock_guard lock(m_mutex);
   m_demands.clear();
-  for (const auto& [service, shard] : m_shards()) {
+  for (const auto& [service, shard] : m_list_shards()) {
     for (const auto& [team, demand] : shard->TeamDemand(now)) {
       m_demands[team][service] = demand;
     }
@@ -46,18 +47,18 @@
   return needs;
 }
 
-Grants TeamCredits::Allow(const Grants& grants, base::TimePoint) {
+Grants TeamCredits::ApplyGrants(const Grants& grants, base::TimePoint) {
   const std::lock_guard lock(m_mutex);
   m_granted = grants;
-  return AllowLocked(grants);
+  return ApplyGrantsLocked(grants);
 }
 
 void TeamCredits::Refresh() {
   const std::lock_guard lock(m_mutex);
-  AllowLocked(m_granted);
+  ApplyGrantsLocked(m_granted);
 }
 
-Grants TeamCredits::AllowLocked(const Grants& grants) {
+Grants TeamCredits::ApplyGrantsLocked(const Grants& grants) {
   const auto accepted = m_source.Current();
   Grants in_use;
   if (!accepted) {
@@ -76,7 +77,7 @@
       continue;
     }
     const work::TeamQuota quota{WeightOf(accepted->fleet, team.name), {}};
-    for (const auto& [service, shard] : m_shards()) {
+    for (const auto& [service, shard] : m_list_shards()) {
       shard->DecideQuota(team.name, [&quota](std::uint32_t) { return quota; });
     }
   }
@@ -94,7 +95,7 @@
   split.capacity = granted;
   for (int round = 0; round < kRounds; ++round) {
     m_running[team] = 0;
-    for (const auto& [service, shard] : m_shards()) {
+    for (const auto& [service, shard] : m_list_shards()) {
       const auto demand = m_demands[team].find(service);
       const std::uint32_t wanted = demand == m_demands[team].end()
                                        ? 0
