--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -79,7 +79,7 @@
   bool IsReady() const;
   // Makes IsReady false, so that the load balancer sends requests elsewhere.
   // Requests are still accepted and finished.
-  void StartDrain();
+  void BeginDrain();
   // Releases this host's credits in the table. Call it once no request runs.
   void ReleaseCredits();
 
--- a/include/cassiastile/member/datagram_socket.hpp
+++ b/include/cassiastile/member/datagram_socket.hpp
@@ -17,7 +17,7 @@
 // handler and calls another handler periodically.
 class DatagramSocket {
  public:
-  // The datagrams that a handler returns are sent at once.
+  // The datagrams that a handler returns are sent at once. `from` is IP:PORT.
   struct Handlers {
     std::function<std::vector<Datagram>(std::string_view datagram,
                                         const std::string& from)>
--- a/include/cassiastile/member/member.hpp
+++ b/include/cassiastile/member/member.hpp
@@ -55,7 +55,10 @@
   Member(const Member&) = delete;
   Member& operator=(const Member&) = delete;
 
+  // Starts the threads for datagrams and for the table; requests of other
+  // members are answered from Create on.
   void Start();
+  // Stops all threads.
   void Stop();
 
   // IP:PORT for datagrams and for peer requests.
--- a/include/cassiastile/member/membership.hpp
+++ b/include/cassiastile/member/membership.hpp
@@ -169,7 +169,7 @@
   // committed.
   void AbortPrepare(base::TimePoint now);
   // Names of the listed members not known to have the version in force.
-  std::vector<std::string> Missing(std::uint64_t version) const;
+  std::vector<std::string> MembersWithoutVersion(std::uint64_t version) const;
   // Makes the next Tick send the head to all members that are not dead.
   void BroadcastHead() { m_broadcast_head = true; }
 
@@ -206,19 +206,19 @@
                   base::Random& random) const;
 
   bool IsCurrentIncarnation(const Message& message);
-  bool IsInOrder(const Message& message);
+  bool AcceptSequence(const Message& message);
   void LearnRecord(const MemberRecord& record, base::TimePoint now);
   void LearnHead(const ConfigHead& head, base::TimePoint now);
-  void LearnStoreAge(const Message& ack, base::TimePoint as_of);
+  void LearnHeadAge(const Message& ack, base::TimePoint as_of);
   void LearnAck(const Message& ack, base::TimePoint as_of);
   void LearnStatements(const Message& ack, base::TimePoint as_of);
   std::optional<base::TimePoint> TakePing(std::uint64_t sequence);
-  std::vector<Datagram> Answer(const Message& message,
-                               const std::string& from,
-                               base::TimePoint now,
-                               base::Random& random);
+  std::vector<Datagram> ProcessMessage(const Message& message,
+                                       const std::string& from,
+                                       base::TimePoint now,
+                                       base::Random& random);
   Message AnswerPrepare(const Message& prepare);
-  void Count(PacketFault fault);
+  void CountDropped(PacketFault fault);
 
   void AddPings(MemberActions& actions,
                 base::TimePoint now,
@@ -244,11 +244,11 @@
   bool IsNearlyStale(base::TimePoint now) const;
   void ForgetOldPings(base::TimePoint now);
   MemberState StateOf(const Peer& peer, base::TimePoint now) const;
-  bool Agrees() const;
-  void BecomeVoter(base::TimePoint now);
+  bool AgreesWithHead() const;
+  void BecomeVoterIfDue(base::TimePoint now);
   std::optional<base::TimePoint> HeadConfirmedAt(base::TimePoint now) const;
   std::optional<base::TimePoint> MajorityAgreedAt(base::TimePoint now) const;
-  std::size_t Majority() const { return m_list.size() / 2 + 1; }
+  std::size_t MajoritySize() const { return m_list.size() / 2 + 1; }
 
   MembershipOptions m_options;
   base::TimePoint m_started;
@@ -267,11 +267,12 @@
   std::optional<base::TimePoint> m_in_force_confirmed_at;
   std::map<std::uint64_t, std::uint64_t> m_promises;  // Version by prepare id.
   std::optional<Proposal> m_proposal;
-  std::optional<Proposal> m_aborted;  // To be cancelled at the other members.
+  // A cancelled proposal that the other members haven't been told of yet.
+  std::optional<Proposal> m_aborted;
 
   std::map<std::uint64_t, Ping> m_pings;
   std::uint64_t m_sequence = 0;
-  std::uint64_t m_ticks = 0;
+  std::uint64_t m_ping_rounds = 0;
   base::TimePoint m_next_ping;
   base::TimePoint m_next_head_read;
   base::TimePoint m_next_list_read;
--- a/include/cassiastile/member/message.hpp
+++ b/include/cassiastile/member/message.hpp
@@ -69,7 +69,7 @@
 inline constexpr std::uint32_t kAgeUnitMilliseconds = 20;
 // Stand for an age that is unknown or too large to be encoded.
 inline constexpr std::uint8_t kAgeUnknown = 255;
-inline constexpr std::uint16_t kStoreAgeUnknown = 65535;
+inline constexpr std::uint16_t kHeadAgeUnknown = 65535;
 
 // A message between members, sent as one datagram.
 struct Message {
@@ -86,9 +86,9 @@
   // zero.
   std::uint64_t promise_version = 0;
   std::uint64_t promise_id = 0;
-  // Milliseconds, rounded up, since the latest time at which `head` is known to
+  // The time, rounded up, since the latest moment at which `head` is known to
   // have been the table's head.
-  std::uint16_t store_age = kStoreAgeUnknown;
+  std::uint16_t head_age_ms = kHeadAgeUnknown;
   bool reaches_store = false;  // The sender's last read of the table succeeded.
   // The sender votes for `head`; it has promised no newer version.
   bool agrees = false;
--- a/include/cassiastile/member/peer_link.hpp
+++ b/include/cassiastile/member/peer_link.hpp
@@ -76,12 +76,12 @@
                                 std::chrono::milliseconds timeout);
 
 // A parsed IP:PORT.
-struct SocketAddress {
+struct IpPort {
   std::string ip;
   std::uint16_t port = 0;
 };
 
 // Parses IP:PORT; fails with kInvalid. Doesn't check the IP part.
-base::Result<SocketAddress> ParseAddress(const std::string& text);
+base::Result<IpPort> ParseIpPort(const std::string& text);
 
 }  // namespace cassiastile::member
--- a/include/cassiastile/member/shard_lease.hpp
+++ b/include/cassiastile/member/shard_lease.hpp
@@ -85,14 +85,14 @@
   // Whether the caller should read the rows and call ObserveRows.
   bool IsScanDue(base::TimePoint now) const;
   // Returns the transactions to apply now. The caller reports each outcome with
-  // Finish.
-  std::vector<LeaseAction> Decide(base::TimePoint now);
+  // RecordOutcome.
+  std::vector<LeaseAction> DecideActions(base::TimePoint now);
   // Reports the outcome of a transaction that was started at `started`. After
   // an error, which may be a conflict or an unknown outcome, the next scan is
   // brought forward to find out what happened.
-  void Finish(const LeaseAction& lease_action,
-              base::TimePoint started,
-              const base::Result<platform::Commit>& outcome);
+  void RecordOutcome(const LeaseAction& lease_action,
+                     base::TimePoint started,
+                     const base::Result<platform::Commit>& outcome);
   // Returns the transactions that release all leases. From now on this process
   // owns no shard and acquires none.
   std::vector<LeaseAction> ReleaseAll();
@@ -114,7 +114,9 @@
     // the shard.
     std::optional<base::TimePoint> renewed_at;
     std::vector<std::string> ranked;
-    base::TimePoint ranked_since;
+    // When the first candidate became the first, or when the last handover to
+    // it was started.
+    base::TimePoint first_candidate_since;
   };
 
   bool IsOwnedBySelf(const Shard& shard) const;
--- a/include/cassiastile/member/shard_lease_manager.hpp
+++ b/include/cassiastile/member/shard_lease_manager.hpp
@@ -39,7 +39,7 @@
   // Stops the thread and releases all leases, so that other processes can take
   // over at once.
   void Stop();
-  // Runs one round of the thread's work. Public for tests.
+  // Runs one round of the thread's work. Public for tests and measurements.
   void RunOnce();
 
   std::optional<ShardLease> CurrentLease(const std::string& shard,
--- a/include/cassiastile/member/virtual_network.hpp
+++ b/include/cassiastile/member/virtual_network.hpp
@@ -42,9 +42,9 @@
   void Add(MembershipOptions options);
   // Restarts a member with the next incarnation and no state but its options.
   void Restart(const std::string& name);
-  // Pauses a member: it neither ticks nor receives.
-  void Stop(const std::string& name);
-  // Resumes a stopped member with the state that it had.
+  // Pauses a member: it neither ticks nor receives, and keeps its state.
+  void Pause(const std::string& name);
+  // Resumes a paused member with the state that it had.
   void Resume(const std::string& name);
   // Partitions the network: members in different groups can't reach each other.
   // Members not named are in group zero.
@@ -82,9 +82,9 @@
 
   void Step();
   void TickNode(const std::string& name, Node& node);
-  void DoReads(const std::string& name,
-               Node& node,
-               const MemberActions& actions);
+  void PerformReads(const std::string& name,
+                    Node& node,
+                    const MemberActions& actions);
   void Pull(const std::string& name, Node& node, const BodyPull& pull);
   void Send(const std::string& from, Node& node, const Datagram& datagram);
   void Deliver(const InFlightDatagram& in_flight);
--- a/src/cassiastile/entry/entry_bench.hpp
+++ b/src/cassiastile/entry/entry_bench.hpp
@@ -114,7 +114,7 @@
     if (!m_service) {
       return 0;
     }
-    m_service->StartDrain();
+    m_service->BeginDrain();
     const std::size_t cut = m_server->Drain(std::chrono::milliseconds(100),
                                             std::chrono::seconds(20));
     m_service->ReleaseCredits();
--- a/src/cassiastile/entry/entry_host.cpp
+++ b/src/cassiastile/entry/entry_host.cpp
@@ -53,7 +53,7 @@
 
 void EntryHost::Stop() {
   m_log.Info("Draining requests before the shutdown.");
-  m_service->StartDrain();
+  m_service->BeginDrain();
   const std::size_t cut =
       m_server->Drain(m_options.drain_notice, m_options.drain_deadline);
   if (cut > 0) {
--- a/src/cassiastile/entry/entry_service.cpp
+++ b/src/cassiastile/entry/entry_service.cpp
@@ -92,7 +92,7 @@
   return !m_draining.load() && m_applied_version.load() > 0;
 }
 
-void EntryService::StartDrain() {
+void EntryService::BeginDrain() {
   m_draining.store(true);
 }
 
--- a/src/cassiastile/member/config_store.cpp
+++ b/src/cassiastile/member/config_store.cpp
@@ -34,14 +34,16 @@
   return fmt::format("version {}", version);
 }
 
-bool Overlap(const config::DocumentDifference& left,
-             const config::DocumentDifference& right) {
-  const auto touches = [&](config::SectionName section) {
-    return std::find(right.sections.begin(), right.sections.end(), section) !=
-           right.sections.end();
+// Whether an edit conflicts with what others changed since its base: it changes
+// the same section or text outside the sections.
+bool ConflictsWith(const config::DocumentDifference& own,
+                   const config::DocumentDifference& others) {
+  const auto others_changed = [&](config::SectionName section) {
+    return std::find(others.sections.begin(), others.sections.end(), section) !=
+           others.sections.end();
   };
-  return left.outside_sections ||
-         std::any_of(left.sections.begin(), left.sections.end(), touches);
+  return own.outside_sections ||
+         std::any_of(own.sections.begin(), own.sections.end(), others_changed);
 }
 
 std::vector<std::string> NamesOf(const config::DocumentDifference& difference) {
@@ -221,7 +223,7 @@
   if (!own || !others) {
     return RefuseInvalidText(own ? others.error() : own.error());
   }
-  if (Overlap(*own, *others)) {
+  if (ConflictsWith(*own, *others)) {
     return Refuse(EditConflict{
         head.head.version,
         config::UnifiedDiff(*base, current, VersionLabel(edit.base_version),
--- a/src/cassiastile/member/config_store_test.cpp
+++ b/src/cassiastile/member/config_store_test.cpp
@@ -102,7 +102,7 @@
   std::string m_text = ExampleText();
 };
 
-TEST_F(ConfigStoreTest, KeepsTextAuditAndHeadInOneTransaction) {
+TEST_F(ConfigStoreTest, AcceptedEditWritesTextAuditAndHeadInOneTransaction) {
   const auto before = m_table.Counts().writes;
   const EditResult result = m_store.Accept(LimitsEdit("raised"));
   ASSERT_TRUE(result) << Describe(result);
@@ -127,7 +127,7 @@
   EXPECT_NE(conflict->diff.find("// first"), std::string::npos);
 }
 
-TEST_F(ConfigStoreTest, EditsOfDifferentSectionsBothStand) {
+TEST_F(ConfigStoreTest, EditsOfDifferentSectionsAreBothAccepted) {
   ASSERT_TRUE(m_store.Accept(LimitsEdit("limits comment")));
   const EditResult second = m_store.Accept(PoolsEdit("pools comment"));
   ASSERT_TRUE(second) << Describe(second);
@@ -208,7 +208,7 @@
   EXPECT_EQ(m_store.Head()->head.version, 1U);
 }
 
-TEST_F(ConfigStoreTest, SameEditAgainIsTheSameVersion) {
+TEST_F(ConfigStoreTest, RepeatedEditReturnsTheSameVersion) {
   ASSERT_TRUE(m_store.Accept(LimitsEdit("again")));
   const EditResult again = m_store.Accept(LimitsEdit("again"));
   ASSERT_TRUE(again) << Describe(again);
--- a/src/cassiastile/member/datagram_socket.cpp
+++ b/src/cassiastile/member/datagram_socket.cpp
@@ -87,7 +87,7 @@
   // loss anyway.
   void SendAll(const std::vector<Datagram>& datagrams) {
     for (const Datagram& datagram : datagrams) {
-      const auto address = ParseAddress(datagram.to);
+      const auto address = ParseIpPort(datagram.to);
       std::error_code error;
       const auto ip =
           asio::ip::make_address(address ? address->ip : std::string(), error);
--- a/src/cassiastile/member/member.cpp
+++ b/src/cassiastile/member/member.cpp
@@ -144,7 +144,7 @@
   }
 
   bool IsFresh(base::TimePoint now) const {
-    const base::Duration confirmed(m_confirmed.load());
+    const base::Duration confirmed(m_confirmed_at.load());
     return confirmed != kNever &&
            now.time_since_epoch() - confirmed <= m_options.times.freshness;
   }
@@ -172,11 +172,11 @@
     const base::TimePoint end = m_clock.Now() + kPrepareDeadline;
     while (m_clock.Now() < end) {
       if (WithMembership(
-              [](Membership& member) { return member.IsPrepared(); })) {
+              [](Membership& membership) { return membership.IsPrepared(); })) {
         return {};
       }
-      if (WithMembership([](Membership& member) {
-            return member.KnownHead().version;
+      if (WithMembership([](Membership& membership) {
+            return membership.KnownHead().version;
           }) >= version) {
         return base::Fail(base::ErrorCode::kConflict,
                           "Another edit was committed as this version first.");
@@ -193,8 +193,9 @@
         m_clock.Now() + m_options.times.freshness + kExpiryMargin;
     Wait wait;
     while (true) {
-      wait.missing = WithMembership(
-          [&](Membership& member) { return member.Missing(version); });
+      wait.missing = WithMembership([&](Membership& membership) {
+        return membership.MembersWithoutVersion(version);
+      });
       wait.expired = m_clock.Now() >= end;
       if (wait.missing.empty() || wait.expired) {
         return wait;
@@ -213,7 +214,7 @@
     const base::TimePoint now = m_clock.Now();
     const auto confirmed = m_membership->ConfirmedAt(now);
     const bool valid = confirmed && !m_membership->IsSuperseded();
-    m_confirmed =
+    m_confirmed_at =
         valid ? confirmed->time_since_epoch().count() : kNever.count();
   }
 
@@ -301,8 +302,8 @@
     }
   }
 
-  // If this process is not listed, because its row was removed while the
-  // process was unreachable, the row is written again.
+  // Whether this process is in the list. Its row may have been removed while
+  // the process was unreachable; the row is then written again.
   bool IsListed(const std::vector<MemberRecord>& list) const {
     return std::any_of(list.begin(), list.end(), [this](const auto& record) {
       return record.name == m_self.name;
@@ -393,9 +394,10 @@
   platform::Table& m_table;
   const base::Clock& m_clock;
   MemberRecord m_self;
-  bool m_joined = false;  // Only used on the table thread.
+  // Whether this member is in the table's list. Only used on the table thread.
+  bool m_joined = false;
 
-  std::mutex m_mutex;  // Guards the members up to the next mutex.
+  std::mutex m_mutex;  // Guards the fields up to the next mutex.
   base::Random m_random;
   std::unique_ptr<Membership> m_membership;
   MemberActions m_pending_actions;
@@ -407,7 +409,7 @@
 
   // When the version in force was last confirmed to be the head. Atomic, so
   // that IsFresh needs no lock.
-  std::atomic<base::Duration::rep> m_confirmed{kNever.count()};
+  std::atomic<base::Duration::rep> m_confirmed_at{kNever.count()};
   base::Log m_log;
   std::thread m_table_thread;
   Sockets m_sockets;
--- a/src/cassiastile/member/member_test.cpp
+++ b/src/cassiastile/member/member_test.cpp
@@ -76,7 +76,7 @@
   EXPECT_TRUE(first->WaitUntilInForce(1).missing.empty());
 }
 
-TEST_F(MemberTest, PullsFromAPeerWhatTheTableDoesNotGive) {
+TEST_F(MemberTest, PullsTheBodyFromAPeerWhileTheTableIsDown) {
   const auto first = MakeMember("a", {}, m_table);
   ConfigStore store(m_table, m_clock, *first, 1);
   ASSERT_TRUE(WaitFor([&] {
@@ -109,7 +109,7 @@
   EXPECT_FALSE(member->IsFresh(m_clock.Now()));
 }
 
-TEST(PeerLinkTest, AnswersOnlyThoseWithTheSecret) {
+TEST(PeerLinkTest, AnswersOnlyRequestsWithTheFleetSecret) {
   const PeerHandler handler = [](const PeerRequest& request) {
     PeerReply reply;
     reply.version = request.version;
--- a/src/cassiastile/member/membership.cpp
+++ b/src/cassiastile/member/membership.cpp
@@ -140,7 +140,7 @@
   std::vector<base::TimePoint> times;
   for (const MemberRecord& record : m_list) {
     if (record.name == m_options.self.name) {
-      if (Agrees()) {
+      if (AgreesWithHead()) {
         times.push_back(now);
       }
       continue;
@@ -150,19 +150,20 @@
       times.push_back(*found->second.agreed_at);
     }
   }
-  if (times.size() < Majority()) {
+  if (times.size() < MajoritySize()) {
     return std::nullopt;
   }
-  const auto last = times.begin() + static_cast<std::ptrdiff_t>(Majority()) - 1;
+  const auto last =
+      times.begin() + static_cast<std::ptrdiff_t>(MajoritySize()) - 1;
   std::nth_element(times.begin(), last, times.end(), std::greater<>());
   return *last;
 }
 
-bool Membership::Agrees() const {
+bool Membership::AgreesWithHead() const {
   return m_voter && m_promises.empty() && !m_superseded;
 }
 
-void Membership::BecomeVoter(base::TimePoint now) {
+void Membership::BecomeVoterIfDue(base::TimePoint now) {
   if (m_voter) {
     return;
   }
@@ -266,9 +267,9 @@
       selected = record;
     }
   }
-  const bool may_remove = selected && alive >= Majority() && m_reaches_store &&
-                          m_options.self.role == MemberRole::kControl &&
-                          now >= m_next_removal;
+  const bool may_remove =
+      selected && alive >= MajoritySize() && m_reaches_store &&
+      m_options.self.role == MemberRole::kControl && now >= m_next_removal;
   if (!may_remove) {
     return std::nullopt;
   }
@@ -289,7 +290,7 @@
       std::count_if(m_list.begin(), m_list.end(), [this](const auto& record) {
         return m_proposal->promised.contains(record.name);
       });
-  return static_cast<std::size_t>(promised) >= Majority();
+  return static_cast<std::size_t>(promised) >= MajoritySize();
 }
 
 void Membership::AbortPrepare(base::TimePoint now) {
@@ -301,7 +302,8 @@
   }
 }
 
-std::vector<std::string> Membership::Missing(std::uint64_t version) const {
+std::vector<std::string> Membership::MembersWithoutVersion(
+    std::uint64_t version) const {
   std::vector<std::string> missing;
   for (const MemberRecord& record : m_list) {
     const auto found = m_peers.find(record.name);
--- a/src/cassiastile/member/membership_receive.cpp
+++ b/src/cassiastile/member/membership_receive.cpp
@@ -44,7 +44,7 @@
   message.head = m_head;
   message.in_force = m_in_force;
   message.reaches_store = m_reaches_store;
-  message.agrees = Agrees();
+  message.agrees = AgreesWithHead();
   message.list_hash = m_list_hash;
   return message;
 }
@@ -60,8 +60,8 @@
   ack.echo = ping.sequence;
   if (m_head_known_at) {
     const std::int64_t age = base::Milliseconds(now - *m_head_known_at) + 1;
-    ack.store_age = static_cast<std::uint16_t>(
-        std::min<std::int64_t>(age, kStoreAgeUnknown));
+    ack.head_age_ms = static_cast<std::uint16_t>(
+        std::min<std::int64_t>(age, kHeadAgeUnknown));
   }
   AddStatements(ack, now);
   AddRecords(ack, ping.list_hash != m_list_hash, random);
@@ -96,7 +96,7 @@
   }
 }
 
-void Membership::Count(PacketFault fault) {
+void Membership::CountDropped(PacketFault fault) {
   ++m_faults.at(static_cast<std::size_t>(fault));
 }
 
@@ -107,31 +107,31 @@
   ++m_received;
   const auto message = DecodeMessage(datagram, m_options.secret);
   if (!message) {
-    Count(message.error());
+    CountDropped(message.error());
     return {};
   }
   if (message->sender == m_options.self.name) {
     m_superseded |= message->incarnation > m_options.self.incarnation;
-    Count(PacketFault::kReplayed);
+    CountDropped(PacketFault::kReplayed);
     return {};
   }
   if (!IsCurrentIncarnation(*message)) {
-    Count(PacketFault::kOldIncarnation);
+    CountDropped(PacketFault::kOldIncarnation);
     Message superseded = MakeMessage(MessageKind::kSuperseded);
     superseded.echo = m_peers.at(message->sender).record.incarnation;
     return {{from, Encode(superseded)}};
   }
-  return Answer(*message, from, now, random);
+  return ProcessMessage(*message, from, now, random);
 }
 
-std::vector<Datagram> Membership::Answer(const Message& message,
-                                         const std::string& from,
-                                         base::TimePoint now,
-                                         base::Random& random) {
+std::vector<Datagram> Membership::ProcessMessage(const Message& message,
+                                                 const std::string& from,
+                                                 base::TimePoint now,
+                                                 base::Random& random) {
   if (message.kind == MessageKind::kAck) {
     const auto as_of = TakePing(message.echo);
     if (!as_of) {
-      Count(PacketFault::kReplayed);
+      CountDropped(PacketFault::kReplayed);
       return {};
     }
     for (const MemberRecord& record : message.records) {
@@ -144,8 +144,8 @@
   for (const MemberRecord& record : message.records) {
     LearnRecord(record, now);
   }
-  if (!IsInOrder(message)) {
-    Count(PacketFault::kReplayed);
+  if (!AcceptSequence(message)) {
+    CountDropped(PacketFault::kReplayed);
     return {};
   }
   LearnHead(message.head, now);
@@ -192,9 +192,10 @@
          message.incarnation >= found->second.record.incarnation;
 }
 
-// Messages other than acknowledgements are processed only once and in the order
-// sent; others are dropped as replayed.
-bool Membership::IsInOrder(const Message& message) {
+// Returns whether the message is newer than all before it, and records its
+// sequence if the sender is known. Messages other than acknowledgements are
+// processed only once and in the order sent; others are dropped as replayed.
+bool Membership::AcceptSequence(const Message& message) {
   const auto found = m_peers.find(message.sender);
   if (found == m_peers.end()) {
     return true;
@@ -235,14 +236,14 @@
       AdvanceTo(peer.agreed_at, as_of);
     }
   }
-  LearnStoreAge(ack, as_of);
+  LearnHeadAge(ack, as_of);
   LearnStatements(ack, as_of);
 }
 
-void Membership::LearnStoreAge(const Message& ack, base::TimePoint as_of) {
-  if (ack.head == m_head && ack.store_age != kStoreAgeUnknown) {
+void Membership::LearnHeadAge(const Message& ack, base::TimePoint as_of) {
+  if (ack.head == m_head && ack.head_age_ms != kHeadAgeUnknown) {
     AdvanceTo(m_head_known_at,
-              as_of - std::chrono::milliseconds(ack.store_age));
+              as_of - std::chrono::milliseconds(ack.head_age_ms));
   }
 }
 
--- a/src/cassiastile/member/membership_test.cpp
+++ b/src/cassiastile/member/membership_test.cpp
@@ -190,7 +190,7 @@
   }
 }
 
-TEST_F(FleetTest, NeverReverts) {
+TEST_F(FleetTest, OlderVersionNeverReplacesANewerOne) {
   CommitVersion(m_network, 2);
   m_network.Run(seconds(3));
   CommitVersion(m_network, 1);  // The table was restored to an older state.
@@ -201,8 +201,8 @@
   }
 }
 
-TEST_F(FleetTest, SuspectsBeforeDeath) {
-  m_network.Stop("h05-0");
+TEST_F(FleetTest, SilentMemberIsSuspectedBeforeItIsDead) {
+  m_network.Pause("h05-0");
   m_network.Run(milliseconds(5500));
   EXPECT_EQ(StateSeenBy("h00-0", "h05-0"), MemberState::kSuspect);
   m_network.Run(seconds(6));
@@ -213,10 +213,10 @@
   EXPECT_EQ(StateSeenBy("h00-0", "h05-0"), MemberState::kAlive);
 }
 
-TEST_F(FleetTest, FirstLiveControlRemovesTheLongDeadOneAMinute) {
-  m_network.Stop("h00-1");
-  m_network.Stop("h05-0");
-  m_network.Stop("h05-1");
+TEST_F(FleetTest, FirstLiveControlProcessRemovesOneLongDeadMemberAMinute) {
+  m_network.Pause("h00-1");
+  m_network.Pause("h05-0");
+  m_network.Pause("h05-1");
   m_network.Run(std::chrono::minutes(9));
   EXPECT_FALSE(m_network.At("h01-1").NextRemoval(m_network.Now()));
   m_network.Run(std::chrono::minutes(2));
@@ -268,7 +268,7 @@
             injected);
 }
 
-TEST_F(FleetTest, WrongSeedsDoNoHarm) {
+TEST_F(FleetTest, WrongSeedsLeaveTheMemberFresh) {
   m_network.At("h00-0").SetSeeds({"10.9.9.9:1", "nonsense", ""});
   m_network.Run(seconds(5));
   EXPECT_TRUE(m_network.At("h00-0").IsFresh(m_network.Now()));
--- a/src/cassiastile/member/membership_tick.cpp
+++ b/src/cassiastile/member/membership_tick.cpp
@@ -14,7 +14,7 @@
 // expire.
 constexpr int kUrgentPings = 3;
 // One ping round in this many also pings a member that is considered dead, or a
-// seed address, from the settings or the host list, that no known member has.
+// seed address (from the settings or the host list) that no known member has.
 constexpr std::uint64_t kSeedPingInterval = 5;
 // The most peers to try when fetching a body.
 constexpr std::size_t kMaxPullPeers = 3;
@@ -40,7 +40,7 @@
   if (m_superseded) {
     return actions;
   }
-  BecomeVoter(now);
+  BecomeVoterIfDue(now);
   AddPings(actions, now, random);
   AddPrepares(actions, now);
   AddBroadcast(actions, now);
@@ -57,9 +57,9 @@
   }
   m_next_ping = now + m_options.times.ping_period -
                 Jitter(m_options.times.ping_period, random) / 2;
-  ++m_ticks;
+  ++m_ping_rounds;
   ForgetOldPings(now);
-  const bool same_zone = m_ticks % kSameZonePingInterval == 0;
+  const bool same_zone = m_ping_rounds % kSameZonePingInterval == 0;
   std::vector<std::string> names = PingCandidates(same_zone, now);
   if (names.empty()) {
     names = PingCandidates(!same_zone, now);
@@ -107,7 +107,7 @@
 void Membership::AddSeedPing(MemberActions& actions,
                              base::TimePoint now,
                              base::Random& random) {
-  if (m_ticks % kSeedPingInterval != 1) {
+  if (m_ping_rounds % kSeedPingInterval != 1) {
     return;
   }
   std::vector<std::string> candidates;
--- a/src/cassiastile/member/message.cpp
+++ b/src/cassiastile/member/message.cpp
@@ -161,8 +161,8 @@
   return record;
 }
 
-void SaveFixedPart(cereal::PortableBinaryOutputArchive& archive,
-                   const Message& message) {
+void SaveFixedFields(cereal::PortableBinaryOutputArchive& archive,
+                     const Message& message) {
   std::uint8_t flags = message.reaches_store ? kReachesStoreFlag : 0;
   flags |= message.agrees ? kAgreesFlag : 0;
   archive(static_cast<std::uint8_t>(message.kind), flags);
@@ -171,10 +171,10 @@
   archive(message.head.version);
   SaveShortText(archive, PackDigest(message.head.digest));
   archive(message.in_force, message.promise_version, message.promise_id);
-  archive(message.store_age, message.list_hash);
+  archive(message.head_age_ms, message.list_hash);
 }
 
-Message LoadFixedPart(cereal::PortableBinaryInputArchive& archive) {
+Message LoadFixedFields(cereal::PortableBinaryInputArchive& archive) {
   Message message;
   std::uint8_t kind = 0;
   std::uint8_t flags = 0;
@@ -187,7 +187,7 @@
   archive(message.head.version);
   message.head.digest = UnpackDigest(LoadShortText(archive));
   archive(message.in_force, message.promise_version, message.promise_id);
-  archive(message.store_age, message.list_hash);
+  archive(message.head_age_ms, message.list_hash);
   return message;
 }
 
@@ -195,7 +195,7 @@
   std::ostringstream stream;
   stream << kMagic << kFormat << kMinReaderFormat;
   cereal::PortableBinaryOutputArchive archive(stream);
-  SaveFixedPart(archive, message);
+  SaveFixedFields(archive, message);
   SaveStatements(archive, message.statements);
   archive(static_cast<std::uint8_t>(records));
   for (std::size_t i = 0; i < records; ++i) {
@@ -209,7 +209,7 @@
 Message DecodePayload(std::string_view payload) {
   std::istringstream stream{std::string(payload)};
   cereal::PortableBinaryInputArchive archive(stream);
-  Message message = LoadFixedPart(archive);
+  Message message = LoadFixedFields(archive);
   message.statements = LoadStatements(archive);
   std::uint8_t records = 0;
   archive(records);
--- a/src/cassiastile/member/peer_frame.cpp
+++ b/src/cassiastile/member/peer_frame.cpp
@@ -133,7 +133,7 @@
   }
 }
 
-base::Result<SocketAddress> ParseAddress(const std::string& text) {
+base::Result<IpPort> ParseIpPort(const std::string& text) {
   constexpr unsigned long kLargestPort = 65535;
   const std::size_t colon = text.rfind(':');
   if (colon != std::string::npos && colon > 0) {
@@ -142,8 +142,8 @@
         !port.empty() && port.size() <= 5 &&
         port.find_first_not_of("0123456789") == std::string::npos;
     if (digits && std::stoul(port) <= kLargestPort) {
-      return SocketAddress{text.substr(0, colon),
-                           static_cast<std::uint16_t>(std::stoul(port))};
+      return IpPort{text.substr(0, colon),
+                    static_cast<std::uint16_t>(std::stoul(port))};
     }
   }
   return base::Fail(
--- a/src/cassiastile/member/peer_link.cpp
+++ b/src/cassiastile/member/peer_link.cpp
@@ -206,7 +206,7 @@
                                 const PeerRequest& request,
                                 std::string_view secret,
                                 std::chrono::milliseconds timeout) {
-  const auto parsed = ParseAddress(address);
+  const auto parsed = ParseIpPort(address);
   std::error_code error;
   const auto ip =
       asio::ip::make_address(parsed ? parsed->ip : std::string(), error);
--- a/src/cassiastile/member/shard_lease.cpp
+++ b/src/cassiastile/member/shard_lease.cpp
@@ -83,7 +83,7 @@
     const auto [found, added] = m_shards.try_emplace(name);
     if (added) {
       found->second.ranked = RankCandidates(name, m_candidates);
-      found->second.ranked_since = now;
+      found->second.first_candidate_since = now;
       m_next_scan = now;
     }
   }
@@ -100,7 +100,8 @@
     std::vector<std::string> ranked = RankCandidates(name, m_candidates);
     const bool same_first = !shard.ranked.empty() && !ranked.empty() &&
                             ranked.front() == shard.ranked.front();
-    shard.ranked_since = same_first ? shard.ranked_since : now;
+    shard.first_candidate_since =
+        same_first ? shard.first_candidate_since : now;
     shard.ranked = std::move(ranked);
   }
 }
@@ -136,7 +137,7 @@
   return shard.observed && shard.rows.owner == m_options.owner;
 }
 
-std::vector<LeaseAction> ShardLeases::Decide(base::TimePoint now) {
+std::vector<LeaseAction> ShardLeases::DecideActions(base::TimePoint now) {
   std::vector<LeaseAction> lease_actions;
   if (m_released) {
     return lease_actions;
@@ -145,7 +146,7 @@
     if (ShouldHandOver(shard, now)) {
       shard.renewed_at.reset();
       lease_actions.push_back(MakeRelease(name, shard));
-      shard.ranked_since = now;
+      shard.first_candidate_since = now;
     } else if (MayTakeOver(shard, now)) {
       lease_actions.push_back(MakeTakeover(name, shard));
     }
@@ -188,7 +189,7 @@
                                  base::TimePoint now) const {
   return IsOwnedBySelf(shard) && shard.renewed_at && !shard.ranked.empty() &&
          shard.ranked.front() != m_options.owner &&
-         now - shard.ranked_since >= m_options.handover_delay;
+         now - shard.first_candidate_since >= m_options.handover_delay;
 }
 
 LeaseAction ShardLeases::MakeTakeover(const std::string& name,
@@ -245,9 +246,9 @@
   }
 }
 
-void ShardLeases::Finish(const LeaseAction& lease_action,
-                         base::TimePoint started,
-                         const base::Result<platform::Commit>& outcome) {
+void ShardLeases::RecordOutcome(const LeaseAction& lease_action,
+                                base::TimePoint started,
+                                const base::Result<platform::Commit>& outcome) {
   if (!outcome) {
     m_next_scan = std::min(m_next_scan, started + kRetryDelay);
     m_next_renewal = std::min(m_next_renewal, started + kRetryDelay);
--- a/src/cassiastile/member/shard_lease_manager.cpp
+++ b/src/cassiastile/member/shard_lease_manager.cpp
@@ -74,7 +74,7 @@
   std::vector<LeaseAction> lease_actions;
   {
     const std::lock_guard lock(m_mutex);
-    lease_actions = m_leases.Decide(m_clock.Now());
+    lease_actions = m_leases.DecideActions(m_clock.Now());
   }
   for (LeaseAction& lease_action : lease_actions) {
     Apply(std::move(lease_action));
@@ -99,7 +99,7 @@
   const base::TimePoint started = m_clock.Now();
   const auto outcome = m_table.Apply(lease_action.transaction);
   const std::lock_guard lock(m_mutex);
-  m_leases.Finish(lease_action, started, outcome);
+  m_leases.RecordOutcome(lease_action, started, outcome);
 }
 
 std::optional<ShardLease> ShardLeaseManager::CurrentLease(
--- a/src/cassiastile/member/virtual_network.cpp
+++ b/src/cassiastile/member/virtual_network.cpp
@@ -36,7 +36,7 @@
   node.running = true;
 }
 
-void VirtualNetwork::Stop(const std::string& name) {
+void VirtualNetwork::Pause(const std::string& name) {
   m_nodes.at(name).running = false;
 }
 
@@ -110,15 +110,15 @@
   for (const Datagram& datagram : actions.datagrams) {
     Send(name, node, datagram);
   }
-  DoReads(name, node, actions);
+  PerformReads(name, node, actions);
   if (actions.pull) {
     Pull(name, node, *actions.pull);
   }
 }
 
-void VirtualNetwork::DoReads(const std::string& name,
-                             Node& node,
-                             const MemberActions& actions) {
+void VirtualNetwork::PerformReads(const std::string& name,
+                                  Node& node,
+                                  const MemberActions& actions) {
   if (actions.read_head && !ReachesStore(name)) {
     node.membership->ObserveStoreFailure();
   }
@@ -140,9 +140,9 @@
   for (const std::string& address : pull.peers) {
     const std::string& peer = m_names_by_address.at(address);
     if (m_nodes.at(peer).running && !ArePartitioned(name, peer)) {
-      Membership& holder = *m_nodes.at(peer).membership;
-      node.membership->LearnList(holder.List(), m_now);
-      if (holder.InForce() == pull.head.version) {
+      Membership& peer_membership = *m_nodes.at(peer).membership;
+      node.membership->LearnList(peer_membership.List(), m_now);
+      if (peer_membership.InForce() == pull.head.version) {
         node.membership->SetInForce(pull.head.version);
       }
       return;
