--- a/include/cassiastile/wire/http_client.hpp
+++ b/include/cassiastile/wire/http_client.hpp
@@ -79,10 +79,10 @@
   HttpOutcome Call(HttpCall call);
 
  private:
-  class Worker;
+  class ClientThread;
   explicit HttpClient(HttpClientOptions options);
 
-  std::vector<std::unique_ptr<Worker>> m_workers;
+  std::vector<std::unique_ptr<ClientThread>> m_client_threads;
   std::atomic<std::size_t> m_next{0};
 };
 
--- a/include/cassiastile/wire/http_server.hpp
+++ b/include/cassiastile/wire/http_server.hpp
@@ -20,11 +20,11 @@
   // Null makes the server run its own loop and threads.
   asio::io_context* context = nullptr;
   std::string address = "127.0.0.1";
-  std::uint16_t port = 0;  // 0 picks a free port.
-  std::size_t threads = 2;
+  std::uint16_t port = 0;   // 0 picks a free port.
+  std::size_t threads = 2;  // Unused with a caller's loop.
   std::size_t max_connections = 4096;
   std::size_t max_body_bytes = 4U << 20U;
-  std::size_t max_field_value_bytes = 16U << 10U;  // For one field value.
+  std::size_t max_field_value_bytes = 16U << 10U;  // Of one header.
   std::size_t max_header_count = 100;
   // Time limit for receiving a whole request, and for an idle connection.
   std::chrono::milliseconds read_timeout{15000};
@@ -33,8 +33,8 @@
 };
 
 // An HTTP/1.1 server that passes requests to a router or handler. Handlers run
-// on the server's threads and must not block for long, or other requests are
-// delayed.
+// on the server's threads, or on the caller's loop, and must not block for
+// long, or other requests are delayed.
 class HttpServer {
  public:
   // Starts listening. Fails with kUnavailable when the address can't be bound.
--- a/include/cassiastile/wire/metrics.hpp
+++ b/include/cassiastile/wire/metrics.hpp
@@ -11,8 +11,9 @@
 
 namespace cassiastile::wire {
 
-// The metrics of a process, kept by the Prometheus library. Safe for use by
-// several threads; a returned metric is valid as long as this object.
+// The metrics of a process, kept by the Prometheus library. Counter, Gauge and
+// Histogram return the metric with the given name and labels, made on first
+// use; it is valid as long as this object. Safe for use by several threads.
 class Metrics {
  public:
   using Labels = std::map<std::string, std::string>;
--- a/src/cassiastile/wire/curl_transfer.cpp
+++ b/src/cassiastile/wire/curl_transfer.cpp
@@ -55,7 +55,7 @@
 }
 
 // Whether the response marks the end of its body.
-bool HasFraming(const Transfer& transfer) {
+bool IsFramed(const Transfer& transfer) {
   constexpr int kNoContent = 204;
   constexpr int kNotModified = 304;
   const HttpResponse& response = transfer.response;
@@ -86,14 +86,15 @@
     long status = 0;
     curl_easy_getinfo(transfer.handle, CURLINFO_RESPONSE_CODE, &status);
     transfer.response.status = static_cast<int>(status);
-    transfer.response.framed = HasFraming(transfer);
+    transfer.response.framed = IsFramed(transfer);
     return std::move(transfer.response);
   }
   HttpFailure failure;
   failure.state = SendStateOf(transfer.handle);
   failure.timed_out = code == CURLE_OPERATION_TIMEDOUT;
-  failure.message = transfer.body_too_large ? "the answer is too long"
-                                            : curl_easy_strerror(code);
+  failure.message = transfer.body_too_large
+                        ? "the response exceeds the size limit"
+                        : curl_easy_strerror(code);
   return tl::unexpected(failure);
 }
 
--- a/src/cassiastile/wire/http_client.cpp
+++ b/src/cassiastile/wire/http_client.cpp
@@ -29,24 +29,24 @@
 }
 
 // One thread with its own connection pool.
-class HttpClient::Worker {
+class HttpClient::ClientThread {
  public:
-  explicit Worker(const HttpClientOptions& options)
+  explicit ClientThread(const HttpClientOptions& options)
       : m_options(options), m_multi(curl_multi_init()) {
     curl_multi_setopt(m_multi, CURLMOPT_MAX_HOST_CONNECTIONS,
                       static_cast<long>(options.max_connections_per_host));
     m_thread = std::thread([this] { Run(); });
   }
 
-  ~Worker() {
+  ~ClientThread() {
     m_stopping.store(true);
     curl_multi_wakeup(m_multi);
     m_thread.join();
     curl_multi_cleanup(m_multi);
   }
 
-  Worker(const Worker&) = delete;
-  Worker& operator=(const Worker&) = delete;
+  ClientThread(const ClientThread&) = delete;
+  ClientThread& operator=(const ClientThread&) = delete;
 
   void Start(HttpCall call, HttpCompletion completion) {
     auto transfer = std::make_unique<Transfer>();
@@ -103,7 +103,7 @@
     transfer->completion(std::move(outcome));
   }
 
-  // Fails the calls that are queued or in progress.
+  // Fails the calls that are waiting or in progress.
   void FailAll() {
     StartWaiting();
     while (!m_active.empty()) {
@@ -123,7 +123,7 @@
 HttpClient::HttpClient(HttpClientOptions options) {
   InitializeCurl();
   for (std::size_t i = 0; i < std::max<std::size_t>(1, options.threads); ++i) {
-    m_workers.push_back(std::make_unique<Worker>(options));
+    m_client_threads.push_back(std::make_unique<ClientThread>(options));
   }
 }
 
@@ -134,8 +134,8 @@
 }
 
 void HttpClient::Start(HttpCall call, HttpCompletion completion) {
-  const std::size_t index = m_next.fetch_add(1) % m_workers.size();
-  m_workers[index]->Start(std::move(call), std::move(completion));
+  const std::size_t index = m_next.fetch_add(1) % m_client_threads.size();
+  m_client_threads[index]->Start(std::move(call), std::move(completion));
 }
 
 HttpOutcome HttpClient::Call(HttpCall call) {
--- a/src/cassiastile/wire/http_test.cpp
+++ b/src/cassiastile/wire/http_test.cpp
@@ -28,7 +28,7 @@
   return "http://127.0.0.1:" + std::to_string(server.Port()) + path;
 }
 
-TEST(HttpTest, CallsAndAnswers) {
+TEST(HttpTest, ClientGetsTheHandlersResponse) {
   const auto server = StartEcho();
   const auto client = HttpClient::Create();
   HttpCall call;
--- a/src/cassiastile/wire/loop_client.cpp
+++ b/src/cassiastile/wire/loop_client.cpp
@@ -266,7 +266,7 @@
             self->Fail(exchange, error.message(), false);
             return;
           }
-          self->Prepare(*connection);
+          self->SetSocketOptions(*connection);
           self->Write(exchange);
         });
   }
@@ -290,7 +290,7 @@
     return nullptr;
   }
 
-  void Prepare(Connection& connection) {
+  void SetSocketOptions(Connection& connection) {
     asio::error_code ignored;
     connection.socket.set_option(tcp::no_delay(true), ignored);
     const auto timeout =
@@ -337,10 +337,10 @@
       }
       return;
     }
-    const bool good =
+    const bool is_valid =
         exchange->reader.Feed(exchange->connection->buffer.data(), size,
                               exchange->call.max_body_bytes);
-    if (!good) {
+    if (!is_valid) {
       Fail(exchange, "the response is malformed or exceeds the size limit",
            false);
     } else if (exchange->reader.IsComplete()) {
--- a/src/cassiastile/wire/loop_client_test.cpp
+++ b/src/cassiastile/wire/loop_client_test.cpp
@@ -68,7 +68,7 @@
   EXPECT_EQ(outcome->body, "hello");
 }
 
-TEST_F(LoopClientTest, RefusedConnectionSentNothing) {
+TEST_F(LoopClientTest, RefusedConnectionIsNotSent) {
   const HttpOutcome outcome = CallPort(1, "POST", "/silent");
   ASSERT_FALSE(outcome.has_value());
   EXPECT_EQ(outcome.error().state, SendState::kNotSent);
