--- a/include/cassiastile/entry/credit_plan.hpp
+++ b/include/cassiastile/entry/credit_plan.hpp
@@ -37,8 +37,9 @@
                               const CreditNeeds& needs,
                               const std::set<work::HolderName>& gone);
 
-// Whether the planned row differs by more than small changes of the amount that
-// the holder wants.
+// Whether the planned row differs in more than the holder's demand. A change of
+// the demand counts only if it is large while the holder lacks credits, or if
+// it begins or ends that lack.
 bool IsWorthWriting(const work::LedgerRow& row,
                     const work::LedgerRow& planned,
                     const work::HolderName& holder);
--- a/include/cassiastile/entry/service_gateway.hpp
+++ b/include/cassiastile/entry/service_gateway.hpp
@@ -41,7 +41,8 @@
                  wire::HttpClient& client,
                  std::uint64_t seed);
 
-  // Accepts a request. Its `done` is called exactly once, with the outcome.
+  // Accepts a request. Its `done` is called exactly once, with the outcome, on
+  // any thread and possibly within this call.
   void Accept(GatewayRequest request);
 
   ServiceShard& Shard() { return m_shard; }
--- a/include/cassiastile/entry/service_shard.hpp
+++ b/include/cassiastile/entry/service_shard.hpp
@@ -76,7 +76,7 @@
   struct Stats {
     std::size_t waiting = 0;
     std::size_t unfinished = 0;
-    std::uint32_t slots = 0;
+    std::uint32_t slots = 0;  // Granted to this host.
     std::uint32_t in_use = 0;
     std::uint32_t ejected = 0;
   };
--- a/include/cassiastile/member/config_store.hpp
+++ b/include/cassiastile/member/config_store.hpp
@@ -39,14 +39,14 @@
   std::uint64_t version = 0;
   // The sequence of the edit's audit row; zero if nothing was committed.
   std::uint64_t audit = 0;
-  std::vector<std::string> sections;
+  std::vector<std::string> sections;  // The changed ones.
   config::FleetChange change;
-  std::string diff;
+  std::string diff;  // Unified, from the newest version to the edited text.
 };
 
-// The edit can't be applied to the newest version. Either a version after its
-// base changed the same sections, or the edit changes text outside the sections
-// of an older version, or its base was never accepted.
+// The edit can't be applied to the newest version: a version after its base
+// changed the same sections, or the edit has an older base and changes text
+// outside the sections, or its base was never accepted.
 struct EditConflict {
   std::uint64_t version = 0;  // The newest version.
   // From the edit's base to the newest version; empty without a valid base.
--- a/include/cassiastile/member/shard_lease.hpp
+++ b/include/cassiastile/member/shard_lease.hpp
@@ -76,7 +76,8 @@
 
   // Set the names of all shards, and the owner ids of the live candidates, this
   // process included.
-  void SetShards(const std::vector<std::string>& shards, base::TimePoint now);
+  void SetShardNames(const std::vector<std::string>& shards,
+                     base::TimePoint now);
   void SetCandidates(std::vector<std::string> candidates, base::TimePoint now);
   // Reports the rows found by a read of the table that ended at `now`.
   void ObserveRows(const std::map<std::string, LeaseRows>& rows,
--- a/src/cassiastile/member/shard_lease.cpp
+++ b/src/cassiastile/member/shard_lease.cpp
@@ -74,8 +74,8 @@
 ShardLeases::ShardLeases(ShardLeaseOptions options)
     : m_options(std::move(options)), m_candidates{m_options.owner} {}
 
-void ShardLeases::SetShards(const std::vector<std::string>& shards,
-                            base::TimePoint now) {
+void ShardLeases::SetShardNames(const std::vector<std::string>& shards,
+                                base::TimePoint now) {
   std::erase_if(m_shards, [&](const auto& entry) {
     return std::find(shards.begin(), shards.end(), entry.first) == shards.end();
   });
--- a/src/cassiastile/member/shard_lease_manager.cpp
+++ b/src/cassiastile/member/shard_lease_manager.cpp
@@ -64,7 +64,7 @@
   bool scan_due = false;
   {
     const std::lock_guard lock(m_mutex);
-    m_leases.SetShards(shards, now);
+    m_leases.SetShardNames(shards, now);
     m_leases.SetCandidates(std::move(candidates), now);
     scan_due = m_leases.IsScanDue(now);
   }
