--- a/include/cassiastile/entry/credit_plan.hpp
+++ b/include/cassiastile/entry/credit_plan.hpp
@@ -16,12 +16,14 @@
 
 // What this host needs of one resource, in credits.
 struct CreditNeed {
-  std::uint32_t capacity = 0;  // Of the whole resource, by the fleet document.
+  // Of the whole resource, as the fleet document sets it.
+  std::uint32_t capacity = 0;
   std::uint32_t in_use = 0;
   std::uint32_t wanted = 0;
 };
 
-// By resource name: a runner for slots, a team for its limit.
+// Needs and granted credits, by the name of the resource: a runner for its
+// slots, a team for its request limit.
 using CreditNeeds = std::map<std::string, CreditNeed>;
 using Grants = std::map<std::string, std::uint32_t>;
 
@@ -35,8 +37,9 @@
                               const CreditNeeds& needs,
                               const std::set<work::HolderName>& gone);
 
-// Whether the planned row differs by more than small changes of the amount that
-// the holder wants.
+// Whether the planned row differs in more than the holder's demand. A change of
+// the demand counts only if it is large while the holder lacks credits, or if
+// it begins or ends that lack.
 bool IsWorthWriting(const work::LedgerRow& row,
                     const work::LedgerRow& planned,
                     const work::HolderName& holder);
--- a/src/cassiastile/entry/entry_host.cpp
+++ b/src/cassiastile/entry/entry_host.cpp
@@ -53,7 +53,7 @@
 
 void EntryHost::Stop() {
   m_log.Info("Draining requests before the shutdown.");
-  m_service->StartDrain();
+  m_service->BeginDrain();
   const std::size_t cut =
       m_server->Drain(m_options.drain_notice, m_options.drain_deadline);
   if (cut > 0) {
@@ -70,7 +70,7 @@
   wire::Router router;
   m_service->AddRoutes(router);
   daemon::AddHealthRoutes(
-      router, [this] { return m_service->Ready(); }, m_metrics,
+      router, [this] { return m_service->IsReady(); }, m_metrics,
       [this] {
         m_service->UpdateMetrics();
         m_platform.UpdateMetrics(m_metrics);
