--- a/examples/work/request_fairness.cpp
+++ b/examples/work/request_fairness.cpp
@@ -12,7 +12,7 @@
   const work::ServiceRate rate{8, std::chrono::milliseconds(50)};
   base::Random random(1);
   work::AdmissionQueue queue({});
-  queue.SetQuota("large", {.weight = 3, .granted = {}});
+  queue.SetQuota("large", {.weight = 3, .concurrency_limit = {}});
   for (work::RequestId id = 0; id < 2 * kEach; ++id) {
     work::RequestTicket ticket;
     ticket.id = id;
--- a/include/cassiastile/base/findings.hpp
+++ b/include/cassiastile/base/findings.hpp
@@ -20,7 +20,7 @@
 // document (such as pools[2].hosts[0].zone), and a message that says what is
 // wrong and what would be valid.
 struct Finding {
-  TextPosition place;
+  TextPosition position;
   std::string path;
   std::string message;
 
--- a/include/cassiastile/control/audit_chain_appender.hpp
+++ b/include/cassiastile/control/audit_chain_appender.hpp
@@ -12,7 +12,7 @@
   // The table must outlive the appender.
   explicit AuditChainAppender(platform::Table& table);
 
-  base::Result<fleet::AuditAddition> Append(
+  base::Result<fleet::AuditAddition> PrepareAppend(
       const fleet::AuditEntry& entry) override;
 
  private:
--- a/include/cassiastile/control/config_answers.hpp
+++ b/include/cassiastile/control/config_responses.hpp
@@ -16,8 +16,9 @@
 wire::HttpResponse MakeDryRunResponse(const member::EditOutcome& outcome);
 // A committed edit, with the members not known to have it in force. Its state
 // is "pending" if these may still act on an older version.
-wire::HttpResponse MakeCommittedResponse(const member::EditOutcome& outcome,
-                                         const member::EditQuorum::Wait& wait);
+wire::HttpResponse MakeCommittedResponse(
+    const member::EditOutcome& outcome,
+    const member::EditQuorum::InForceResult& wait);
 // A refused edit: 409 for a conflict, 422 for an invalid document, 403 for
 // sections of other owners, or the response for another error.
 wire::HttpResponse MakeRefusedResponse(const member::EditRefusal& refusal,
--- a/include/cassiastile/daemon/platform_access.hpp
+++ b/include/cassiastile/daemon/platform_access.hpp
@@ -47,7 +47,7 @@
   std::unique_ptr<wire::HttpClient> m_client;
   platform::HttpTable m_table;
   platform::StoreGuard m_guard;
-  platform::HttpObjects m_objects;
+  platform::HttpObjectStore m_objects;
   platform::HttpHostList m_hosts;
   platform::HttpMachines m_machines;
   std::unique_ptr<platform::DecisionLog> m_decisions;
--- a/include/cassiastile/daemon/run_daemon.hpp
+++ b/include/cassiastile/daemon/run_daemon.hpp
@@ -22,15 +22,15 @@
 // Adapts a class to Daemon. The class needs a static Start(Options) that
 // returns a base::Result of a std::unique_ptr to it, and a Stop().
 template <typename Implementation>
-class HostDaemon final : public Daemon {
+class DaemonAdapter final : public Daemon {
  public:
   template <typename Options>
-  static base::Result<std::unique_ptr<HostDaemon>> Start(Options options) {
+  static base::Result<std::unique_ptr<DaemonAdapter>> Start(Options options) {
     auto implementation = Implementation::Start(std::move(options));
     if (!implementation) {
       return tl::unexpected(implementation.error());
     }
-    auto running = std::make_unique<HostDaemon>();
+    auto running = std::make_unique<DaemonAdapter>();
     running->m_implementation = std::move(*implementation);
     return running;
   }
--- a/include/cassiastile/entry/holder_watch.hpp
+++ b/include/cassiastile/entry/holder_watch.hpp
@@ -35,8 +35,8 @@
   HolderWatch(std::string own_name, HolderWatchOptions options);
 
   // Records a host list that was read.
-  void Observe(const std::vector<platform::ListedHost>& listed,
-               base::TimePoint now);
+  void ObserveHostList(const std::vector<platform::ListedHost>& listed,
+                       base::TimePoint now);
 
   // Records that a process runs, or ran, under an incarnation.
   void ObserveIncarnation(const std::string& host,
--- a/include/cassiastile/fleet/audit_appender.hpp
+++ b/include/cassiastile/fleet/audit_appender.hpp
@@ -33,13 +33,14 @@
   // Prepares the addition that appends the entry, and writes nothing itself.
   // Fails if the end of the chain can't be read. The transaction conflicts if
   // another entry is appended first; the caller then calls Append again.
-  virtual base::Result<AuditAddition> Append(const AuditEntry& entry) = 0;
+  virtual base::Result<AuditAddition> PrepareAppend(
+      const AuditEntry& entry) = 0;
 };
 
 // Records nothing; for tests and examples.
 class NullAuditAppender final : public AuditAppender {
  public:
-  base::Result<AuditAddition> Append(const AuditEntry& entry) override;
+  base::Result<AuditAddition> PrepareAppend(const AuditEntry& entry) override;
 };
 
 }  // namespace cassiastile::fleet
--- a/include/cassiastile/fleet/change.hpp
+++ b/include/cassiastile/fleet/change.hpp
@@ -52,9 +52,9 @@
 // Why a host is taken out of service, and what the drain depends on.
 struct DrainRequest {
   OutReason reason = OutReason::kWave;
-  std::string bound_for;      // For moves: the destination pool.
-  std::string stands_in_for;  // For moves: the failed host that it replaces.
-  std::string detail;         // Why this host now.
+  std::string bound_for;  // For moves: the destination pool.
+  std::string replaces;   // For moves: the failed host that it replaces.
+  std::string detail;     // Why this host now.
   // The wave that drains the host, if any. The change names the version of its
   // row and, for a canary, writes the row.
   std::optional<Stored<WaveRecord>> wave;
--- a/include/cassiastile/fleet/reconciler.hpp
+++ b/include/cassiastile/fleet/reconciler.hpp
@@ -50,7 +50,7 @@
 };
 
 // The services that a reconciler uses; all must outlive it.
-struct ReconcilerPorts {
+struct ReconcilerDependencies {
   platform::Table& table;
   platform::Machines& machines;
   HostWorkSource& work;
@@ -68,7 +68,7 @@
  public:
   // `name` is the name of this process; `seed` seeds its transaction nonces.
   Reconciler(std::string name,
-             ReconcilerPorts ports,
+             ReconcilerDependencies ports,
              std::uint64_t seed,
              ReconcilerOptions options = {});
 
@@ -185,7 +185,7 @@
   std::int32_t DemandDrivenSizeChange(const std::string& pool);
 
   std::string m_name;
-  ReconcilerPorts m_ports;
+  ReconcilerDependencies m_ports;
   ReconcilerOptions m_options;
   base::Random m_random;
   StateReader m_reader;
--- a/include/cassiastile/fleet/records.hpp
+++ b/include/cassiastile/fleet/records.hpp
@@ -34,7 +34,7 @@
   std::string wave;                 // The wave that drained it.
   std::uint64_t wave_run = 0;       // The run of that wave.
   std::string bound_for;            // The pool that it is moving to.
-  std::string stands_in_for;        // The failed host that it replaces.
+  std::string replaces;             // The failed host that it replaces.
   // The machine's boot count when its reboot was decided; the reboot is
   // complete once the count is higher. Absent if no reboot was requested.
   std::optional<std::uint64_t> boots;
--- a/include/cassiastile/host/config_watcher.hpp
+++ b/include/cassiastile/host/config_watcher.hpp
@@ -22,7 +22,10 @@
   };
 
   // `ports`, `loop` and `log` must outlive the watcher.
-  ConfigWatcher(HostPorts& ports, Loop& loop, EventLog& log, Listener listener);
+  ConfigWatcher(HostDependencies& ports,
+                Loop& loop,
+                EventLog& log,
+                Listener listener);
 
   // Reads the whole operators' table, then follows its feed; both are retried
   // until the store answers.
@@ -49,7 +52,7 @@
   void FollowFeed();
   void ApplyRows(const std::vector<Row>& rows);
 
-  HostPorts& m_ports;
+  HostDependencies& m_ports;
   Loop& m_loop;
   EventLog& m_log;
   Listener m_listener;
--- a/include/cassiastile/host/host_node.hpp
+++ b/include/cassiastile/host/host_node.hpp
@@ -41,7 +41,7 @@
 class HostNode {
  public:
   // The references must outlive the node.
-  HostNode(HostPorts ports,
+  HostNode(HostDependencies ports,
            PeerPort& peers,
            Loop& loop,
            EventLog& log,
@@ -52,8 +52,8 @@
   // Registers the host and starts gossip and leader election.
   void Begin();
   // Serves a caller's HTTP request.
-  void Handle(const wire::HttpRequest& request,
-              const wire::HttpResponder& respond);
+  void ServeCaller(const wire::HttpRequest& request,
+                   const wire::HttpResponder& respond);
   // Merges a peer's gossip message and returns this host's own.
   GossipMessage HandleGossip(const GossipMessage& gossip);
   // Answers a job request that another host forwarded; with kNotLeader unless
@@ -115,7 +115,7 @@
   std::string OwnEndpoint() const;
   bool IsLeader() const { return m_dispatcher != nullptr; }
 
-  HostPorts m_ports;
+  HostDependencies m_ports;
   PeerPort& m_peer_port;
   Loop& m_loop;
   EventLog& m_log;
--- a/include/cassiastile/host/machine_controller.hpp
+++ b/include/cassiastile/host/machine_controller.hpp
@@ -15,7 +15,7 @@
 
 // Settings of the controller.
 struct MachineControllerOptions {
-  std::string host;  // The leader's name in orders.
+  std::string leader;  // The leader's name in orders.
   // How long orders of a previous leader may still be in flight.
   std::chrono::milliseconds machine_order_lease{3000};
   // Whether to move machines between pools.
--- a/include/cassiastile/host/ports.hpp
+++ b/include/cassiastile/host/ports.hpp
@@ -182,7 +182,7 @@
 
 // The leader on whose behalf machine orders are given.
 struct OrderAuthority {
-  std::string host;
+  std::string leader;
   std::uint64_t fence = 0;  // The term's fencing token.
 };
 
--- a/include/cassiastile/jobs/job.hpp
+++ b/include/cassiastile/jobs/job.hpp
@@ -144,9 +144,9 @@
 TaskId IdOf(const TaskRef& ref);
 // The key of a step of one occurrence, "job.occurrence.step", for data that
 // concerns all of its tasks.
-std::string StepName(const std::string& job,
-                     std::uint32_t occurrence,
-                     std::uint32_t step);
+std::string StepKey(const std::string& job,
+                    std::uint32_t occurrence,
+                    std::uint32_t step);
 
 // The capacity that a task reserves on its worker; a filler reserves no CPU.
 Resources CapacityNeed(const StepSpec& step);
--- a/include/cassiastile/jobs/job_spec.hpp
+++ b/include/cassiastile/jobs/job_spec.hpp
@@ -27,7 +27,7 @@
   bool speculative = false;
   bool long_running = false;  // Runs until the job is cancelled.
   // A filler: uses CPU that other tasks leave idle, and reserves none.
-  bool fills = false;
+  bool is_filler = false;
   // The kind or the rack that a worker must have; empty for any.
   std::string required_label;
   std::string data_rack;             // The rack of its data; slower elsewhere.
--- a/include/cassiastile/jobs/pool_plan.hpp
+++ b/include/cassiastile/jobs/pool_plan.hpp
@@ -22,11 +22,11 @@
 
 // The demand on one pool.
 struct PoolDemand {
-  bool standby = false;         // The spare pool.
+  bool is_spare = false;        // The spare pool.
   Resources used;               // By all tasks.
   Resources long_running_used;  // By long-running tasks.
   Resources unplaced;           // Needed by tasks that could not be placed.
-  Work arriving;                // Submitted per millisecond.
+  Work arriving_work;           // Submitted per millisecond.
   // Least number of machines, if above PoolPlanOptions::min_machines.
   std::size_t min_machines = 0;
 };
--- a/include/cassiastile/jobs/scheduler.hpp
+++ b/include/cassiastile/jobs/scheduler.hpp
@@ -168,7 +168,7 @@
   // The job, or null.
   const Job* FindJob(const std::string& id) const;
   // Number of accepted jobs of a queue that have not started.
-  std::size_t QueuedJobs(const std::string& queue) const;
+  std::size_t CountQueuedJobs(const std::string& queue) const;
 
   // Observations of workers, and answers to orders.
 
@@ -241,7 +241,7 @@
   std::optional<TaskId> DrainBlocker(const std::string& machine) const;
   // Cordons a worker whose runs are about to be ended on purpose, and counts
   // its long-running tasks as unavailable.
-  void MarkVacated(const std::string& worker, base::TimePoint now);
+  void CordonAndMarkUnavailable(const std::string& worker, base::TimePoint now);
   // Sets whether a worker gets no new tasks, before it is moved or maintained.
   void SetCordoned(const std::string& worker, bool cordoned);
   // The load of a pool, for the pool planner.
--- a/include/cassiastile/jobs/wave_plan.hpp
+++ b/include/cassiastile/jobs/wave_plan.hpp
@@ -11,9 +11,9 @@
 // A machine of a maintenance wave as the planner sees it.
 struct WaveMachine {
   std::string name;
-  bool begun = false;  // Its maintenance has begun or is done.
-  bool down = false;   // In maintenance, or an order for it is pending.
-  bool busy = false;   // Moving, not up, or may not be ordered now.
+  bool begun = false;        // Its maintenance has begun or is done.
+  bool down = false;         // In maintenance, or an order for it is pending.
+  bool unavailable = false;  // Moving, not up, or may not be ordered now.
   // Whether all its runs may end now; see Scheduler::CanDrainMachine.
   bool can_drain = true;
   bool idle = true;       // Has no runs.
@@ -39,8 +39,8 @@
   std::chrono::milliseconds max_drain_time{1500};
   // Time left for the whole wave, and the duration of one maintenance including
   // the drain.
-  std::chrono::milliseconds left{0};
-  std::chrono::milliseconds each{4000};
+  std::chrono::milliseconds time_left{0};
+  std::chrono::milliseconds time_per_machine{4000};
 };
 
 // Chooses the next machines of a wave: those with the least running work first,
--- a/include/cassiastile/member/config_store.hpp
+++ b/include/cassiastile/member/config_store.hpp
@@ -29,7 +29,7 @@
   std::string key;                 // The operator's secret key.
   bool dry_run = false;            // Check the edit without committing it.
   // What each team has running now, to report the effect of a dry run.
-  std::vector<config::TeamUsage> use;
+  std::vector<config::TeamUsage> team_usage;
 };
 
 // The result of an accepted edit or of a dry run.
--- a/include/cassiastile/member/edit_quorum.hpp
+++ b/include/cassiastile/member/edit_quorum.hpp
@@ -33,7 +33,7 @@
   virtual void Announce(const ConfigHead& head, base::TimePoint started) = 0;
 
   // The result of WaitUntilInForce.
-  struct Wait {
+  struct InForceResult {
     // Names of the members not known to have the version in force.
     std::vector<std::string> missing;
     // Whether the wait timed out: by now no member acts on an older version.
@@ -41,7 +41,7 @@
   };
   // Waits until all members have the version in force, or until none can still
   // act on an older version.
-  virtual Wait WaitUntilInForce(std::uint64_t version) = 0;
+  virtual InForceResult WaitUntilInForce(std::uint64_t version) = 0;
 };
 
 }  // namespace cassiastile::member
--- a/include/cassiastile/member/member.hpp
+++ b/include/cassiastile/member/member.hpp
@@ -70,7 +70,7 @@
   base::Result<void> Prepare(std::uint64_t version, std::uint64_t id) override;
   void AbortPrepare() override;
   void Announce(const ConfigHead& head, base::TimePoint started) override;
-  Wait WaitUntilInForce(std::uint64_t version) override;
+  InForceResult WaitUntilInForce(std::uint64_t version) override;
 
   MemberStatus Status() const;
   // NAME#INCARNATION, unique to this process.
@@ -79,7 +79,7 @@
   // considered dead.
   std::vector<std::string> LiveControlOwners() const;
   // Sets the number of owned shards that other members are told.
-  void SetShards(std::uint16_t shards);
+  void SetShardCount(std::uint16_t shards);
   // Replaces the seed addresses, IP:PORT, when the host list changes.
   void SetSeeds(std::vector<std::string> seeds);
 
--- a/include/cassiastile/member/membership.hpp
+++ b/include/cassiastile/member/membership.hpp
@@ -126,7 +126,7 @@
   // Replaces the seed addresses, IP:PORT.
   void SetSeeds(std::vector<std::string> seeds);
   // Sets the number of owned shards that other members are told.
-  void SetShards(std::uint16_t shards);
+  void SetShardCount(std::uint16_t shards);
   // Reports that this version is in force here; its body must have been checked
   // against the digest. Ignored unless it is newer than the version in force
   // and no newer than the known head.
--- a/include/cassiastile/member/shard_lease.hpp
+++ b/include/cassiastile/member/shard_lease.hpp
@@ -17,7 +17,8 @@
 struct ShardLeaseOptions {
   std::string owner;    // NAME#INCARNATION, unique to the process.
   std::string address;  // IP:PORT of its HTTP endpoint.
-  base::Duration lease = std::chrono::milliseconds(3000);  // Lease duration.
+  base::Duration lease_duration =
+      std::chrono::milliseconds(3000);  // Lease duration.
   // Contenders wait this much longer than `lease`, because clocks may run at
   // different rates.
   base::Duration clock_margin = std::chrono::milliseconds(200);
--- a/include/cassiastile/platform/http_platform.hpp
+++ b/include/cassiastile/platform/http_platform.hpp
@@ -39,9 +39,9 @@
 };
 
 // The platform's object store over HTTP.
-class HttpObjects final : public ObjectStore {
+class HttpObjectStore final : public ObjectStore {
  public:
-  explicit HttpObjects(HttpPlatformOptions options);
+  explicit HttpObjectStore(HttpPlatformOptions options);
 
   base::Result<void> Put(const std::string& name,
                          const std::string& content) override;
--- a/include/cassiastile/platform/memory_platform.hpp
+++ b/include/cassiastile/platform/memory_platform.hpp
@@ -68,7 +68,7 @@
 };
 
 // An in-memory object store. Thread-safe.
-class MemoryObjects final : public ObjectStore {
+class MemoryObjectStore final : public ObjectStore {
  public:
   base::Result<void> Put(const std::string& name,
                          const std::string& content) override;
--- a/include/cassiastile/sim/invariant_checker.hpp
+++ b/include/cassiastile/sim/invariant_checker.hpp
@@ -33,15 +33,17 @@
   void EndAcknowledged(const jobs::TaskId& task) override;
 
   // Adds a violation.
-  void Violate(std::string what) { m_violations.push_back(std::move(what)); }
+  void AddViolation(std::string what) {
+    m_violations.push_back(std::move(what));
+  }
 
   const std::vector<std::string>& Violations() const { return m_violations; }
   // Null for a job that was not submitted.
   const jobs::JobSpec* SpecOf(const std::string& job) const;
   // Number of the job's tasks that have ended successfully.
-  std::size_t DoneTasks(const std::string& job) const;
+  std::size_t CountDoneTasks(const std::string& job) const;
   // Number of the job's runs that are alive.
-  std::size_t RunningTasks(const std::string& job) const;
+  std::size_t CountRuns(const std::string& job) const;
 
  private:
   // What is known of one job.
--- a/include/cassiastile/sim/worker_model.hpp
+++ b/include/cassiastile/sim/worker_model.hpp
@@ -52,7 +52,7 @@
             base::TimePoint now);
   // Extends the lease and drops acknowledged ends. Returns false when a newer
   // fencing token has been seen.
-  bool Extend(const host::LeaseExtension& extension, base::TimePoint now);
+  bool ExtendLease(const host::LeaseExtension& extension, base::TimePoint now);
   // The report of the worker, with its runs and ends.
   jobs::WorkerReport Report(base::TimePoint now) const;
   // Ends the runs that are done, or whose lease has expired, by `now`.
@@ -60,7 +60,7 @@
   // When the next run is done or the lease expires; nothing without runs.
   std::optional<base::TimePoint> NextEvent() const;
   // Ends all runs without listing them, as in a crash.
-  void Die();
+  void Crash();
 
   const jobs::WorkerEntry& Entry() const { return m_entry; }
   // Whether ends have not been acknowledged yet.
--- a/include/cassiastile/soak/fault_plan.hpp
+++ b/include/cassiastile/soak/fault_plan.hpp
@@ -85,7 +85,7 @@
 struct PlanOptions {
   std::size_t hosts = 5;
   std::size_t workers = 10;
-  std::chrono::milliseconds length{10000};
+  std::chrono::milliseconds duration{10000};
   // Between series of faults; a series has up to four.
   std::chrono::milliseconds mean_gap{700};
 };
--- a/include/cassiastile/soak/soak.hpp
+++ b/include/cassiastile/soak/soak.hpp
@@ -32,7 +32,7 @@
   std::size_t accepted = 0;
   std::size_t refused = 0;
   std::size_t done = 0;
-  std::size_t starts = 0;  // Of host processes, restarts included.
+  std::size_t process_starts = 0;  // Of host processes, restarts included.
   std::vector<std::string> violations;
 };
 
--- a/include/cassiastile/standin/backend.hpp
+++ b/include/cassiastile/standin/backend.hpp
@@ -31,9 +31,9 @@
 };
 
 struct BackendCounts {
-  std::uint32_t peak_running = 0;      // The most requests at once.
-  std::uint32_t peak_connections = 0;  // The most connections at once.
-  std::uint64_t over_slots = 0;        // Starts while all slots were in use.
+  std::uint32_t peak_running = 0;       // The most requests at once.
+  std::uint32_t peak_connections = 0;   // The most connections at once.
+  std::uint64_t starts_over_slots = 0;  // Starts while all slots were in use.
 };
 
 // A stand-in for a runner (a backend server), over HTTP. It answers each
--- a/include/cassiastile/standin/backend_fault_mix.hpp
+++ b/include/cassiastile/standin/backend_fault_mix.hpp
@@ -16,7 +16,7 @@
   std::uint64_t without_answer = 0;
   std::uint64_t answered_twice = 0;
   // Requests that reached a runner while all its slots were in use.
-  std::uint64_t over_slots = 0;
+  std::uint64_t arrivals_over_slots = 0;
 
   bool operator==(const FaultMixViolations&) const = default;
 };
@@ -25,7 +25,7 @@
 
 // How many requests were answered in each way.
 struct FaultMixTally {
-  std::uint64_t whole = 0;  // With the complete response to the request.
+  std::uint64_t correct = 0;  // With the complete response to the request.
   std::uint64_t not_run = 0;
   std::uint64_t unknown = 0;  // The caller was told that it may have run.
 };
--- a/include/cassiastile/standin/backend_simulation.hpp
+++ b/include/cassiastile/standin/backend_simulation.hpp
@@ -48,7 +48,7 @@
 // What the caller of a request saw.
 struct SimulatedAnswer {
   wire::Execution execution = wire::Execution::kUnknown;
-  bool whole = false;  // The complete response to this request.
+  bool correct = false;  // The complete response to this request.
   base::TimePoint at{};
   std::uint32_t answers = 0;     // How many the caller got; one is correct.
   base::Duration retry_after{};  // Zero when none was given.
--- a/include/cassiastile/standin/platform_server.hpp
+++ b/include/cassiastile/standin/platform_server.hpp
@@ -65,7 +65,7 @@
   const base::Clock& m_clock;
   PlatformServerOptions m_options;
   platform::MemoryTable m_table;
-  platform::MemoryObjects m_objects;
+  platform::MemoryObjectStore m_objects;
   platform::MemoryMachines m_machines;
 
   std::mutex m_mutex;
--- a/include/cassiastile/standin/worker.hpp
+++ b/include/cassiastile/standin/worker.hpp
@@ -26,7 +26,7 @@
 
 struct WorkerLogEntry {
   base::TimePoint at{};
-  WorkerEvent act = WorkerEvent::kStarted;
+  WorkerEvent event = WorkerEvent::kStarted;
   std::string worker;
   std::string key;
   std::uint64_t epoch = 0;
--- a/include/cassiastile/wire/router.hpp
+++ b/include/cassiastile/wire/router.hpp
@@ -21,7 +21,7 @@
 
   // Calls the first matching route, or responds with 404 (no such path) or 405
   // (method not allowed).
-  void Handle(HttpRequest request, HttpResponder respond) const;
+  void RouteRequest(HttpRequest request, HttpResponder respond) const;
 
  private:
   struct Route {
--- a/include/cassiastile/work/admission.hpp
+++ b/include/cassiastile/work/admission.hpp
@@ -36,7 +36,7 @@
 struct TeamQuota {
   std::uint32_t weight = 1;
   // The most requests that may run at once; unset when the team has no limit.
-  std::optional<std::uint32_t> granted;
+  std::optional<std::uint32_t> concurrency_limit;
 };
 
 // The rate at which this host can currently start requests.
--- a/include/cassiastile/work/claim.hpp
+++ b/include/cassiastile/work/claim.hpp
@@ -43,7 +43,7 @@
 bool IsValidIdempotencyKey(std::string_view key);
 
 // The claim's row key in the table.
-std::string ClaimKey(const std::string& team, const std::string& key);
+std::string ClaimRowKey(const std::string& team, const std::string& key);
 
 // A digest over the service and the request's method, path, query and body.
 // Requests with the same digest are treated as the same request.
--- a/include/cassiastile/work/task_owner.hpp
+++ b/include/cassiastile/work/task_owner.hpp
@@ -29,7 +29,7 @@
   base::Duration first_backoff = std::chrono::milliseconds(100);
   base::Duration longest_backoff = std::chrono::seconds(2);
   // Whether submissions are accepted while the table is still being read.
-  bool open_while_reading = true;
+  bool accept_submissions_while_reading = true;
 };
 
 // Whether an event took effect.
@@ -75,9 +75,9 @@
 
   // Handles the events and timeouts. Returns one result per event, in their
   // order.
-  std::vector<TaskResult> Handle(const std::vector<TaskEvent>& events,
-                                 Moment moment,
-                                 const OwnerLease& owner_lease);
+  std::vector<TaskResult> ProcessEvents(const std::vector<TaskEvent>& events,
+                                        Moment moment,
+                                        const OwnerLease& owner_lease);
 
   // Whether the shard reflects the table: everything was read, and no write is
   // pending.
--- a/include/cassiastile/work/task_shard.hpp
+++ b/include/cassiastile/work/task_shard.hpp
@@ -69,7 +69,7 @@
 struct ResolveEvent {
   std::string key;
   TaskOutcome outcome = TaskOutcome::kNone;  // kNone requeues the task.
-  std::string who;
+  std::string operator_name;
 };
 
 using TaskEvent =
--- a/src/bin/cassia_control.cpp
+++ b/src/bin/cassia_control.cpp
@@ -39,6 +39,6 @@
       "cassia-control",
       "takes operators' edits and callers' tasks, owns pools and runs waves"};
   return daemon::RunDaemon(program, argc, argv, ReadOptions,
-                           daemon::HostDaemon<control::ControlHost>::Start<
+                           daemon::DaemonAdapter<control::ControlHost>::Start<
                                control::ControlHostOptions>);
 }
--- a/src/bin/cassia_entry.cpp
+++ b/src/bin/cassia_entry.cpp
@@ -53,5 +53,5 @@
       "takes callers' requests and brings back the answers of the runners"};
   return daemon::RunDaemon(
       program, argc, argv, ReadOptions,
-      daemon::HostDaemon<entry::EntryHost>::Start<entry::EntryHostOptions>);
+      daemon::DaemonAdapter<entry::EntryHost>::Start<entry::EntryHostOptions>);
 }
--- a/src/bin/cassia_host.cpp
+++ b/src/bin/cassia_host.cpp
@@ -33,10 +33,10 @@
 // The end of the stop grace period that is reserved for the exit itself.
 constexpr std::chrono::milliseconds kExitReserve{600};
 
-host::HostPorts MakeDependencies(adapter::TableClient& table,
-                                 adapter::WorkerClient& workers,
-                                 adapter::MachineClient& machines,
-                                 adapter::AdviceClient& advice) {
+host::HostDependencies MakeDependencies(adapter::TableClient& table,
+                                        adapter::WorkerClient& workers,
+                                        adapter::MachineClient& machines,
+                                        adapter::AdviceClient& advice) {
   return {.store = table,
           .workers = workers,
           .machines = machines,
@@ -132,7 +132,7 @@
     return Listen(endpoint.address, endpoint.port,
                   [this](const wire::HttpRequest& request,
                          const wire::HttpResponder& respond) {
-                    m_node.Handle(request, respond);
+                    m_node.ServeCaller(request, respond);
                   });
   }
 
--- a/src/bin/cassia_soak.cpp
+++ b/src/bin/cassia_soak.cpp
@@ -18,7 +18,7 @@
 void Print(const soak::SoakResult& result) {
   std::cout << nlohmann::json{{"seed", result.seed},
                               {"faults", result.faults},
-                              {"process_starts", result.starts},
+                              {"process_starts", result.process_starts},
                               {"jobs", result.jobs},
                               {"accepted", result.accepted},
                               {"refused", result.refused},
@@ -93,7 +93,7 @@
       return 0;
     }
     po::notify(values);
-    options.plan.length = std::chrono::seconds(seconds);
+    options.plan.duration = std::chrono::seconds(seconds);
     if (!plan_file.empty()) {
       std::ifstream file(plan_file);
       std::ostringstream text;
--- a/src/bin/measure_fleet.cpp
+++ b/src/bin/measure_fleet.cpp
@@ -214,9 +214,9 @@
     fake::Race race(seed, kLostAnswers);
     for (int step = 0; step < kSteps; ++step) {
       const auto event = static_cast<int>(random() % fake::kEvents);
-      race.Take({event, static_cast<std::uint32_t>(random())});
+      race.ApplyStep({event, static_cast<std::uint32_t>(random())});
       if (step % 3 == 0) {
-        race.Take({static_cast<int>(fake::Event::kBothRound), 0});
+        race.ApplyStep({static_cast<int>(fake::Event::kBothRound), 0});
       }
     }
     budget += race.Table().budget_violations;
--- a/src/bin/measure_member.cpp
+++ b/src/bin/measure_member.cpp
@@ -295,12 +295,12 @@
   const ShardLeaseOptions options;
   const std::vector<double> times = TakeoverTimes(milliseconds(300));
   // The baseline scans the table once per lease duration.
-  const std::vector<double> baseline =
-      TakeoverTimes(std::chrono::duration_cast<milliseconds>(options.lease));
+  const std::vector<double> baseline = TakeoverTimes(
+      std::chrono::duration_cast<milliseconds>(options.lease_duration));
   for (const double quantile : {0.5, 1.0}) {
     Print(fmt::format("member.takeover_over_lease_p{:.0f}", quantile * 100),
-          Percentile(times, quantile) - Seconds(options.lease), "s",
-          Percentile(baseline, quantile) - Seconds(options.lease));
+          Percentile(times, quantile) - Seconds(options.lease_duration), "s",
+          Percentile(baseline, quantile) - Seconds(options.lease_duration));
   }
 }
 
--- a/src/bin/measure_requests.cpp
+++ b/src/bin/measure_requests.cpp
@@ -50,7 +50,7 @@
   double recovery_s = 0;
   // Requests that reached a backend server while all its slots were in use,
   // those of the warm-up included.
-  std::uint64_t over_slots = 0;
+  std::uint64_t arrivals_over_slots = 0;
 };
 
 base::Duration ToDuration(Seconds seconds) {
@@ -133,7 +133,7 @@
   figures.slow_fraction = late / std::max(1.0, total);
   figures.p99_ms = Percentile99(answered);
   figures.refused_p99_ms = Percentile99(refused);
-  figures.over_slots = simulation.Backends().ArrivalsOverSlots();
+  figures.arrivals_over_slots = simulation.Backends().ArrivalsOverSlots();
   return figures;
 }
 
@@ -186,8 +186,8 @@
         baseline.refused_p99_ms);
   Print("slow_or_failed." + name, ours.slow_fraction, "ratio", "lower",
         baseline.slow_fraction);
-  Print("over_slots." + name, static_cast<double>(ours.over_slots), "starts",
-        "lower", static_cast<double>(baseline.over_slots));
+  Print("over_slots." + name, static_cast<double>(ours.arrivals_over_slots),
+        "starts", "lower", static_cast<double>(baseline.arrivals_over_slots));
   if (scenario.silent_link) {
     Print("recovery." + name, ours.recovery_s, "s", "lower",
           baseline.recovery_s);
@@ -202,7 +202,7 @@
     sum.ran_twice += found.ran_twice;
     sum.not_run_but_ran += found.not_run_but_ran;
     sum.wrong_answers += found.wrong_answers;
-    sum.over_slots += found.over_slots;
+    sum.arrivals_over_slots += found.arrivals_over_slots;
   }
   return sum;
 }
@@ -220,7 +220,8 @@
   print("at_most_once_violations", ours.ran_twice, baseline.ran_twice);
   print("not_run_violations", ours.not_run_but_ran, baseline.not_run_but_ran);
   print("whole_answer_violations", ours.wrong_answers, baseline.wrong_answers);
-  print("slot_violations", ours.over_slots, baseline.over_slots);
+  print("slot_violations", ours.arrivals_over_slots,
+        baseline.arrivals_over_slots);
 }
 
 }  // namespace
--- a/src/bin/measure_tasks_faults.hpp
+++ b/src/bin/measure_tasks_faults.hpp
@@ -69,7 +69,7 @@
   double busy = 0;
   TimePoint from{};
   const auto log = [&](const standin::WorkerLogEntry& line) {
-    if (line.act == standin::WorkerEvent::kStarted) {
+    if (line.event == standin::WorkerEvent::kStarted) {
       running[line.key] = {line.at, line.usage.cores};
       const auto push = submitted.find(line.key);
       if (push != submitted.end()) {
@@ -152,8 +152,8 @@
   std::int64_t running = 0;
   std::int64_t most = 0;
   const auto log = [&](const standin::WorkerLogEntry& line) {
-    const bool starts = line.act == standin::WorkerEvent::kStarted;
-    const bool ends = line.act != standin::WorkerEvent::kNotStarted;
+    const bool starts = line.event == standin::WorkerEvent::kStarted;
+    const bool ends = line.event != standin::WorkerEvent::kNotStarted;
     running += starts ? 1 : (ends ? -1 : 0);
     most = std::max(most, running);
   };
@@ -223,7 +223,8 @@
     fleets.push_back(std::make_unique<standin::WorkerFleet>(
         accepted.fleet.pools[0].hosts, Random(index),
         [&running, index](const standin::WorkerLogEntry& line) {
-          running[index] += line.act == standin::WorkerEvent::kStarted ? 1 : -1;
+          running[index] +=
+              line.event == standin::WorkerEvent::kStarted ? 1 : -1;
         }));
   }
   const auto run = [&](seconds length, std::vector<work::TaskEvent> first) {
@@ -234,14 +235,15 @@
         const work::OwnerLease owner_lease{
             1, {"lease/p" + std::to_string(index), 0}};
         if (passed == base::Duration{} && (index == 0 || !first.empty())) {
-          owners[index]->Handle(first, moment, owner_lease);
+          owners[index]->ProcessEvents(first, moment, owner_lease);
         }
         const auto polls = fleets[index]->CollectPolls(clock.Now());
         std::vector<work::TaskEvent> events;
         for (const auto& poll : polls) {
           events.emplace_back(poll.poll);
         }
-        const auto results = owners[index]->Handle(events, moment, owner_lease);
+        const auto results =
+            owners[index]->ProcessEvents(events, moment, owner_lease);
         for (std::size_t each = 0; each < polls.size(); ++each) {
           fleets[index]->Deliver(polls[each], results[each].answer,
                                  clock.Now());
@@ -268,7 +270,7 @@
     shifted_tasks.emplace_back(work::SubmitEvent{spec});
   }
   const work::Moment moment{clock.Now(), clock.WallNow()};
-  owners[0]->Handle(shifted_tasks, moment, {1, {"lease/p0", 0}});
+  owners[0]->ProcessEvents(shifted_tasks, moment, {1, {"lease/p0", 0}});
   run(seconds(10), {});
   result.stranded =
       100.0 * (kTaskLimit - static_cast<double>(running[0])) / kTaskLimit;
--- a/src/bin/measure_tasks_growth.hpp
+++ b/src/bin/measure_tasks_growth.hpp
@@ -54,7 +54,8 @@
 
 // A new owner takes over a shard of `tasks` tasks while ten tasks a second are
 // submitted. Callers give up after two seconds.
-inline RecoveryTimes RunRecovery(std::size_t tasks, bool open_while_reading) {
+inline RecoveryTimes RunRecovery(std::size_t tasks,
+                                 bool accept_submissions_while_reading) {
   constexpr double kSubmitEverySeconds = 0.1;
   constexpr double kCallerTimeoutSeconds = 2;
   const config::AcceptedFleet accepted = MakeFleet(Scenario{});
@@ -75,7 +76,7 @@
   TimedTable table(memory, clock);
   NullDecisionSink decisions;
   work::TaskOwnerOptions options;
-  options.open_while_reading = open_while_reading;
+  options.accept_submissions_while_reading = accept_submissions_while_reading;
   options.shard.max_tasks = 2 * tasks;
   work::TaskOwner owner("p", options, table, decisions, Random(kSeed));
   owner.SetFleet(accepted);
@@ -104,8 +105,8 @@
     for (const auto& poll : polls) {
       events.emplace_back(poll.poll);
     }
-    const auto results = owner.Handle(events, {clock.Now(), clock.WallNow()},
-                                      {1, {"lease/p", 0}});
+    const auto results = owner.ProcessEvents(
+        events, {clock.Now(), clock.WallNow()}, {1, {"lease/p", 0}});
     for (std::size_t index = 0; index < arrivals.size(); ++index) {
       const bool is_accepted =
           results[index].effect == work::Effect::kCommitted &&
--- a/src/bin/measure_tasks_run.hpp
+++ b/src/bin/measure_tasks_run.hpp
@@ -55,8 +55,8 @@
     for (const standin::SentPoll& poll : polls) {
       events.emplace_back(poll.poll);
     }
-    const auto results = owner.Handle(events, {clock.Now(), clock.WallNow()},
-                                      {1, {"lease/p", 0}});
+    const auto results = owner.ProcessEvents(
+        events, {clock.Now(), clock.WallNow()}, {1, {"lease/p", 0}});
     for (std::size_t index = 0; index < polls.size(); ++index) {
       workers.Deliver(polls[index], results[first + index].answer, clock.Now());
     }
@@ -105,7 +105,7 @@
   std::unique_ptr<ShardRun> run;
   double ended = 0;
   const auto log = [&](const standin::WorkerLogEntry& line) {
-    if (line.act == standin::WorkerEvent::kStarted) {
+    if (line.event == standin::WorkerEvent::kStarted) {
       started[line.key] = line.at;
       return;
     }
--- a/src/cassiastile/config/fleet_reader_test.cpp
+++ b/src/cassiastile/config/fleet_reader_test.cpp
@@ -37,7 +37,7 @@
                 const std::string& fragment) {
   return std::any_of(
       findings.begin(), findings.end(), [&](const base::Finding& finding) {
-        return finding.path == path && finding.place.line > 1 &&
+        return finding.path == path && finding.position.line > 1 &&
                finding.message.find(fragment) != std::string::npos;
       });
 }
--- a/src/cassiastile/config/positioned_json_test.cpp
+++ b/src/cassiastile/config/positioned_json_test.cpp
@@ -25,8 +25,9 @@
   const auto document = ParsePositionedJson(text, "f");
   ASSERT_TRUE(document);
   const auto position_of = [&](std::string_view path) {
-    const base::TextPosition place = FindTextPosition(*document, path);
-    return std::to_string(place.line) + ":" + std::to_string(place.column);
+    const base::TextPosition position = FindTextPosition(*document, path);
+    return std::to_string(position.line) + ":" +
+           std::to_string(position.column);
   };
   EXPECT_EQ(position_of("a"), "2:8");
   EXPECT_EQ(position_of("a[0]"), "2:9");
@@ -82,7 +83,7 @@
   ASSERT_TRUE(document);
   ASSERT_EQ(document->duplicates.size(), 1U);
   EXPECT_EQ(document->duplicates[0].path, "a[0].b");
-  EXPECT_EQ(document->duplicates[0].place.line, 2U);
+  EXPECT_EQ(document->duplicates[0].position.line, 2U);
 }
 
 RC_GTEST_PROP(PositionedJsonPropertyTest,
--- a/src/cassiastile/config/section_edit.cpp
+++ b/src/cassiastile/config/section_edit.cpp
@@ -124,7 +124,7 @@
   base::Finding finding{
       {file, 1, 1}, std::string(NameOf(section)), std::move(message)};
   if (const auto document = ParsePositionedJson(after, file)) {
-    finding.place = FindTextPosition(*document, finding.path);
+    finding.position = FindTextPosition(*document, finding.path);
   }
   return finding;
 }
--- a/src/cassiastile/control/audit_chain_appender.cpp
+++ b/src/cassiastile/control/audit_chain_appender.cpp
@@ -9,7 +9,7 @@
 AuditChainAppender::AuditChainAppender(platform::Table& table)
     : m_table(table) {}
 
-base::Result<fleet::AuditAddition> AuditChainAppender::Append(
+base::Result<fleet::AuditAddition> AuditChainAppender::PrepareAppend(
     const fleet::AuditEntry& entry) {
   const auto head = member::ReadAuditHead(m_table);
   if (!head) {
--- a/src/cassiastile/control/config_answers.cpp
+++ b/src/cassiastile/control/config_responses.cpp
@@ -1,4 +1,4 @@
-#include "cassiastile/control/config_answers.hpp"
+#include "cassiastile/control/config_responses.hpp"
 
 #include <algorithm>
 
@@ -14,8 +14,8 @@
 nlohmann::json ToJson(const base::Findings& findings) {
   nlohmann::json list = nlohmann::json::array();
   for (const base::Finding& finding : findings) {
-    list.push_back({{"line", finding.place.line},
-                    {"column", finding.place.column},
+    list.push_back({{"line", finding.position.line},
+                    {"column", finding.position.column},
                     {"path", finding.path},
                     {"message", finding.message}});
   }
@@ -127,8 +127,9 @@
                                  {"diff", outcome.diff}});
 }
 
-wire::HttpResponse MakeCommittedResponse(const member::EditOutcome& outcome,
-                                         const member::EditQuorum::Wait& wait) {
+wire::HttpResponse MakeCommittedResponse(
+    const member::EditOutcome& outcome,
+    const member::EditQuorum::InForceResult& wait) {
   const bool accepted = wait.missing.empty() || wait.expired;
   return wire::MakeJsonResponse(200,
                                 {{"version", outcome.version},
--- a/src/cassiastile/control/config_service.cpp
+++ b/src/cassiastile/control/config_service.cpp
@@ -12,7 +12,7 @@
 #include "cassiastile/base/hash.hpp"
 #include "cassiastile/base/random.hpp"
 #include "cassiastile/control/authentication.hpp"
-#include "cassiastile/control/config_answers.hpp"
+#include "cassiastile/control/config_responses.hpp"
 #include "cassiastile/member/member_rows.hpp"
 #include "cassiastile/wire/problem.hpp"
 
@@ -222,7 +222,7 @@
       return wire::MakeErrorResponse(edit.error());
     }
     if (m_dependencies.team_usage) {
-      edit->use = m_dependencies.team_usage();
+      edit->team_usage = m_dependencies.team_usage();
     }
     const member::EditResult result = m_dependencies.store.Accept(*edit);
     if (!result) {
--- a/src/cassiastile/control/config_service_test.cpp
+++ b/src/cassiastile/control/config_service_test.cpp
@@ -55,7 +55,7 @@
                       int* status = nullptr) {
     request.headers = {{"Authorization", "Bearer " + key}};
     std::promise<wire::HttpResponse> answered;
-    m_router.Handle(std::move(request), [&](wire::HttpResponse response) {
+    m_router.RouteRequest(std::move(request), [&](wire::HttpResponse response) {
       answered.set_value(std::move(response));
     });
     const wire::HttpResponse response = answered.get_future().get();
--- a/src/cassiastile/control/control_host.cpp
+++ b/src/cassiastile/control/control_host.cpp
@@ -7,7 +7,7 @@
 
 #include "cassiastile/base/log.hpp"
 #include "cassiastile/control/audit_chain_appender.hpp"
-#include "cassiastile/control/config_answers.hpp"
+#include "cassiastile/control/config_responses.hpp"
 #include "cassiastile/control/config_service.hpp"
 #include "cassiastile/control/decision_service.hpp"
 #include "cassiastile/control/pool_service.hpp"
@@ -133,7 +133,7 @@
           [this] { return PoolNames(*member); },
           [this] {
             const auto owned = shards->OwnedShards(clock.Now()).size();
-            member->SetShards(static_cast<std::uint16_t>(owned));
+            member->SetShardCount(static_cast<std::uint16_t>(owned));
             return member->LiveControlOwners();
           }},
       seed + 1);
--- a/src/cassiastile/control/decision_service_test.cpp
+++ b/src/cassiastile/control/decision_service_test.cpp
@@ -55,15 +55,16 @@
       request.headers.emplace_back("Authorization", "Bearer " + secret);
     }
     int status = 0;
-    m_router.Handle(request, [&status](const wire::HttpResponse& response) {
-      status = response.status;
-    });
+    m_router.RouteRequest(request,
+                          [&status](const wire::HttpResponse& response) {
+                            status = response.status;
+                          });
     return status;
   }
 
   base::ManualClock m_clock;
   FixedSource m_source;
-  platform::MemoryObjects m_objects;
+  platform::MemoryObjectStore m_objects;
   std::unique_ptr<platform::DecisionLog> m_log;
   std::unique_ptr<DecisionService> m_service;
   wire::Router m_router;
--- a/src/cassiastile/control/pool_service.cpp
+++ b/src/cassiastile/control/pool_service.cpp
@@ -16,7 +16,7 @@
 // Attempts at an action whose rows other writers change at the same time.
 constexpr int kMaxActionAttempts = 4;
 
-fleet::ReconcilerPorts MakeReconcilerDependencies(
+fleet::ReconcilerDependencies MakeReconcilerDependencies(
     const PoolServiceDependencies& dependencies) {
   return {dependencies.table,  dependencies.machines, dependencies.work,
           dependencies.demand, dependencies.clock,    dependencies.decisions};
@@ -223,7 +223,7 @@
     if (!done) {
       return done;
     }
-    const auto audit = m_dependencies.audit.Append(action.entry);
+    const auto audit = m_dependencies.audit.PrepareAppend(action.entry);
     if (!audit) {
       return tl::unexpected(audit.error());
     }
--- a/src/cassiastile/control/pool_service_test.cpp
+++ b/src/cassiastile/control/pool_service_test.cpp
@@ -46,7 +46,7 @@
 
 class FakeAuditAppender final : public fleet::AuditAppender {
  public:
-  base::Result<fleet::AuditAddition> Append(
+  base::Result<fleet::AuditAddition> PrepareAppend(
       const fleet::AuditEntry& entry) override {
     return fleet::AuditAddition{{}, {{"audit/1", entry.what + entry.who}}};
   }
@@ -85,7 +85,7 @@
     request.method = method;
     request.path = path;
     request.headers = {{"Authorization", "Bearer " + key}};
-    m_router.Handle(request, [&](wire::HttpResponse response) {
+    m_router.RouteRequest(request, [&](wire::HttpResponse response) {
       answer.set_value(std::move(response));
     });
     m_service->RunOnce();
@@ -207,13 +207,13 @@
   request.method = "POST";
   request.path = "/v1/waves/wave/start";
   request.headers = {{"Authorization", std::string("Bearer ") + kBertsKey}};
-  m_router.Handle(request, [&](wire::HttpResponse response) {
+  m_router.RouteRequest(request, [&](wire::HttpResponse response) {
     answer.set_value(std::move(response));
   });
   EXPECT_EQ(answer.get_future().get().status, 200);
   m_service->Stop();
   std::promise<wire::HttpResponse> late;
-  m_router.Handle(request, [&](wire::HttpResponse response) {
+  m_router.RouteRequest(request, [&](wire::HttpResponse response) {
     late.set_value(std::move(response));
   });
   EXPECT_EQ(late.get_future().get().status, 503);
--- a/src/cassiastile/control/task_event_batcher.cpp
+++ b/src/cassiastile/control/task_event_batcher.cpp
@@ -139,8 +139,8 @@
   }
   const std::uint64_t written = m_owner.BatchesWritten();
   std::vector<work::TaskResult> results =
-      m_owner.Handle(events, {now, m_dependencies.clock.WallNow()},
-                     {shard_lease->epoch, shard_lease->fence});
+      m_owner.ProcessEvents(events, {now, m_dependencies.clock.WallNow()},
+                            {shard_lease->epoch, shard_lease->fence});
   if (m_owner.BatchesWritten() != written) {
     m_next_batch_at = now + m_options.write_interval;
   }
--- a/src/cassiastile/control/task_service_test.cpp
+++ b/src/cassiastile/control/task_service_test.cpp
@@ -94,9 +94,10 @@
     }
     auto promise = std::make_shared<std::promise<wire::HttpResponse>>();
     auto future = promise->get_future();
-    m_router.Handle(std::move(request), [promise](wire::HttpResponse response) {
-      promise->set_value(std::move(response));
-    });
+    m_router.RouteRequest(std::move(request),
+                          [promise](wire::HttpResponse response) {
+                            promise->set_value(std::move(response));
+                          });
     return future.get();
   }
 
--- a/src/cassiastile/daemon/daemon_test.cpp
+++ b/src/cassiastile/daemon/daemon_test.cpp
@@ -37,7 +37,7 @@
     request.method = "GET";
     request.path = path;
     int status = 0;
-    router.Handle(request, [&status](const wire::HttpResponse& response) {
+    router.RouteRequest(request, [&status](const wire::HttpResponse& response) {
       status = response.status;
     });
     return status;
--- a/src/cassiastile/entry/credit_account_test.cpp
+++ b/src/cassiastile/entry/credit_account_test.cpp
@@ -133,19 +133,19 @@
 
 TEST(HolderWatchTest, AbsenceCountsOnlyWhileThisHostIsListed) {
   HolderWatch watch("e1", {});
-  watch.Observe({ListEntry("e2")}, kStart);
-  watch.Observe({}, kStart);
+  watch.ObserveHostList({ListEntry("e2")}, kStart);
+  watch.ObserveHostList({}, kStart);
   const base::TimePoint later = kStart + std::chrono::minutes(11);
   EXPECT_FALSE(watch.IsGone("e2#1", later));
-  watch.Observe({ListEntry("e1")}, later);
+  watch.ObserveHostList({ListEntry("e1")}, later);
   EXPECT_TRUE(watch.IsGone("e2#1", later));
-  watch.Observe({ListEntry("e1"), ListEntry("e2")}, later);
+  watch.ObserveHostList({ListEntry("e1"), ListEntry("e2")}, later);
   EXPECT_FALSE(watch.IsGone("e2#1", later));
 }
 
 TEST(HolderWatchTest, CutOffHostStopsBeforeOthersTakeItsCredits) {
   HolderWatch watch("e1", {});
-  watch.Observe({ListEntry("e1")}, kStart);
+  watch.ObserveHostList({ListEntry("e1")}, kStart);
   EXPECT_FALSE(watch.MayBeForfeited(kStart, kStart + std::chrono::minutes(7)));
   EXPECT_TRUE(watch.MayBeForfeited(kStart, kStart + std::chrono::minutes(8)));
 }
--- a/src/cassiastile/entry/entry_hosts_test.cpp
+++ b/src/cassiastile/entry/entry_hosts_test.cpp
@@ -148,7 +148,7 @@
   for (auto& answer : answers) {
     EXPECT_TRUE(answer.get().has_value());
   }
-  EXPECT_EQ(m_runner->Counts().over_slots, 0U);
+  EXPECT_EQ(m_runner->Counts().starts_over_slots, 0U);
   EXPECT_LE(m_runner->Counts().peak_connections, 64U);
 }
 
--- a/src/cassiastile/entry/entry_service.cpp
+++ b/src/cassiastile/entry/entry_service.cpp
@@ -182,7 +182,7 @@
   claim.holder = m_holder;
   claim.nonce = m_holder + "/" + NewId();
   claim.claimed_at = m_dependencies.clock.WallNow();
-  const std::string row = work::ClaimKey(validated.ticket.team, key);
+  const std::string row = work::ClaimRowKey(validated.ticket.team, key);
   auto on_claim_result = [this, row, claim, gateway,
                           request = std::move(request)](
                              const ClaimResult& result) mutable {
--- a/src/cassiastile/entry/entry_threads.cpp
+++ b/src/cassiastile/entry/entry_threads.cpp
@@ -173,7 +173,7 @@
   const std::lock_guard lock(m_list_mutex);
   m_listed = *listed;
   m_has_list = true;
-  m_watch.Observe(m_listed, now);
+  m_watch.ObserveHostList(m_listed, now);
   for (const auto& [name, shard] : AllShards()) {
     shard->SetRunners(RunnersOf(m_listed, name), now);
   }
--- a/src/cassiastile/entry/holder_watch.cpp
+++ b/src/cassiastile/entry/holder_watch.cpp
@@ -39,8 +39,9 @@
 HolderWatch::HolderWatch(std::string own_name, HolderWatchOptions options)
     : m_own_name(std::move(own_name)), m_options(options) {}
 
-void HolderWatch::Observe(const std::vector<platform::ListedHost>& listed,
-                          base::TimePoint now) {
+void HolderWatch::ObserveHostList(
+    const std::vector<platform::ListedHost>& listed,
+    base::TimePoint now) {
   std::set<std::string> present;
   for (const platform::ListedHost& host : listed) {
     if (host.role != platform::ListedRole::kEntry) {
--- a/src/cassiastile/fleet/audit_appender.cpp
+++ b/src/cassiastile/fleet/audit_appender.cpp
@@ -2,7 +2,7 @@
 
 namespace cassiastile::fleet {
 
-base::Result<AuditAddition> NullAuditAppender::Append(
+base::Result<AuditAddition> NullAuditAppender::PrepareAppend(
     const AuditEntry& /*entry*/) {
   return AuditAddition{};
 }
--- a/src/cassiastile/fleet/change.cpp
+++ b/src/cassiastile/fleet/change.cpp
@@ -140,7 +140,7 @@
       NextHost(context, host, HostState::kDraining, request.detail);
   next.record.reason = request.reason;
   next.record.bound_for = request.bound_for;
-  next.record.stands_in_for = request.stands_in_for;
+  next.record.replaces = request.replaces;
   next.record.wave = request.wave ? request.wave->record.wave : "";
   next.record.wave_run = request.wave ? request.wave->record.run : 0;
   AddWave(change, request, name);
@@ -270,7 +270,7 @@
     }
   }
   Stored<PoolRecord> next_to = NextPool(context, to, name);
-  const auto replaced = next_to.record.out.find(host.record.stands_in_for);
+  const auto replaced = next_to.record.out.find(host.record.replaces);
   if (replaced != next_to.record.out.end()) {
     replaced->second.replaced_by = name;
   }
--- a/src/cassiastile/fleet/fake_fleet.hpp
+++ b/src/cassiastile/fleet/fake_fleet.hpp
@@ -350,7 +350,7 @@
   }
 
   Reconciler MakeReconciler(const std::string& name, std::uint64_t seed) {
-    ReconcilerPorts ports{table, machines, work, &demand, clock, sink};
+    ReconcilerDependencies ports{table, machines, work, &demand, clock, sink};
     return {name, ports, seed, options};
   }
 
--- a/src/cassiastile/fleet/fake_race.hpp
+++ b/src/cassiastile/fleet/fake_race.hpp
@@ -57,7 +57,7 @@
     m_world.table.delay_apply = faults;
   }
 
-  void Take(const Step& step) {
+  void ApplyStep(const Step& step) {
     const std::uint32_t pick = std::get<1>(step);
     const auto event = static_cast<Event>(std::get<0>(step));
     if (!ApplyEdit(event, pick) && !ApplyFault(event, pick)) {
--- a/src/cassiastile/fleet/property_test.cpp
+++ b/src/cassiastile/fleet/property_test.cpp
@@ -28,10 +28,10 @@
   const double faults = 0.1 * *rc::gen::inRange(0, kFaultSteps);
   Race race(seed, faults);
   for (const Step& step : steps) {
-    race.Take(step);
+    race.ApplyStep(step);
     // Rounds between the events let waves and moves start.
-    race.Take({static_cast<int>(Event::kBothRound), 0});
-    race.Take({static_cast<int>(Event::kTimePasses), 3});
+    race.ApplyStep({static_cast<int>(Event::kBothRound), 0});
+    race.ApplyStep({static_cast<int>(Event::kTimePasses), 3});
   }
   RC_ASSERT(race.Table().first_violation == std::string());
   RC_ASSERT(race.Table().budget_violations == 0U);
@@ -45,7 +45,7 @@
       rc::gen::inRange(0, kEvents), rc::gen::inRange<std::uint32_t>(0, 120)));
   Race race(seed, 0.2);
   for (const Step& step : steps) {
-    race.Take(step);
+    race.ApplyStep(step);
   }
   RC_ASSERT(race.Table().first_violation == std::string());
 }
--- a/src/cassiastile/fleet/reconciler.cpp
+++ b/src/cassiastile/fleet/reconciler.cpp
@@ -36,7 +36,7 @@
 }
 
 Reconciler::Reconciler(std::string name,
-                       ReconcilerPorts ports,
+                       ReconcilerDependencies ports,
                        std::uint64_t seed,
                        ReconcilerOptions options)
     : m_name(std::move(name)),
--- a/src/cassiastile/fleet/reconciler_hosts.cpp
+++ b/src/cassiastile/fleet/reconciler_hosts.cpp
@@ -63,8 +63,8 @@
         FindPoolRecord(m_reconciler.m_state, host.bound_for);
     const bool pool_removed =
         FindPool(m_reconciler.m_index, host.bound_for) == nullptr;
-    const bool needless = !host.stands_in_for.empty() &&
-                          !to.record.out.contains(host.stands_in_for);
+    const bool needless =
+        !host.replaces.empty() && !to.record.out.contains(host.replaces);
     if (pool_removed || needless) {
       return (*this)(ReturnToService{"its move is no longer needed"});
     }
--- a/src/cassiastile/fleet/reconciler_moves.cpp
+++ b/src/cassiastile/fleet/reconciler_moves.cpp
@@ -20,7 +20,7 @@
         const HostRecord& host = entry.second.record;
         const DeclaredHost* declared = FindHost(index, entry.first);
         const bool bound = host.pool != pool && host.bound_for == pool &&
-                           host.stands_in_for.empty();
+                           host.replaces.empty();
         return declared != nullptr && declared->pool->spare && bound;
       }));
 }
@@ -72,7 +72,7 @@
   }
   for (const auto& [host, stored] : m_state.hosts) {
     if (stored.record.bound_for == pool.name) {
-      needed.erase(stored.record.stands_in_for);
+      needed.erase(stored.record.replaces);
     }
   }
   return needed;
@@ -110,7 +110,7 @@
     DrainRequest request;
     request.reason = OutReason::kMoving;
     request.bound_for = pool.name;
-    request.stands_in_for = failed;
+    request.replaces = failed;
     request.detail = fmt::format("stands in for {} in {}", failed, pool.name);
     if (!MoveSpareHost(round, request)) {
       return false;
@@ -164,9 +164,8 @@
     const DeclaredHost* declared = FindHost(m_index, host);
     const bool from_spare = declared != nullptr && declared->pool->spare &&
                             stored.state == HostState::kInService;
-    const bool still_replacing = record.out.contains(stored.stands_in_for);
-    const bool replacement_over =
-        !stored.stands_in_for.empty() && !still_replacing;
+    const bool still_replacing = record.out.contains(stored.replaces);
+    const bool replacement_over = !stored.replaces.empty() && !still_replacing;
     if (!from_spare || still_replacing || (!replacement_over && surplus <= 0)) {
       continue;
     }
--- a/src/cassiastile/fleet/records.cpp
+++ b/src/cassiastile/fleet/records.cpp
@@ -69,7 +69,7 @@
   }
   record.wave = json.value("wave", "");
   record.bound_for = json.value("bound_for", "");
-  record.stands_in_for = json.value("stands_in_for", "");
+  record.replaces = json.value("stands_in_for", "");
   record.epoch = json.at("epoch").get<std::uint64_t>();
   record.done_wave = json.value("done_wave", "");
   record.done_run = json.value("done_run", std::uint64_t{0});
@@ -177,7 +177,7 @@
   }
   SetIfNotEmpty(json, "wave", record.wave);
   SetIfNotEmpty(json, "bound_for", record.bound_for);
-  SetIfNotEmpty(json, "stands_in_for", record.stands_in_for);
+  SetIfNotEmpty(json, "stands_in_for", record.replaces);
   SetIfNotEmpty(json, "done_wave", record.done_wave);
   SetIfNotEmpty(json, "detail", record.detail);
   return json.dump();
--- a/src/cassiastile/host/config_watcher.cpp
+++ b/src/cassiastile/host/config_watcher.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-ConfigWatcher::ConfigWatcher(HostPorts& ports,
+ConfigWatcher::ConfigWatcher(HostDependencies& ports,
                              Loop& loop,
                              EventLog& log,
                              Listener listener)
--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-Dispatcher::Dispatcher(HostPorts& ports,
+Dispatcher::Dispatcher(HostDependencies& ports,
                        Loop& loop,
                        EventLog& log,
                        const HostSettings& settings,
--- a/src/cassiastile/host/dispatcher_jobs.cpp
+++ b/src/cassiastile/host/dispatcher_jobs.cpp
@@ -41,7 +41,7 @@
       return;
     case JobVerb::kCount:
       respond({.kind = JobAnswerKind::kOk,
-               .count = m_scheduler.QueuedJobs(request.queue)});
+               .count = m_scheduler.CountQueuedJobs(request.queue)});
       return;
   }
 }
--- a/src/cassiastile/host/host_node.cpp
+++ b/src/cassiastile/host/host_node.cpp
@@ -45,7 +45,7 @@
 
 }  // namespace
 
-HostNode::HostNode(HostPorts ports,
+HostNode::HostNode(HostDependencies ports,
                    PeerPort& peers,
                    Loop& loop,
                    EventLog& log,
@@ -477,8 +477,8 @@
       });
 }
 
-void HostNode::Handle(const wire::HttpRequest& request,
-                      const wire::HttpResponder& respond) {
+void HostNode::ServeCaller(const wire::HttpRequest& request,
+                           const wire::HttpResponder& respond) {
   m_frontend.Serve(request, respond);
 }
 
--- a/src/cassiastile/host/host_node_test.cpp
+++ b/src/cassiastile/host/host_node_test.cpp
@@ -27,7 +27,7 @@
   EXPECT_EQ(world.Answers().at(job), 200);
   world.RunFor(milliseconds(1500));
   EXPECT_EQ(world.StateOf(job), "done");
-  EXPECT_EQ(world.DoneTasks(job), 6U);
+  EXPECT_EQ(world.CountDoneTasks(job), 6U);
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
 
@@ -54,7 +54,7 @@
   ASSERT_TRUE(world.LeaderIndex().has_value());
   world.RunFor(milliseconds(3000));
   EXPECT_EQ(world.StateOf(job), "done");
-  EXPECT_EQ(world.RunningTasks(long_running_job), 3U);
+  EXPECT_EQ(world.CountRuns(long_running_job), 3U);
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
 
@@ -135,13 +135,13 @@
   const std::string refused = world.Submit(0, 1, 1, milliseconds(300));
   world.RunFor(milliseconds(3500));
   EXPECT_EQ(world.Answers().at(refused), 503);
-  EXPECT_EQ(world.RunningTasks(long_running_job), 2U);
+  EXPECT_EQ(world.CountRuns(long_running_job), 2U);
   world.Faults().store_down = false;
   world.RunFor(milliseconds(3000));
   const std::string job = world.Submit(0, 1, 1, milliseconds(300));
   world.RunFor(milliseconds(1000));
   EXPECT_EQ(world.Answers().at(job), 200);
-  EXPECT_EQ(world.RunningTasks(long_running_job), 2U);
+  EXPECT_EQ(world.CountRuns(long_running_job), 2U);
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
 
@@ -227,7 +227,7 @@
   const std::string job = world.Submit(0, 1, 4, milliseconds(2000));
   world.RunFor(milliseconds(300));
   for (const std::string& id : world.WorkerIds()) {
-    if (world.RunningTasks(job) == 4) {
+    if (world.CountRuns(job) == 4) {
       world.CrashWorker(id, milliseconds(8000));
     }
   }
@@ -244,7 +244,7 @@
   world.RequestWave(world.MachineNames(), 2);
   world.RunFor(milliseconds(25000));
   EXPECT_TRUE(world.WaveIsDone(1));
-  EXPECT_EQ(world.RunningTasks(long_running_job), 2U);
+  EXPECT_EQ(world.CountRuns(long_running_job), 2U);
 }
 
 // Random mixes of killed hosts, crashed and silent workers, late orders, and a
@@ -316,7 +316,7 @@
   world.RunFor(milliseconds(30000));
   for (const std::string& job : jobs) {
     if (world.Answers().at(job) == 200) {
-      EXPECT_EQ(world.DoneTasks(job), world.TasksOf(job)) << job;
+      EXPECT_EQ(world.CountDoneTasks(job), world.TasksOf(job)) << job;
       EXPECT_EQ(world.StateOf(job), "done") << job;
     }
   }
--- a/src/cassiastile/host/machine_controller.cpp
+++ b/src/cassiastile/host/machine_controller.cpp
@@ -299,15 +299,15 @@
     machine.begun = wave.begun[name];
     machine.down = tracked.pending == PendingOrder::kMaintain ||
                    tracked.machine.state == MachineState::kMaintenance;
-    machine.busy = tracked.machine.state != MachineState::kUp ||
-                   tracked.pending == PendingOrder::kMove ||
-                   now < tracked.retry_at || !MayOrder(name);
+    machine.unavailable = tracked.machine.state != MachineState::kUp ||
+                          tracked.pending == PendingOrder::kMove ||
+                          now < tracked.retry_at || !MayOrder(name);
     machine.cordoned = tracked.cordoned;
     machine.cordoned_at = tracked.cordoned_at;
     if (const jobs::WorkerState* worker = WorkerOf(tracked)) {
       const std::string& id = worker->entry.id.id;
       if (tracked.cordoned && !machine.begun && !machine.down &&
-          !machine.busy) {
+          !machine.unavailable) {
         m_scheduler.Evacuate(id, now);
       }
       machine.finite_cpu = worker->used.cpu - worker->long_running_used.cpu;
@@ -335,7 +335,7 @@
   const jobs::WavePlan plan = jobs::PlanWave(
       machines,
       {.max_down = std::max(1U, wave.request.max_down),
-       .left = std::chrono::duration_cast<std::chrono::milliseconds>(
+       .time_left = std::chrono::duration_cast<std::chrono::milliseconds>(
            wave.seen_at + wave.request.time_limit - now)},
       now);
   for (const std::string& name : plan.cordon) {
@@ -370,7 +370,8 @@
   tracked.ordered_at = m_loop.GetClock().Now();
   const jobs::WorkerState* worker = WorkerOf(tracked);
   tracked.incarnation = worker == nullptr ? jobs::WorkerId{} : worker->entry.id;
-  m_scheduler.MarkVacated(tracked.incarnation.id, tracked.ordered_at);
+  m_scheduler.CordonAndMarkUnavailable(tracked.incarnation.id,
+                                       tracked.ordered_at);
   const bool first_order = wave.ordered.insert(name).second;
   if (!first_order) {
     RecordOrder(name, {},
@@ -386,7 +387,7 @@
                                      bool first_order) {
   m_machines[name].ordered_at = m_loop.GetClock().Now();
   m_machine_port.Maintain(
-      name, number, {m_options.host, m_fencing_token},
+      name, number, {m_options.leader, m_fencing_token},
       m_lifetime.Guard([this, number, name,
                         first_order](MachineOrderResult result) {
         TrackedMachine& tracked = m_machines[name];
@@ -439,11 +440,11 @@
     demand.long_running_used = load.long_running_used;
     demand.unplaced = load.unplaced;
     demand.used = load.used;
-    demand.arriving = load.arriving_work;
+    demand.arriving_work = load.arriving_work;
     demand.min_machines = load.min_workers;
   }
   for (const jobs::ServiceConfig& service : m_config->services) {
-    pools[service.name].standby = service.standby;
+    pools[service.name].is_spare = service.standby;
   }
   std::vector<jobs::PoolMachine> machines;
   for (auto& [name, tracked] : m_machines) {
@@ -460,7 +461,7 @@
       machine.arriving = true;
       continue;
     }
-    const bool standby = pools[machine.pool].standby;
+    const bool standby = pools[machine.pool].is_spare;
     const bool idle = worker == nullptr ? standby : worker->runs.empty();
     if (!idle || tracked.idle_since == base::TimePoint{}) {
       tracked.idle_since = now;
@@ -517,7 +518,7 @@
 
 void MachineController::SendMove(const jobs::MachineMove& move) {
   m_machine_port.Move(
-      move.machine, move.to, {m_options.host, m_fencing_token},
+      move.machine, move.to, {m_options.leader, m_fencing_token},
       m_lifetime.Guard([this, move](MachineOrderResult result) {
         TrackedMachine& tracked = m_machines[move.machine];
         const base::TimePoint now = m_loop.GetClock().Now();
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -286,7 +286,7 @@
         });
         return;
       }
-      if (!worker->model->Extend(extension, m_world.m_loop.Now())) {
+      if (!worker->model->ExtendLease(extension, m_world.m_loop.Now())) {
         m_world.Post(kCallLatency, [done] {
           done(tl::unexpected(
               WorkerCallFailure{.fenced = true, .message = "fenced"}));
@@ -501,23 +501,24 @@
         workers(world, loop),
         machines(world, loop),
         peers(world, loop),
-        node(HostPorts{.store = store,
-                       .workers = workers,
-                       .machines = machines,
-                       .advice = advice,
-                       .decode_config = DecodeConfigText,
-                       .decode_worker = DecodeEntry,
-                       .decode_job = DecodeSpec,
-                       .decode_wave = DecodeWaveText,
-                       .encode_wave_state =
-                           [](std::uint64_t, bool done) {
-                             return std::string(done ? "done" : "running");
-                           },
-                       .worker_table = kWorkerTable,
-                       .operator_table = kOperatorTable,
-                       .status_table = kStatusTable,
-                       .config_key = "config",
-                       .wave_prefix = "wave/"},
+        node(HostDependencies{.store = store,
+                              .workers = workers,
+                              .machines = machines,
+                              .advice = advice,
+                              .decode_config = DecodeConfigText,
+                              .decode_worker = DecodeEntry,
+                              .decode_job = DecodeSpec,
+                              .decode_wave = DecodeWaveText,
+                              .encode_wave_state =
+                                  [](std::uint64_t, bool done) {
+                                    return std::string(done ? "done"
+                                                            : "running");
+                                  },
+                              .worker_table = kWorkerTable,
+                              .operator_table = kOperatorTable,
+                              .status_table = kStatusTable,
+                              .config_key = "config",
+                              .wave_prefix = "wave/"},
              peers,
              loop,
              log,
@@ -650,8 +651,8 @@
       std::uniform_int_distribution<int>(2000, 12000)(m_random));
 }
 
-void VirtualWorld::Violate(std::string what) {
-  m_checker.Violate(std::move(what));
+void VirtualWorld::AddViolation(std::string what) {
+  m_checker.AddViolation(std::move(what));
 }
 
 TransactionReply VirtualWorld::Apply(const RowTransaction& transaction) {
@@ -715,7 +716,7 @@
 
 void VirtualWorld::TerminateWorker(Worker& worker) {
   worker.alive = false;
-  worker.model->Die();
+  worker.model->Crash();
   RowTransaction transaction;
   transaction.deletes.push_back({kWorkerTable, "", worker.id, "", 0, false});
   constexpr milliseconds kEntryExpiry{4500};
@@ -729,7 +730,7 @@
   worker.model->Advance(m_loop.Now());
   const jobs::JobSpec* spec = m_checker.SpecOf(order.task.job);
   if (spec == nullptr) {
-    Violate("a task of an unknown job was started: " + order.task.job);
+    AddViolation("a task of an unknown job was started: " + order.task.job);
     return jobs::StartResult::kRejected;
   }
   const auto result = worker.model->Start(order, spec->steps[order.task.step],
@@ -792,11 +793,12 @@
   if (!live.empty()) {
     const std::size_t pick = std::uniform_int_distribution<std::size_t>(
         0, live.size() - 1)(m_random);
-    live[pick]->node.Handle(MakeRequest("POST", job),
-                            [this, job](const wire::HttpResponse& response) {
-                              m_answers[job] = response.status;
-                              RecordAnswer(job, response.status);
-                            });
+    live[pick]->node.ServeCaller(
+        MakeRequest("POST", job),
+        [this, job](const wire::HttpResponse& response) {
+          m_answers[job] = response.status;
+          RecordAnswer(job, response.status);
+        });
   }
   return job;
 }
@@ -835,11 +837,11 @@
   auto text = std::make_shared<std::string>();
   for (const auto& host : m_hosts) {
     if (host) {
-      host->node.Handle(request,
-                        [status, text](const wire::HttpResponse& response) {
-                          *status = response.status;
-                          *text = response.body;
-                        });
+      host->node.ServeCaller(
+          request, [status, text](const wire::HttpResponse& response) {
+            *status = response.status;
+            *text = response.body;
+          });
       break;
     }
   }
@@ -961,12 +963,12 @@
   return names;
 }
 
-std::size_t VirtualWorld::DoneTasks(const std::string& job) const {
-  return m_checker.DoneTasks(job);
+std::size_t VirtualWorld::CountDoneTasks(const std::string& job) const {
+  return m_checker.CountDoneTasks(job);
 }
 
-std::size_t VirtualWorld::RunningTasks(const std::string& job) const {
-  return m_checker.RunningTasks(job);
+std::size_t VirtualWorld::CountRuns(const std::string& job) const {
+  return m_checker.CountRuns(job);
 }
 
 bool VirtualWorld::WaveIsDone(std::uint64_t wave) const {
--- a/src/cassiastile/host/virtual_world_bench.hpp
+++ b/src/cassiastile/host/virtual_world_bench.hpp
@@ -117,8 +117,8 @@
   }
   // HTTP status of each job's first submission; 0 while it has no answer.
   const std::map<std::string, int>& Answers() const { return m_answers; }
-  std::size_t DoneTasks(const std::string& job) const;
-  std::size_t RunningTasks(const std::string& job) const;
+  std::size_t CountDoneTasks(const std::string& job) const;
+  std::size_t CountRuns(const std::string& job) const;
   std::string StateOf(const std::string& job);
   bool WaveIsDone(std::uint64_t wave) const;
   std::uint64_t ConfigVersionOf(std::size_t host) const;
@@ -164,7 +164,7 @@
   void AnswerPolls(Worker& worker);
   void RecordAnswer(const std::string& job, int status);
   std::chrono::milliseconds StoreClock() const;
-  void Violate(std::string what);
+  void AddViolation(std::string what);
   wire::HttpRequest MakeRequest(const std::string& method,
                                 const std::string& job) const;
   std::string MakeJobId();
--- a/src/cassiastile/jobs/duration_model.cpp
+++ b/src/cassiastile/jobs/duration_model.cpp
@@ -111,7 +111,7 @@
                                const JobSpec& spec) const {
   Work work;
   for (const StepSpec& step : spec.steps) {
-    if (!step.long_running && !step.fills) {
+    if (!step.long_running && !step.is_filler) {
       work += WorkOf(step, Expect(queue, step.estimate),
                      static_cast<double>(step.count));
     }
--- a/src/cassiastile/jobs/job.cpp
+++ b/src/cassiastile/jobs/job.cpp
@@ -32,15 +32,15 @@
   return {ref.job->id, ref.occurrence, ref.step, ref.index};
 }
 
-std::string StepName(const std::string& job,
-                     std::uint32_t occurrence,
-                     std::uint32_t step) {
+std::string StepKey(const std::string& job,
+                    std::uint32_t occurrence,
+                    std::uint32_t step) {
   return job + "." + std::to_string(occurrence) + "." + std::to_string(step);
 }
 
 Resources CapacityNeed(const StepSpec& step) {
   Resources need = step.need;
-  if (step.fills) {
+  if (step.is_filler) {
     need.cpu = 0;
   }
   return need;
--- a/src/cassiastile/jobs/job_codec.cpp
+++ b/src/cassiastile/jobs/job_codec.cpp
@@ -30,7 +30,7 @@
 template <typename Archive>
 void Visit(Archive& archive, StepSpec& step) {
   archive(step.count, step.after, step.checkpointing, step.gang,
-          step.single_rack, step.speculative, step.long_running, step.fills,
+          step.single_rack, step.speculative, step.long_running, step.is_filler,
           step.required_label, step.data_rack, step.max_per_worker,
           step.max_unavailable, step.image);
   Visit(archive, step.need);
--- a/src/cassiastile/jobs/pool_plan.cpp
+++ b/src/cassiastile/jobs/pool_plan.cpp
@@ -31,7 +31,7 @@
 
   std::vector<MachineMove> Plan() {
     for (const auto& [pool, demand] : m_pools) {
-      if (!demand.standby) {
+      if (!demand.is_spare) {
         FillPool(pool);
       }
     }
@@ -42,12 +42,12 @@
  private:
   bool IsSparePool(const std::string& pool) const {
     const auto found = m_pools.find(pool);
-    return found != m_pools.end() && found->second.standby;
+    return found != m_pools.end() && found->second.is_spare;
   }
 
   std::size_t MinMachines(const std::string& pool) const {
     const auto found = m_pools.find(pool);
-    return found == m_pools.end() || found->second.standby
+    return found == m_pools.end() || found->second.is_spare
                ? 0
                : std::max(m_options.min_machines, found->second.min_machines);
   }
@@ -67,15 +67,15 @@
   const PoolMachine* FindDonor(const std::string& pool) {
     const PoolMachine* best = nullptr;
     for (const PoolMachine& machine : m_machines) {
-      const bool standby = IsSparePool(machine.pool);
-      const bool idle = standby || m_now - machine.idle_since >=
-                                       m_options.idle_before_lending;
+      const bool is_spare = IsSparePool(machine.pool);
+      const bool idle = is_spare || m_now - machine.idle_since >=
+                                        m_options.idle_before_lending;
       if (!machine.movable || machine.pool == pool || !idle ||
           m_moved.contains(machine.name) || !IsSurplus(machine)) {
         continue;
       }
       // A machine that is already running costs no more in its new pool.
-      if (best == nullptr || (IsSparePool(best->pool) && !standby)) {
+      if (best == nullptr || (IsSparePool(best->pool) && !is_spare)) {
         best = &machine;
       }
     }
@@ -106,7 +106,7 @@
   // Moves surplus machines that stay idle to the spare pool.
   void ReleaseIdle() {
     const auto spare = std::ranges::find_if(
-        m_pools, [](const auto& row) { return row.second.standby; });
+        m_pools, [](const auto& row) { return row.second.is_spare; });
     if (spare == m_pools.end()) {
       return;
     }
@@ -145,10 +145,10 @@
   };
   const Resources running = demand.used - demand.long_running_used;
   Resources wanted = demand.long_running_used;
-  wanted.cpu += need(demand.arriving.cpu * kMillicoresPerCore, running.cpu,
+  wanted.cpu += need(demand.arriving_work.cpu * kMillicoresPerCore, running.cpu,
                      demand.unplaced.cpu);
   wanted.memory +=
-      need(demand.arriving.memory, running.memory, demand.unplaced.memory);
+      need(demand.arriving_work.memory, running.memory, demand.unplaced.memory);
   wanted.gpus += running.gpus + demand.unplaced.gpus;
   return wanted;
 }
--- a/src/cassiastile/jobs/pool_plan_test.cpp
+++ b/src/cassiastile/jobs/pool_plan_test.cpp
@@ -32,12 +32,12 @@
 
   base::TimePoint m_now{std::chrono::hours(1)};
   std::vector<PoolMachine> m_machines;
-  std::map<std::string, PoolDemand> m_pools{{"spare", {.standby = true}}};
+  std::map<std::string, PoolDemand> m_pools{{"spare", {.is_spare = true}}};
 };
 
 // Work for 100 cores arrives at a pool of two machines with 16 cores each.
 TEST_F(PoolPlanTest, RisingLoadFetchesAllMachinesAtOnce) {
-  m_pools["busy"].arriving = {.cpu = 100, .memory = 0};
+  m_pools["busy"].arriving_work = {.cpu = 100, .memory = 0};
   Add("busy", 2, milliseconds(0));
   Add("spare", 10, milliseconds(60000));
   // 120 cores with headroom are eight machines.
@@ -45,7 +45,7 @@
 }
 
 TEST_F(PoolPlanTest, ArrivingMachinesCountAsCapacity) {
-  m_pools["busy"].arriving = {.cpu = 100, .memory = 0};
+  m_pools["busy"].arriving_work = {.cpu = 100, .memory = 0};
   Add("busy", 8, milliseconds(0));
   for (PoolMachine& machine : m_machines) {
     machine.movable = false;
@@ -56,7 +56,7 @@
 }
 
 TEST_F(PoolPlanTest, IdlePoolGivesMachinesBeforeTheSparePool) {
-  m_pools["busy"].arriving = {.cpu = 40, .memory = 0};
+  m_pools["busy"].arriving_work = {.cpu = 40, .memory = 0};
   m_pools["idle"] = {};
   Add("busy", 2, milliseconds(0));
   Add("idle", 5, milliseconds(500));
--- a/src/cassiastile/jobs/scheduler.cpp
+++ b/src/cassiastile/jobs/scheduler.cpp
@@ -39,7 +39,7 @@
   for (const Occurrence& occurrence : job.occurrences) {
     for (std::size_t i = 0; i < occurrence.steps.size(); ++i) {
       const StepSpec& step = job.spec.steps[i];
-      if (step.long_running || step.fills) {
+      if (step.long_running || step.is_filler) {
         continue;
       }
       double left = 0;
@@ -91,7 +91,7 @@
   used += CapacityNeed(step);
   if (step.long_running) {
     long_running_used += CapacityNeed(step);
-    long_running_runs += step.fills ? 0 : 1;
+    long_running_runs += step.is_filler ? 0 : 1;
   }
 }
 
@@ -99,7 +99,7 @@
   used -= CapacityNeed(step);
   if (step.long_running) {
     long_running_used -= CapacityNeed(step);
-    long_running_runs -= step.fills ? 0 : 1;
+    long_running_runs -= step.is_filler ? 0 : 1;
   }
 }
 
@@ -313,7 +313,7 @@
   return found == m_jobs.end() ? nullptr : found->second.get();
 }
 
-std::size_t Scheduler::QueuedJobs(const std::string& queue) const {
+std::size_t Scheduler::CountQueuedJobs(const std::string& queue) const {
   std::size_t count = 0;
   for (const auto& [id, job] : m_unfinished) {
     count += job->queue == queue && job->accepted && !job->started ? 1 : 0;
@@ -468,7 +468,7 @@
     m_orders.starts.push_back({run->worker, IdOf(ref), number,
                                ref.job->spec.payload, run->checkpoint, ""});
     const auto advice =
-        m_advice.find(StepName(ref.job->id, ref.occurrence, ref.step));
+        m_advice.find(StepKey(ref.job->id, ref.occurrence, ref.step));
     if (advice != m_advice.end()) {
       const auto ticket = advice->second.ticket_of_worker.find(run->worker.id);
       if (ticket != advice->second.ticket_of_worker.end()) {
--- a/src/cassiastile/jobs/scheduler_place.cpp
+++ b/src/cassiastile/jobs/scheduler_place.cpp
@@ -211,7 +211,7 @@
     const std::vector<WorkerState*>& workers,
     base::TimePoint now) {
   const QueueConfig* queue = QueueOf(job);
-  const std::string key = StepName(job.id, occurrence.number, step);
+  const std::string key = StepKey(job.id, occurrence.number, step);
   Advice& advice = m_advice[key];
   constexpr std::chrono::milliseconds kRetryAfter{2000};
   const bool valid = now < advice.valid_until;
@@ -239,7 +239,7 @@
     std::chrono::milliseconds validity,
     base::TimePoint now) {
   Advice& advice =
-      m_advice[StepName(request.job, request.occurrence, request.step)];
+      m_advice[StepKey(request.job, request.occurrence, request.step)];
   // Subtracted, so that tickets are still valid when the order arrives.
   constexpr std::chrono::milliseconds kMargin{300};
   advice.valid_until = now + std::max(validity - kMargin, kMargin);
--- a/src/cassiastile/jobs/scheduler_runs.cpp
+++ b/src/cassiastile/jobs/scheduler_runs.cpp
@@ -391,7 +391,7 @@
       }
       return;
     case StartResult::kNoTicket:
-      m_advice.erase(StepName(task.job, task.occurrence, task.step));
+      m_advice.erase(StepKey(task.job, task.occurrence, task.step));
       DropRun(*ref, number, now);
       return;
     case StartResult::kBusy:
--- a/src/cassiastile/jobs/scheduler_supervision.cpp
+++ b/src/cassiastile/jobs/scheduler_supervision.cpp
@@ -54,7 +54,7 @@
                              Run& run,
                              base::TimePoint now) {
   const StepSpec& spec = SpecOf(ref);
-  if (run.phase != RunPhase::kRunning || spec.long_running || spec.fills ||
+  if (run.phase != RunPhase::kRunning || spec.long_running || spec.is_filler ||
       spec.gang || run.percent < 0) {
     return;
   }
@@ -107,7 +107,7 @@
   for (const auto& [ref, number] : worker.runs) {
     const StepSpec& spec = SpecOf(ref);
     Run* run = FindRun(ref, number);
-    if (run == nullptr || !spec.fills || run->phase != RunPhase::kRunning) {
+    if (run == nullptr || !spec.is_filler || run->phase != RunPhase::kRunning) {
       continue;
     }
     int wanted = run->paced_percent;
@@ -130,7 +130,8 @@
   }
 }
 
-void Scheduler::MarkVacated(const std::string& id, base::TimePoint now) {
+void Scheduler::CordonAndMarkUnavailable(const std::string& id,
+                                         base::TimePoint now) {
   WorkerState* worker = FindWorker(id);
   if (worker == nullptr) {
     return;
--- a/src/cassiastile/jobs/scheduler_test.cpp
+++ b/src/cassiastile/jobs/scheduler_test.cpp
@@ -269,7 +269,7 @@
   bench.Report("a", bench.Listing("a"));
   bench.Report("b", bench.Listing("b"));
   EXPECT_TRUE(bench.GetScheduler().CanDrainMachine("machine-a"));
-  bench.GetScheduler().MarkVacated("a", bench.Now());
+  bench.GetScheduler().CordonAndMarkUnavailable("a", bench.Now());
   EXPECT_FALSE(bench.GetScheduler().CanDrainMachine("machine-b"));
 }
 
--- a/src/cassiastile/jobs/wave_plan.cpp
+++ b/src/cassiastile/jobs/wave_plan.cpp
@@ -15,7 +15,7 @@
   for (const WaveMachine& machine : machines) {
     if (machine.down) {
       ++down_count;
-    } else if (!machine.begun && !machine.busy) {
+    } else if (!machine.begun && !machine.unavailable) {
       (machine.cordoned ? being_drained : others).push_back(&machine);
     }
   }
@@ -31,7 +31,8 @@
   // have to wait for tasks that may not be unavailable together.
   const auto rounds =
       (being_drained.size() + others.size()) / limits.max_down + 1;
-  const bool short_of_time = limits.left < 2 * limits.each * rounds;
+  const bool short_of_time =
+      limits.time_left < 2 * limits.time_per_machine * rounds;
   std::size_t planned =
       down_count + being_drained.size() - plan.maintain.size();
   // Idle ones first: draining long-running tasks off a machine takes a while.
--- a/src/cassiastile/jobs/wave_plan_test.cpp
+++ b/src/cassiastile/jobs/wave_plan_test.cpp
@@ -67,7 +67,7 @@
   needed.needed = true;
   WaveLimits limits{.max_down = 1, .left = milliseconds(60000)};
   EXPECT_THAT(PlanWave({needed}, limits, kNow).cordon, IsEmpty());
-  limits.left = milliseconds(5000);
+  limits.time_left = milliseconds(5000);
   EXPECT_THAT(PlanWave({needed}, limits, kNow).cordon, SizeIs(1));
 }
 
--- a/src/cassiastile/member/config_store.cpp
+++ b/src/cassiastile/member/config_store.cpp
@@ -170,7 +170,7 @@
     }
   }
   candidate.outcome.change =
-      config::CompareFleets(fleet_before, candidate.fleet, edit.use);
+      config::CompareFleets(fleet_before, candidate.fleet, edit.team_usage);
   candidate.outcome.diff =
       config::UnifiedDiff(candidate.before, candidate.after,
                           VersionLabel(head->head.version), "edit");
--- a/src/cassiastile/member/config_store_test.cpp
+++ b/src/cassiastile/member/config_store_test.cpp
@@ -38,7 +38,7 @@
   void Announce(const ConfigHead& head, base::TimePoint) override {
     announced = head;
   }
-  Wait WaitUntilInForce(std::uint64_t) override { return {}; }
+  InForceResult WaitUntilInForce(std::uint64_t) override { return {}; }
 
   bool has_majority = true;
   int aborted = 0;
--- a/src/cassiastile/member/member.cpp
+++ b/src/cassiastile/member/member.cpp
@@ -188,10 +188,10 @@
         "No majority of the members promised in time; nothing was accepted.");
   }
 
-  Wait WaitUntilInForce(std::uint64_t version) {
+  InForceResult WaitUntilInForce(std::uint64_t version) {
     const base::TimePoint end =
         m_clock.Now() + m_options.times.freshness + kExpiryMargin;
-    Wait wait;
+    InForceResult wait;
     while (true) {
       wait.missing = WithMembership([&](Membership& membership) {
         return membership.MembersWithoutVersion(version);
@@ -469,7 +469,7 @@
   });
 }
 
-EditQuorum::Wait Member::WaitUntilInForce(std::uint64_t version) {
+EditQuorum::InForceResult Member::WaitUntilInForce(std::uint64_t version) {
   return m_impl->WaitUntilInForce(version);
 }
 
@@ -492,9 +492,9 @@
   return owners;
 }
 
-void Member::SetShards(std::uint16_t shards) {
+void Member::SetShardCount(std::uint16_t shards) {
   m_impl->WithMembership([&](Membership& membership) {
-    membership.SetShards(shards);
+    membership.SetShardCount(shards);
     return true;
   });
 }
--- a/src/cassiastile/member/membership.cpp
+++ b/src/cassiastile/member/membership.cpp
@@ -96,7 +96,7 @@
   m_options.seeds = std::move(seeds);
 }
 
-void Membership::SetShards(std::uint16_t shards) {
+void Membership::SetShardCount(std::uint16_t shards) {
   m_options.self.shards = shards;
 }
 
--- a/src/cassiastile/member/shard_lease.cpp
+++ b/src/cassiastile/member/shard_lease.cpp
@@ -165,9 +165,10 @@
     return false;
   }
   const base::Duration watched = now - shard.unchanged_since;
-  const base::Duration wait = shard.rows.owner.empty()
-                                  ? base::Duration::zero()
-                                  : m_options.lease + m_options.clock_margin;
+  const base::Duration wait =
+      shard.rows.owner.empty()
+          ? base::Duration::zero()
+          : m_options.lease_duration + m_options.clock_margin;
   return watched >= wait + RankDelay(shard);
 }
 
@@ -299,7 +300,7 @@
   const auto found = m_shards.find(shard);
   if (found == m_shards.end() || !IsOwnedBySelf(found->second) ||
       !found->second.renewed_at ||
-      now - *found->second.renewed_at >= m_options.lease) {
+      now - *found->second.renewed_at >= m_options.lease_duration) {
     return std::nullopt;
   }
   const LeaseRows& rows = found->second.rows;
--- a/src/cassiastile/member/shard_lease_test.cpp
+++ b/src/cassiastile/member/shard_lease_test.cpp
@@ -99,7 +99,7 @@
 
 TEST_F(ShardLeaseTest, DeadOwnersShardsAreTakenOverWithinLeasePlusOneSecond) {
   m_paused.insert("a#1");
-  Run(ShardLeaseOptions{}.lease + seconds(1));
+  Run(ShardLeaseOptions{}.lease_duration + seconds(1));
   EXPECT_EQ(CountOwnedBy("a#1"), 0U);
   EXPECT_EQ(Owners().size(), 25U);
 }
--- a/src/cassiastile/operator/documents.cpp
+++ b/src/cassiastile/operator/documents.cpp
@@ -35,10 +35,10 @@
 
 SectionPosition LocateSection(const std::string& document,
                               const SectionEdit& edit) {
-  SectionPosition place;
+  SectionPosition position;
   const auto parsed = config::ParsePositionedJson(document, "document");
   if (!parsed) {
-    return place;
+    return position;
   }
   const base::TextPosition start =
       config::FindTextPosition(*parsed, config::NameOf(edit.section));
@@ -46,13 +46,14 @@
       std::min(edit.text.find_first_not_of(" \t\r\n"), edit.text.size());
   const std::size_t last = edit.text.find_last_not_of(" \t\r\n");
   const std::string_view lead = std::string_view(edit.text).substr(0, first);
-  place.line = start.line;
-  place.column = start.column;
-  place.last_line = start.line + CountLines(std::string_view(edit.text).substr(
-                                     first, last + 1 - first));
-  place.line_in_file = 1 + CountLines(lead);
-  place.column_in_file = first - (lead.rfind('\n') + 1) + 1;
-  return place;
+  position.line = start.line;
+  position.column = start.column;
+  position.last_line =
+      start.line +
+      CountLines(std::string_view(edit.text).substr(first, last + 1 - first));
+  position.line_in_file = 1 + CountLines(lead);
+  position.column_in_file = first - (lead.rfind('\n') + 1) + 1;
+  return position;
 }
 
 // Maps the position of a finding inside the section from the document to the
@@ -60,20 +61,20 @@
 void Relocate(base::Finding& finding,
               const SectionPosition& section,
               const SectionEdit& edit) {
-  base::TextPosition& place = finding.place;
+  base::TextPosition& position = finding.position;
   const bool before =
-      place.line < section.line ||
-      (place.line == section.line && place.column < section.column);
-  if (before || place.line > section.last_line) {
+      position.line < section.line ||
+      (position.line == section.line && position.column < section.column);
+  if (before || position.line > section.last_line) {
     return;
   }
-  if (place.line == section.line) {
-    place.column += section.column_in_file;
-    place.column -= section.column;
+  if (position.line == section.line) {
+    position.column += section.column_in_file;
+    position.column -= section.column;
   }
-  place.line += section.line_in_file;
-  place.line -= section.line;
-  place.file = edit.file;
+  position.line += section.line_in_file;
+  position.line -= section.line;
+  position.file = edit.file;
 }
 
 std::string FormatChange(const nlohmann::json& body) {
@@ -160,9 +161,9 @@
     return {};
   }
   base::Findings findings = fleet.error();
-  const SectionPosition place = LocateSection(*text, edit);
+  const SectionPosition position = LocateSection(*text, edit);
   for (base::Finding& finding : findings) {
-    Relocate(finding, place, edit);
+    Relocate(finding, position, edit);
   }
   return findings;
 }
--- a/src/cassiastile/operator/report.cpp
+++ b/src/cassiastile/operator/report.cpp
@@ -149,9 +149,9 @@
 nlohmann::json FindingsToJson(const base::Findings& findings) {
   nlohmann::json rows = nlohmann::json::array();
   for (const base::Finding& finding : findings) {
-    rows.push_back({{"file", finding.place.file},
-                    {"line", finding.place.line},
-                    {"column", finding.place.column},
+    rows.push_back({{"file", finding.position.file},
+                    {"line", finding.position.line},
+                    {"column", finding.position.column},
                     {"path", finding.path},
                     {"message", finding.message}});
   }
--- a/src/cassiastile/platform/decision_log_test.cpp
+++ b/src/cassiastile/platform/decision_log_test.cpp
@@ -28,7 +28,7 @@
 }
 
 TEST(DecisionLogTest, StoredDecisionOutlivesItsProcess) {
-  MemoryObjects objects;
+  MemoryObjectStore objects;
   auto log = MakeLog(objects);
   for (int i = 0; i < 10; ++i) {
     log->Record(MakeDecision(i));
@@ -44,7 +44,7 @@
 }
 
 TEST(DecisionLogTest, OutageKeepsDecisionsAndReportsDroppedOnes) {
-  MemoryObjects objects;
+  MemoryObjectStore objects;
   const auto log = MakeLog(objects, 5);
   objects.SetDown(true);
   log->Record(MakeDecision(0));
--- a/src/cassiastile/platform/http_platform.cpp
+++ b/src/cassiastile/platform/http_platform.cpp
@@ -164,16 +164,16 @@
       });
 }
 
-HttpObjects::HttpObjects(HttpPlatformOptions options)
+HttpObjectStore::HttpObjectStore(HttpPlatformOptions options)
     : m_options(std::move(options)) {}
 
-base::Result<void> HttpObjects::Put(const std::string& name,
-                                    const std::string& content) {
+base::Result<void> HttpObjectStore::Put(const std::string& name,
+                                        const std::string& content) {
   return CheckAnswered(CallPlatform(m_options, CallEffect::kWrites, "PUT",
                                     "/v1/objects/" + name, content));
 }
 
-base::Result<std::string> HttpObjects::Get(const std::string& name) {
+base::Result<std::string> HttpObjectStore::Get(const std::string& name) {
   auto answer =
       CallPlatform(m_options, CallEffect::kReads, "GET", "/v1/objects/" + name);
   if (!answer) {
@@ -182,7 +182,7 @@
   return std::move(answer->body);
 }
 
-base::Result<std::vector<std::string>> HttpObjects::List(
+base::Result<std::vector<std::string>> HttpObjectStore::List(
     const std::string& prefix) {
   const auto answer =
       CallPlatform(m_options, CallEffect::kReads, "GET",
--- a/src/cassiastile/platform/memory_platform.cpp
+++ b/src/cassiastile/platform/memory_platform.cpp
@@ -161,8 +161,8 @@
   }
 }
 
-base::Result<void> MemoryObjects::Put(const std::string& name,
-                                      const std::string& content) {
+base::Result<void> MemoryObjectStore::Put(const std::string& name,
+                                          const std::string& content) {
   const std::lock_guard lock(m_mutex);
   if (m_down) {
     return Unavailable();
@@ -171,7 +171,7 @@
   return {};
 }
 
-base::Result<std::string> MemoryObjects::Get(const std::string& name) {
+base::Result<std::string> MemoryObjectStore::Get(const std::string& name) {
   const std::lock_guard lock(m_mutex);
   if (m_down) {
     return Unavailable();
@@ -183,7 +183,7 @@
   return found->second;
 }
 
-base::Result<std::vector<std::string>> MemoryObjects::List(
+base::Result<std::vector<std::string>> MemoryObjectStore::List(
     const std::string& prefix) {
   const std::lock_guard lock(m_mutex);
   if (m_down) {
@@ -197,7 +197,7 @@
   return names;
 }
 
-void MemoryObjects::SetDown(bool down) {
+void MemoryObjectStore::SetDown(bool down) {
   const std::lock_guard lock(m_mutex);
   m_down = down;
 }
--- a/src/cassiastile/sim/invariant_checker.cpp
+++ b/src/cassiastile/sim/invariant_checker.cpp
@@ -42,13 +42,13 @@
     tasks += step.count;
   }
   if (phase == jobs::JobPhase::kDone && state.done.size() < tasks) {
-    Violate(fmt::format("job {} is said to be done with {} of {} tasks", job,
-                        state.done.size(), tasks));
+    AddViolation(fmt::format("job {} is said to be done with {} of {} tasks",
+                             job, state.done.size(), tasks));
   }
   if (phase == jobs::JobPhase::kFailed ||
       (phase == jobs::JobPhase::kCancelled && state.accepted)) {
-    Violate(fmt::format("job {} is said to be {}", job,
-                        base::FindName(jobs::kJobPhaseNames, phase)));
+    AddViolation(fmt::format("job {} is said to be {}", job,
+                             base::FindName(jobs::kJobPhaseNames, phase)));
   }
 }
 
@@ -73,29 +73,29 @@
   const auto found = m_job_states.find(task.job);
   if (found == m_job_states.end() ||
       found->second.spec.payload != order.payload) {
-    Violate(fmt::format("task {} was never submitted", FormatTask(task)));
+    AddViolation(fmt::format("task {} was never submitted", FormatTask(task)));
     return;
   }
   JobState& state = found->second;
   if (state.refused) {
-    Violate(fmt::format("task {} runs though its job was refused",
-                        FormatTask(task)));
+    AddViolation(fmt::format("task {} runs though its job was refused",
+                             FormatTask(task)));
   }
   for (const std::uint32_t before : state.spec.steps[task.step].after) {
     if (!IsStepDone(state, task, before)) {
-      Violate(fmt::format("task {} runs before step {} is done",
-                          FormatTask(task), before));
+      AddViolation(fmt::format("task {} runs before step {} is done",
+                               FormatTask(task), before));
     }
   }
   std::vector<std::string>& running = state.running[task];
   if (!running.empty()) {
-    Violate(fmt::format("task {} runs twice: on {} and {}", FormatTask(task),
-                        running.front(), worker.id));
+    AddViolation(fmt::format("task {} runs twice: on {} and {}",
+                             FormatTask(task), running.front(), worker.id));
   }
   running.push_back(worker.id);
   if (m_acknowledged.contains(task)) {
-    Violate(fmt::format("task {} started after its end was acknowledged",
-                        FormatTask(task)));
+    AddViolation(fmt::format("task {} started after its end was acknowledged",
+                             FormatTask(task)));
   }
 }
 
@@ -117,12 +117,12 @@
   m_acknowledged.insert(task);
 }
 
-std::size_t InvariantChecker::DoneTasks(const std::string& job) const {
+std::size_t InvariantChecker::CountDoneTasks(const std::string& job) const {
   const auto found = m_job_states.find(job);
   return found == m_job_states.end() ? 0 : found->second.done.size();
 }
 
-std::size_t InvariantChecker::RunningTasks(const std::string& job) const {
+std::size_t InvariantChecker::CountRuns(const std::string& job) const {
   const auto found = m_job_states.find(job);
   if (found == m_job_states.end()) {
     return 0;
--- a/src/cassiastile/sim/worker_model.cpp
+++ b/src/cassiastile/sim/worker_model.cpp
@@ -75,8 +75,8 @@
   return true;
 }
 
-bool WorkerModel::Extend(const host::LeaseExtension& extension,
-                         base::TimePoint now) {
+bool WorkerModel::ExtendLease(const host::LeaseExtension& extension,
+                              base::TimePoint now) {
   if (extension.fence < m_fence) {
     return false;
   }
@@ -147,7 +147,7 @@
   return next;
 }
 
-void WorkerModel::Die() {
+void WorkerModel::Crash() {
   for (const auto& [task, run] : std::exchange(m_running, {})) {
     m_observer.RunEnded(m_entry.id, task, run.number,
                         jobs::RunEnd::kLeaseExpired);
--- a/src/cassiastile/soak/callers.cpp
+++ b/src/cassiastile/soak/callers.cpp
@@ -141,7 +141,7 @@
   const bool cut = !outcome && !outcome.error().timed_out &&
                    outcome.error().state == wire::SendState::kMaybeSent;
   if (cut && m_fleet.HasOnlyPlannedStops(host)) {
-    m_fleet.Checker().Violate(
+    m_fleet.Checker().AddViolation(
         fmt::format("host-{} cut off a request during a planned stop: {}", host,
                     outcome.error().message));
   }
@@ -169,8 +169,8 @@
   const bool never_sent =
       !outcome && outcome.error().state == wire::SendState::kNotSent;
   if (outcome && !refused && outcome->status < 500) {
-    m_fleet.Checker().Violate(fmt::format("host-{} answered {} to a valid job",
-                                          host, outcome->status));
+    m_fleet.Checker().AddViolation(fmt::format(
+        "host-{} answered {} to a valid job", host, outcome->status));
   }
   job.may_have_arrived = job.may_have_arrived || !(refused || never_sent);
   if (refused && !job.may_have_arrived) {
@@ -233,13 +233,14 @@
         job.no_such_job_answers = gone ? job.no_such_job_answers + 1 : 0;
         if (job.no_such_job_answers == kMaxNoSuchJobAnswers &&
             m_loop.GetClock().Now() - job.accepted_at > kVisibilityDelay) {
-          m_fleet.Checker().Violate("accepted job " + id + " is not known");
+          m_fleet.Checker().AddViolation("accepted job " + id +
+                                         " is not known");
         }
         if (outcome && outcome->status == kOk &&
             job.known_state == KnownState::kAccepted) {
           const auto phase = adapter::DecodeJobState(outcome->body);
           if (!phase) {
-            m_fleet.Checker().Violate(phase.error().message);
+            m_fleet.Checker().AddViolation(phase.error().message);
           } else {
             m_fleet.Checker().PhaseReported(id, *phase);
             if (*phase == jobs::JobPhase::kDone) {
@@ -259,10 +260,10 @@
       case KnownState::kDone:
         return true;
       case KnownState::kCancelled:
-        return m_fleet.Checker().RunningTasks(job.id) == 0;
+        return m_fleet.Checker().CountRuns(job.id) == 0;
       case KnownState::kAccepted:
         return job.is_long_running &&
-               m_fleet.Checker().RunningTasks(job.id) ==
+               m_fleet.Checker().CountRuns(job.id) ==
                    m_fleet.Checker().SpecOf(job.id)->steps[0].count;
       default:
         return false;
@@ -273,22 +274,23 @@
 void Callers::CheckOutcomes() {
   for (const auto& [id, job] : m_jobs) {
     sim::InvariantChecker& checker = m_fleet.Checker();
-    const std::size_t running = checker.RunningTasks(id);
+    const std::size_t running = checker.CountRuns(id);
     if (job.known_state == KnownState::kCancelled && running > 0) {
-      checker.Violate(
+      checker.AddViolation(
           fmt::format("{} tasks of cancelled job {} still run", running, id));
     } else if (job.known_state == KnownState::kAccepted &&
                !job.is_long_running) {
-      checker.Violate(fmt::format("accepted job {} is not done: {} tasks are",
-                                  id, checker.DoneTasks(id)));
+      checker.AddViolation(
+          fmt::format("accepted job {} is not done: {} tasks are", id,
+                      checker.CountDoneTasks(id)));
     } else if (job.known_state == KnownState::kAccepted &&
                running != checker.SpecOf(id)->steps[0].count) {
-      checker.Violate(
+      checker.AddViolation(
           fmt::format("of long-running job {} only {} tasks run", id, running));
     } else if (job.known_state == KnownState::kUnknown ||
                job.known_state == KnownState::kCancelling) {
-      checker.Violate(fmt::format("job {} got no final answer in {} attempts",
-                                  id, job.attempts));
+      checker.AddViolation(fmt::format(
+          "job {} got no final answer in {} attempts", id, job.attempts));
     }
   }
 }
--- a/src/cassiastile/soak/fault_plan.cpp
+++ b/src/cassiastile/soak/fault_plan.cpp
@@ -86,14 +86,14 @@
   FaultPlan plan;
   constexpr int kWaveOneIn = 3;
   if (below(kWaveOneIn) == 0) {
-    plan.push_back({milliseconds(below(options.length.count())),
+    plan.push_back({milliseconds(below(options.duration.count())),
                     FaultKind::kWave,
                     Place::kOperators,
                     0,
                     {}});
   }
   milliseconds at(below(options.mean_gap.count()));
-  while (at < options.length) {
+  while (at < options.duration) {
     const FaultChoice& choice = kFaultChoices.at(choose(random));
     constexpr std::int64_t kMaxSeries = 4;
     const std::int64_t series = 1 + below(kMaxSeries) * below(2);
--- a/src/cassiastile/soak/fleet.cpp
+++ b/src/cassiastile/soak/fleet.cpp
@@ -202,7 +202,7 @@
   const auto started = host.process.Start(m_options.host_program,
                                           host.settings_path, host.log_path);
   if (!started) {
-    m_checker.Violate(started.error().message);
+    m_checker.AddViolation(started.error().message);
   }
 }
 
@@ -213,12 +213,12 @@
       continue;
     }
     if (!host->exit_expected) {
-      m_checker.Violate(fmt::format("{} ended unexpectedly, wait status {}",
-                                    host->name, *end));
+      m_checker.AddViolation(fmt::format(
+          "{} ended unexpectedly, wait status {}", host->name, *end));
     }
     if (WIFEXITED(*end) && WEXITSTATUS(*end) != 0) {
-      m_checker.Violate(fmt::format("{} ended with exit code {}", host->name,
-                                    WEXITSTATUS(*end)));
+      m_checker.AddViolation(fmt::format("{} ended with exit code {}",
+                                         host->name, WEXITSTATUS(*end)));
     }
     if (!m_shutting_down) {
       After(kRestartDelay, [this, host = host.get()] {
@@ -348,7 +348,7 @@
     down += other->state == host::MachineState::kMaintenance ? 1 : 0;
   }
   if (down >= kWaveMaxDown) {
-    m_checker.Violate(fmt::format(
+    m_checker.AddViolation(fmt::format(
         "maintenance of {} begins while {} machines are down for it", name,
         down));
   }
--- a/src/cassiastile/soak/soak.cpp
+++ b/src/cassiastile/soak/soak.cpp
@@ -46,7 +46,7 @@
     result.seed = m_options.seed;
     result.faults = m_plan.size();
     m_callers->AddCounts(result);
-    result.starts = m_fleet->ProcessStarts();
+    result.process_starts = m_fleet->ProcessStarts();
     result.violations = m_fleet->Checker().Violations();
     return result;
   }
@@ -57,7 +57,7 @@
     for (const Fault& fault : m_plan) {
       m_loop.After(fault.at, [this, fault] { m_fleet->Apply(fault); });
     }
-    m_loop.After(m_options.plan.length, [this] {
+    m_loop.After(m_options.plan.duration, [this] {
       m_callers->StopSubmitting();
       m_fleet->ClearFaults();
       m_settle_deadline = m_clock.Now() + m_options.settle_timeout;
@@ -83,7 +83,7 @@
       return;
     }
     if (late) {
-      m_fleet->Checker().Violate("a host did not end in its grace period");
+      m_fleet->Checker().AddViolation("a host did not end in its grace period");
     }
     m_context.stop();
   }
--- a/src/cassiastile/soak/soak_test.cpp
+++ b/src/cassiastile/soak/soak_test.cpp
@@ -39,7 +39,7 @@
 TEST_P(SoakTest, InvariantsHold) {
   SoakOptions options;
   options.seed = GetParam();
-  options.plan.length = milliseconds(4000);
+  options.plan.duration = milliseconds(4000);
   options.host_program = CASSIASTILE_HOST_PROGRAM;
   options.folder =
       testing::TempDir() + "cassia-soak-" +
--- a/src/cassiastile/standin/backend.cpp
+++ b/src/cassiastile/standin/backend.cpp
@@ -282,7 +282,7 @@
     const std::lock_guard lock(m_mutex);
     ++m_running;
     m_counts.peak_running = std::max(m_counts.peak_running, m_running);
-    m_counts.over_slots += m_running > m_options.slots ? 1 : 0;
+    m_counts.starts_over_slots += m_running > m_options.slots ? 1 : 0;
     LoggedExecution execution;
     execution.method = received.method;
     execution.path = received.path;
--- a/src/cassiastile/standin/backend_fault_mix.cpp
+++ b/src/cassiastile/standin/backend_fault_mix.cpp
@@ -96,8 +96,8 @@
   found.ran_twice += !request.idempotent && run_count > 1 ? 1 : 0;
   found.answered_twice += answer.answers > 1 ? 1 : 0;
   found.not_run_but_ran += not_run && run_count > 0 ? 1 : 0;
-  found.wrong_answers += !not_run && !unknown && !answer.whole ? 1 : 0;
-  result.tally.whole += answer.whole ? 1 : 0;
+  found.wrong_answers += !not_run && !unknown && !answer.correct ? 1 : 0;
+  result.tally.correct += answer.correct ? 1 : 0;
   result.tally.not_run += not_run ? 1 : 0;
   result.tally.unknown += unknown ? 1 : 0;
 }
@@ -110,7 +110,8 @@
     ++runs[execution.request];
   }
   FaultMixResult result;
-  result.violations.over_slots = simulation.Backends().ArrivalsOverSlots();
+  result.violations.arrivals_over_slots =
+      simulation.Backends().ArrivalsOverSlots();
   for (const SimulatedRequest& request : requests) {
     const int run_count = runs[std::to_string(request.id)];
     const auto answer = simulation.Answers().find(request.id);
@@ -131,7 +132,7 @@
   *out << "ran twice " << found.ran_twice << ", not run but ran "
        << found.not_run_but_ran << ", wrong answers " << found.wrong_answers
        << ", without answer " << found.without_answer << ", answered twice "
-       << found.answered_twice << ", over slots " << found.over_slots;
+       << found.answered_twice << ", over slots " << found.arrivals_over_slots;
 }
 
 FaultMixResult RunFaultMix(std::uint64_t seed, SimulatedPolicy policy) {
--- a/src/cassiastile/standin/backend_simulation.cpp
+++ b/src/cassiastile/standin/backend_simulation.cpp
@@ -183,7 +183,7 @@
   answer.at = m_now;
   answer.execution = work::ExecutionOf(finish.outcome);
   if (const auto* answered = std::get_if<work::Answered>(&finish.outcome)) {
-    answer.whole =
+    answer.correct =
         answered->response.body == "answer to " + RequestName(finish.ticket.id);
   }
   if (const auto* not_run = std::get_if<work::NotRun>(&finish.outcome)) {
@@ -355,7 +355,7 @@
   answer.at = m_now;
   if (outcome) {
     answer.execution = wire::Execution::kRan;
-    answer.whole = outcome->body == "answer to " + RequestName(request);
+    answer.correct = outcome->body == "answer to " + RequestName(request);
   }
   m_baseline.erase(request);
 }
--- a/src/cassiastile/standin/platform_server_test.cpp
+++ b/src/cassiastile/standin/platform_server_test.cpp
@@ -60,7 +60,7 @@
 }
 
 TEST_F(PlatformServerTest, ObjectsKeepNamesWithSlashes) {
-  platform::HttpObjects objects(m_link);
+  platform::HttpObjectStore objects(m_link);
   ASSERT_TRUE(objects.Put("decisions/e1/1", "text").has_value());
   EXPECT_EQ(objects.Get("decisions/e1/1").value(), "text");
   EXPECT_EQ(objects.List("decisions/").value().size(), 1U);
--- a/src/cassiastile/standin/worker.cpp
+++ b/src/cassiastile/standin/worker.cpp
@@ -322,7 +322,7 @@
 void Worker::RecordEvent(WorkerEvent event, const Run& run) {
   WorkerLogEntry line;
   line.at = m_now;
-  line.act = event;
+  line.event = event;
   line.worker = m_options.name;
   line.key = work::KeyOf(run.order.spec);
   line.epoch = run.order.epoch;
--- a/src/cassiastile/standin/worker_agent.cpp
+++ b/src/cassiastile/standin/worker_agent.cpp
@@ -159,7 +159,7 @@
 
 void WorkerAgent::LogLine(const WorkerLogEntry& line) const {
   m_log.Info(fmt::format("Task {} {}, epoch {}, team {}, {}.", line.key,
-                         NameOf(line.act), line.epoch, line.team,
+                         NameOf(line.event), line.epoch, line.team,
                          line.idempotent ? "idempotent" : "not idempotent"));
 }
 
--- a/src/cassiastile/standin/worker_cluster_test.hpp
+++ b/src/cassiastile/standin/worker_cluster_test.hpp
@@ -101,7 +101,7 @@
 
   work::TaskResult Send(work::TaskEvent event) {
     return m_owners[current]
-        ->Handle({std::move(event)}, Now(), m_leases[current])
+        ->ProcessEvents({std::move(event)}, Now(), m_leases[current])
         .front();
   }
 
@@ -121,10 +121,10 @@
     for (const SentPoll& poll : polls) {
       const std::size_t to = split_polls ? poll.worker % 2 : current;
       const auto result =
-          m_owners[to]->Handle({poll.poll}, Now(), m_leases[to]).front();
+          m_owners[to]->ProcessEvents({poll.poll}, Now(), m_leases[to]).front();
       workers->Deliver(poll, result.answer, clock.Now());
     }
-    m_owners[current]->Handle({}, Now(), m_leases[current]);
+    m_owners[current]->ProcessEvents({}, Now(), m_leases[current]);
   }
 
   void Run(base::Duration length) {
@@ -148,7 +148,7 @@
   std::size_t CountLog(const std::string& key, WorkerEvent event) const {
     std::size_t count = 0;
     for (const WorkerLogEntry& line : log) {
-      count += line.key == key && line.act == event ? 1 : 0;
+      count += line.key == key && line.event == event ? 1 : 0;
     }
     return count;
   }
@@ -172,9 +172,9 @@
  private:
   void RecordEvent(const WorkerLogEntry& line) {
     log.push_back(line);
-    if (line.act == WorkerEvent::kStarted) {
+    if (line.event == WorkerEvent::kStarted) {
       ++running[line.team];
-    } else if (line.act != WorkerEvent::kNotStarted) {
+    } else if (line.event != WorkerEvent::kNotStarted) {
       --running[line.team];
     }
     peak_running[line.team] =
--- a/src/cassiastile/standin/worker_task_test.cpp
+++ b/src/cassiastile/standin/worker_task_test.cpp
@@ -295,7 +295,7 @@
   cluster.Submit(push);
   cluster.Run(seconds(20));
   for (const WorkerLogEntry& line : cluster.log) {
-    EXPECT_EQ(line.act, WorkerEvent::kStarted) << line.key;
+    EXPECT_EQ(line.event, WorkerEvent::kStarted) << line.key;
   }
   EXPECT_EQ(cluster.CountLog("u/push", WorkerEvent::kStarted), 0U);
 }
--- a/src/cassiastile/wire/http_server.cpp
+++ b/src/cassiastile/wire/http_server.cpp
@@ -179,7 +179,7 @@
   auto shared = std::make_shared<const Router>(std::move(router));
   return Start(std::move(options),
                [shared](HttpRequest request, HttpResponder respond) {
-                 shared->Handle(std::move(request), std::move(respond));
+                 shared->RouteRequest(std::move(request), std::move(respond));
                });
 }
 
--- a/src/cassiastile/wire/router.cpp
+++ b/src/cassiastile/wire/router.cpp
@@ -36,9 +36,8 @@
   Problem problem;
   problem.status = path_known ? kMethodNotAllowed : kNotFound;
   problem.type = path_known ? "method-not-allowed" : "no-such-path";
-  problem.title = path_known
-                      ? "This path does not support " + request.method + "."
-                      : "No such path: " + request.path;
+  problem.title = path_known ? "This path does not support " + request.method + "."
+                             : "No such path: " + request.path;
   return MakeProblemResponse(problem);
 }
 
@@ -56,7 +55,7 @@
   m_routes.push_back(std::move(route));
 }
 
-void Router::Handle(HttpRequest request, HttpResponder respond) const {
+void Router::RouteRequest(HttpRequest request, HttpResponder respond) const {
   const std::string path = request.path;
   const std::vector<std::string_view> segments = SplitPath(path);
   bool path_known = false;
--- a/src/cassiastile/work/admission.cpp
+++ b/src/cassiastile/work/admission.cpp
@@ -31,7 +31,7 @@
 }  // namespace
 
 bool AdmissionQueue::TeamQueue::MayStart() const {
-  return !quota.granted || running < *quota.granted;
+  return !quota.concurrency_limit || running < *quota.concurrency_limit;
 }
 
 AdmissionQueue::AdmissionQueue(AdmissionOptions options) : m_options(options) {}
@@ -266,9 +266,9 @@
     }
   }
   double wait = before / StartsPerSecond(rate.slots, rate);
-  if (team.quota.granted && !team.MayStart()) {
-    wait =
-        std::max(wait, (own + 1) / StartsPerSecond(*team.quota.granted, rate));
+  if (team.quota.concurrency_limit && !team.MayStart()) {
+    wait = std::max(
+        wait, (own + 1) / StartsPerSecond(*team.quota.concurrency_limit, rate));
   }
   return wait;
 }
@@ -289,7 +289,7 @@
     return within_max_wait ? std::nullopt
                            : std::optional(RefusalReason::kNoRunner);
   }
-  if (team.quota.granted && *team.quota.granted == 0) {
+  if (team.quota.concurrency_limit && *team.quota.concurrency_limit == 0) {
     return within_max_wait ? std::nullopt
                            : std::optional(RefusalReason::kTeamLimit);
   }
@@ -298,7 +298,7 @@
   if (ExpectedWait(team, ahead, rate) <= left) {
     return std::nullopt;
   }
-  const bool at_limit = team.quota.granted && !team.MayStart();
+  const bool at_limit = team.quota.concurrency_limit && !team.MayStart();
   return at_limit ? RefusalReason::kTeamLimit : RefusalReason::kWaitTooLong;
 }
 
--- a/src/cassiastile/work/admission_test.cpp
+++ b/src/cassiastile/work/admission_test.cpp
@@ -35,8 +35,8 @@
 };
 
 TEST_F(AdmissionTest, TeamsTakeTurnsByWeight) {
-  m_queue.SetQuota("large", {.weight = 3, .granted = {}});
-  m_queue.SetQuota("small", {.weight = 1, .granted = {}});
+  m_queue.SetQuota("large", {.weight = 3, .concurrency_limit = {}});
+  m_queue.SetQuota("small", {.weight = 1, .concurrency_limit = {}});
   for (int i = 0; i < 40; ++i) {
     EXPECT_TRUE(Offer(MakeTicket("large")).empty());
     EXPECT_TRUE(Offer(MakeTicket("small")).empty());
@@ -124,7 +124,7 @@
 }
 
 TEST_F(AdmissionTest, TeamStaysWithinItsConcurrencyLimit) {
-  m_queue.SetQuota("t", {.weight = 1, .granted = 2});
+  m_queue.SetQuota("t", {.weight = 1, .concurrency_limit = 2});
   for (int i = 0; i < 3; ++i) {
     Offer(MakeTicket("t"));
   }
--- a/src/cassiastile/work/claim.cpp
+++ b/src/cassiastile/work/claim.cpp
@@ -83,7 +83,7 @@
          });
 }
 
-std::string ClaimKey(const std::string& team, const std::string& key) {
+std::string ClaimRowKey(const std::string& team, const std::string& key) {
   return "claim/" + team + "/" + key;
 }
 
--- a/src/cassiastile/work/task_owner.cpp
+++ b/src/cassiastile/work/task_owner.cpp
@@ -49,9 +49,10 @@
   m_shard.SetHosts(hosts);
 }
 
-std::vector<TaskResult> TaskOwner::Handle(const std::vector<TaskEvent>& events,
-                                          Moment moment,
-                                          const OwnerLease& owner_lease) {
+std::vector<TaskResult> TaskOwner::ProcessEvents(
+    const std::vector<TaskEvent>& events,
+    Moment moment,
+    const OwnerLease& owner_lease) {
   if (!Prepare(moment, owner_lease)) {
     return RejectAll(events, moment.now);
   }
@@ -137,7 +138,7 @@
     const std::vector<TaskEvent>& events,
     Moment moment) {
   std::vector<TaskResult> results = RejectAll(events, moment.now);
-  if (!m_options.open_while_reading) {
+  if (!m_options.accept_submissions_while_reading) {
     return results;
   }
   std::vector<TaskEvent> submissions;
--- a/src/cassiastile/work/task_shard.cpp
+++ b/src/cassiastile/work/task_shard.cpp
@@ -286,7 +286,7 @@
   }
   entry.task.unconfirmed.clear();
   m_pass_needed = true;
-  const std::string reason = "resolved by " + event.who;
+  const std::string reason = "resolved by " + event.operator_name;
   AddDecision(base::DecisionKind::kChange, entry.task, "resolved",
               {"operator's word", "", m_fleet_version, reason});
   if (!in_doubt) {
