--- a/src/cassiastile/control/pool_operator_actions.cpp
+++ b/src/cassiastile/control/pool_operator_actions.cpp
@@ -94,7 +94,7 @@
   if (!action) {
     respond(wire::MakeErrorResponse(
         {base::ErrorCode::kNotFound,
-         "The actions on a wave are start, pause, resume and abort."}));
+         "A wave takes start, pause, resume and abort."}));
     return;
   }
   const std::string& actor = *name;
--- a/src/cassiastile/control/pool_service.cpp
+++ b/src/cassiastile/control/pool_service.cpp
@@ -191,7 +191,7 @@
     }
     if (!m_stopping) {
       refusal = {base::ErrorCode::kOverloaded,
-                 "Too many operator actions wait on this host."};
+                 "Too many acts wait on this host."};
     }
   }
   action.respond(wire::MakeErrorResponse(refusal));
--- a/src/cassiastile/entry/request_validation.cpp
+++ b/src/cassiastile/entry/request_validation.cpp
@@ -130,7 +130,7 @@
   if (key == nullptr) {
     return work::NotRun{work::RefusalReason::kUnknownKey,
                         {},
-                        "The service accepts only requests with a team's key."};
+                        "The service takes requests with a team's key only."};
   }
   ticket.team = key->team;
   ticket.key_id = key->id;
@@ -149,7 +149,7 @@
     return tl::unexpected(*refusal);
   }
   if (!IsIn(kMethods, request.method)) {
-    return Refuse(RefusalReason::kMalformed, "The method is not supported.");
+    return Refuse(RefusalReason::kMalformed, "The method is not taken.");
   }
   if (context.accepted == nullptr) {
     return Refuse(RefusalReason::kStaleConfiguration,
--- a/src/cassiastile/fleet/change.cpp
+++ b/src/cassiastile/fleet/change.cpp
@@ -213,7 +213,7 @@
     change.preconditions.push_back({WaveKey(wave->record.wave), wave->version});
   }
   Stored<HostRecord> next = NextHost(context, host, HostState::kRebooting,
-                                     "drained; reboot requested");
+                                     "drained; the reboot is asked for");
   next.record.boots = boots;
   change.hosts.push_back(std::move(next));
   change.pools.push_back(NextPool(context, pool_record, host.record.host));
--- a/src/cassiastile/fleet/progress.cpp
+++ b/src/cassiastile/fleet/progress.cpp
@@ -44,7 +44,7 @@
     return MarkFailed{DescribeMachine(seen)};
   }
   if (seen.status && seen.status->state == MachineState::kRebooting) {
-    return MarkFailed{"the machine is rebooting without a request"};
+    return MarkFailed{"the machine reboots without having been asked to"};
   }
   return NoAction{};
 }
--- a/src/cassiastile/fleet/reconciler.cpp
+++ b/src/cassiastile/fleet/reconciler.cpp
@@ -136,7 +136,7 @@
     Change change = ReturnHost(
         round.context, FindPoolRecord(m_state, round.pool), stored,
         CurrentWaveOf(stored.record),
-        "undrained; its pool exceeds its budget: " + Describe(count));
+        "given back undrained; the pool is short: " + Describe(count));
     if (!CommitInRound(round, std::move(change))) {
       return false;
     }
--- a/src/cassiastile/fleet/reconciler_hosts.cpp
+++ b/src/cassiastile/fleet/reconciler_hosts.cpp
@@ -150,7 +150,7 @@
   return CommitInRound(
       round, ReturnHost(round.context, FindPoolRecord(m_state, round.pool),
                         host, CurrentWaveOf(host.record),
-                        "undrained; its wave was halted or has ended"));
+                        "given back undrained; its wave goes on no more"));
 }
 
 bool Reconciler::RegisterHosts(Round& round) {
--- a/src/cassiastile/fleet/reconciler_moves.cpp
+++ b/src/cassiastile/fleet/reconciler_moves.cpp
@@ -124,7 +124,7 @@
     request.reason = OutReason::kMoving;
     request.bound_for = pool.name;
     request.detail =
-        fmt::format("the demand on {} has grown lastingly", pool.name);
+        fmt::format("the demand on {} has grown to stay", pool.name);
     if (!MoveSpareHost(round, request)) {
       return false;
     }
@@ -173,7 +173,7 @@
     DrainRequest request;
     request.reason = OutReason::kMoving;
     request.bound_for = declared->pool->name;
-    request.detail = "no longer needed here; it returns to the spare pool";
+    request.detail = "no longer needed here; it goes back to the spare";
     base::Result<Change> change = PlanDrain(round, host, request);
     if (change && !CommitInRound(round, std::move(*change))) {
       return false;
--- a/src/cassiastile/fleet/wave_plan.cpp
+++ b/src/cassiastile/fleet/wave_plan.cpp
@@ -164,7 +164,7 @@
     }
   }
   forecast.basis =
-      fmt::format("{} s per host, {}; window {}{}", maintenance_time.count(),
+      fmt::format("{} s a host, {}; window {}{}", maintenance_time.count(),
                   measured ? "measured in this run" : "assumed",
                   Describe(wave.window), shortage);
   return forecast;
--- a/src/cassiastile/standin/platform_server.cpp
+++ b/src/cassiastile/standin/platform_server.cpp
@@ -43,7 +43,7 @@
 
 HttpResponse MakeNotFoundResponse() {
   return wire::MakeErrorResponse(
-      {base::ErrorCode::kNotFound, "No such row or transaction."});
+      {base::ErrorCode::kNotFound, "No such thing."});
 }
 
 std::string QueryText(const HttpRequest& request, const std::string& name) {
@@ -180,7 +180,7 @@
     const std::lock_guard lock(m_mutex);
     if (m_list_down) {
       return wire::MakeErrorResponse(
-          {base::ErrorCode::kUnavailable, "The host list is down."});
+          {base::ErrorCode::kUnavailable, "The list is down."});
     }
     return wire::MakeJsonResponse(kOk, json{{"hosts", CurrentHosts()}});
   });
--- a/src/cassiastile/wire/router.cpp
+++ b/src/cassiastile/wire/router.cpp
@@ -36,7 +36,7 @@
   Problem problem;
   problem.status = path_known ? kMethodNotAllowed : kNotFound;
   problem.type = path_known ? "method-not-allowed" : "no-such-path";
-  problem.title = path_known ? "This path does not support " + request.method + "."
+  problem.title = path_known ? "This path does not take " + request.method + "."
                              : "No such path: " + request.path;
   return MakeProblemResponse(problem);
 }
