--- a/include/cassiastile/control/config_responses.hpp
+++ b/include/cassiastile/control/config_responses.hpp
@@ -18,16 +18,17 @@
 // is "pending" if these may still act on an older version.
 wire::HttpResponse MakeCommittedResponse(
     const member::EditOutcome& outcome,
-    const member::EditQuorum::InForceResult& wait);
+    const member::EditQuorum::InForceResult& in_force);
 // A refused edit: 409 for a conflict, 422 for an invalid document, 403 for
 // sections of other owners, or the response for another error.
 wire::HttpResponse MakeRefusedResponse(const member::EditRefusal& refusal,
                                        const std::string& decision_id);
 wire::HttpResponse MakeHistoryResponse(
     const std::vector<member::ConfigVersion>& versions);
-// The audit rows from `since` on (a sequence number or an RFC 3339 time in UTC)
-// that concern `section`, and whether the chain of all `rows` up to `head` is
-// intact. An empty `since` or `section` matches every row.
+// The audit rows from `since` on that concern `section`, and whether the chain
+// of all `rows` up to `head` is intact. `since` is a sequence number or a time
+// in UTC that may be cut short, such as 2026-12-03T21:00. An empty `since` or
+// `section` matches every row.
 wire::HttpResponse MakeAuditResponse(const std::vector<member::AuditRow>& rows,
                                      const member::AuditHead& head,
                                      const std::string& since,
--- a/include/cassiastile/control/pool_service.hpp
+++ b/include/cassiastile/control/pool_service.hpp
@@ -49,9 +49,9 @@
   fleet::ReconcilerOptions reconciler;
 };
 
-// Reconciles the pools whose shards this host owns, and runs operators' actions
-// on any host or wave, whichever control host owns its shard. The rounds and
-// the actions share one thread.
+// Reconciles the pools whose shards this process owns, and runs operators'
+// actions on the hosts and waves of all pools, whichever process owns their
+// shards. The rounds and the actions share one thread.
 class PoolService final : public fleet::PoolView {
  public:
   // Fails with kInvalid if the name is empty.
--- a/include/cassiastile/control/shard_forwarder.hpp
+++ b/include/cassiastile/control/shard_forwarder.hpp
@@ -23,7 +23,7 @@
 class ShardForwarder {
  public:
   ShardForwarder(const base::Clock& clock,
-                 const member::ShardOwner& owner,
+                 const member::ShardOwner& shard_owner,
                  wire::HttpClient& client);
 
   // Runs the handler if this host owns the shard, else forwards the request to
@@ -36,7 +36,7 @@
 
  private:
   const base::Clock& m_clock;
-  const member::ShardOwner& m_owner;
+  const member::ShardOwner& m_shard_owner;
   wire::HttpClient& m_client;
 };
 
--- a/include/cassiastile/control/status_service.hpp
+++ b/include/cassiastile/control/status_service.hpp
@@ -19,11 +19,11 @@
   // Returns a component's status. Called on the HTTP server's threads.
   using StatusSource = std::function<nlohmann::json()>;
 
-  // `statuses` maps field names to components. The clock, the fleet source and
-  // the components must outlive the service.
+  // `status_sources` gives the source of each field. The clock, the fleet
+  // source and all that the status sources refer to must outlive the service.
   StatusService(const base::Clock& clock,
-                const config::FleetSource& source,
-                std::map<std::string, StatusSource> statuses);
+                const config::FleetSource& fleet,
+                std::map<std::string, StatusSource> status_sources);
 
   // Adds the route. The service must outlive the router.
   void Register(wire::Router& router);
@@ -32,8 +32,8 @@
   wire::HttpResponse Answer(const wire::HttpRequest& request) const;
 
   const base::Clock& m_clock;
-  const config::FleetSource& m_source;
-  std::map<std::string, StatusSource> m_statuses;
+  const config::FleetSource& m_fleet;
+  std::map<std::string, StatusSource> m_status_sources;
 };
 
 }  // namespace cassiastile::control
--- a/src/cassiastile/control/config_responses.cpp
+++ b/src/cassiastile/control/config_responses.cpp
@@ -103,8 +103,8 @@
          text.find_first_not_of("0123456789") == std::string::npos;
 }
 
-// `since` is a sequence number or an RFC 3339 time in UTC; empty values match
-// all rows.
+// `since` is a sequence number, or a time in UTC that may be cut short and is
+// compared as text. Empty values match all rows.
 bool Matches(const member::AuditRow& row,
              const std::string& since,
              const std::string& section) {
@@ -129,12 +129,12 @@
 
 wire::HttpResponse MakeCommittedResponse(
     const member::EditOutcome& outcome,
-    const member::EditQuorum::InForceResult& wait) {
-  const bool accepted = wait.missing.empty() || wait.expired;
+    const member::EditQuorum::InForceResult& in_force) {
+  const bool accepted = in_force.missing.empty() || in_force.expired;
   return wire::MakeJsonResponse(200,
                                 {{"version", outcome.version},
                                  {"state", accepted ? "accepted" : "pending"},
-                                 {"missing", wait.missing},
+                                 {"missing", in_force.missing},
                                  {"audit", outcome.audit},
                                  {"change", config::ToJson(outcome.change)}});
 }
--- a/src/cassiastile/control/config_service.cpp
+++ b/src/cassiastile/control/config_service.cpp
@@ -22,7 +22,7 @@
 
 constexpr std::size_t kReadThreads = 2;
 constexpr std::size_t kEditThreads = 1;
-constexpr std::size_t kMaxWaitingCalls = 64;
+constexpr std::size_t kMaxPendingCalls = 64;
 
 wire::HttpResponse MakeOverloadedResponse() {
   return wire::MakeErrorResponse(
@@ -139,15 +139,15 @@
             Handler handler,
             wire::HttpRequest request,
             wire::HttpResponder respond) {
-    if (m_waiting_calls.fetch_add(1) >= kMaxWaitingCalls) {
-      --m_waiting_calls;
+    if (m_pending_calls.fetch_add(1) >= kMaxPendingCalls) {
+      --m_pending_calls;
       respond(MakeOverloadedResponse());
       return;
     }
     asio::post(pool, [this, handler, request = std::move(request),
                       respond = std::move(respond)] {
       respond((this->*handler)(request));
-      --m_waiting_calls;
+      --m_pending_calls;
     });
   }
 
@@ -266,7 +266,7 @@
   ConfigServiceDependencies m_dependencies;
   std::mutex m_mutex;
   base::Random m_random;
-  std::atomic<std::size_t> m_waiting_calls{0};
+  std::atomic<std::size_t> m_pending_calls{0};
   asio::thread_pool m_read_threads;
   asio::thread_pool m_edit_threads;
 };
--- a/src/cassiastile/control/shard_forwarder.cpp
+++ b/src/cassiastile/control/shard_forwarder.cpp
@@ -54,19 +54,20 @@
 }  // namespace
 
 ShardForwarder::ShardForwarder(const base::Clock& clock,
-                               const member::ShardOwner& owner,
+                               const member::ShardOwner& shard_owner,
                                wire::HttpClient& client)
-    : m_clock(clock), m_owner(owner), m_client(client) {}
+    : m_clock(clock), m_shard_owner(shard_owner), m_client(client) {}
 
 void ShardForwarder::HandleOrForward(const std::string& shard,
                                      wire::HttpRequest request,
                                      wire::HttpResponder respond,
                                      const ShardHandler& handler) const {
-  if (const auto shard_lease = m_owner.CurrentLease(shard, m_clock.Now())) {
+  if (const auto shard_lease =
+          m_shard_owner.CurrentLease(shard, m_clock.Now())) {
     handler(*shard_lease, std::move(request), std::move(respond));
     return;
   }
-  const std::string address = m_owner.OwnerAddress(shard);
+  const std::string address = m_shard_owner.OwnerAddress(shard);
   const bool forwarded =
       wire::FindHeader(request.headers, kForwardedHeader).has_value();
   if (address.empty() || forwarded) {
--- a/src/cassiastile/control/status_service.cpp
+++ b/src/cassiastile/control/status_service.cpp
@@ -10,9 +10,11 @@
 namespace cassiastile::control {
 
 StatusService::StatusService(const base::Clock& clock,
-                             const config::FleetSource& source,
-                             std::map<std::string, StatusSource> statuses)
-    : m_clock(clock), m_source(source), m_statuses(std::move(statuses)) {}
+                             const config::FleetSource& fleet,
+                             std::map<std::string, StatusSource> status_sources)
+    : m_clock(clock),
+      m_fleet(fleet),
+      m_status_sources(std::move(status_sources)) {}
 
 void StatusService::Register(wire::Router& router) {
   router.Add(
@@ -24,12 +26,12 @@
 wire::HttpResponse StatusService::Answer(
     const wire::HttpRequest& request) const {
   constexpr int kOk = 200;
-  const auto reader = AuthenticateOperator(m_source, request, m_clock.Now());
+  const auto reader = AuthenticateOperator(m_fleet, request, m_clock.Now());
   if (!reader) {
     return wire::MakeErrorResponse(reader.error());
   }
   nlohmann::json status = nlohmann::json::object();
-  for (const auto& [name, read_status] : m_statuses) {
+  for (const auto& [name, read_status] : m_status_sources) {
     status[name] = read_status();
   }
   return wire::MakeJsonResponse(kOk, status);
