--- a/include/cassiastile/config/fleet.hpp
+++ b/include/cassiastile/config/fleet.hpp
@@ -122,7 +122,7 @@
 
 // The order in which a wave drains its hosts.
 enum class WaveOrder : std::uint8_t {
-  kLongestFreeFirst,  // Hosts that are easiest to drain first; see
+  kLongestFreeFirst,  // The hosts that are easiest to drain come first; see
                       // fleet::OrderHosts.
   kAsListed,          // In the document's order.
 };
--- a/src/cassiastile/config/diff.cpp
+++ b/src/cassiastile/config/diff.cpp
@@ -183,8 +183,8 @@
 
   const Lines& m_before;
   const Lines& m_after;
-  // The lines from m_first up to each text's end here are compared; the texts
-  // share those before and after.
+  // The lines from m_first up to m_before_end and m_after_end are compared; the
+  // lines before and after them are the same in both texts.
   std::size_t m_first = 0;
   std::size_t m_before_end = 0;
   std::size_t m_after_end = 0;
--- a/src/cassiastile/operator/api_client.hpp
+++ b/src/cassiastile/operator/api_client.hpp
@@ -28,7 +28,8 @@
 struct ApiAnswer {
   int status = 0;
   nlohmann::json body;      // Null if the answer was not JSON.
-  std::string retry_after;  // The Retry-After header in seconds, or empty.
+  std::string retry_after;  // The Retry-After header, in seconds; empty if
+                            // absent.
 
   bool IsSuccess() const { return status >= 200 && status < 300; }
 };
