--- a/spec/claim.h
+++ b/spec/claim.h
@@ -2,7 +2,7 @@
    idempotency key, and each claims the key in the table before it sends the
    request. Claims may be delayed, answers may be lost, and a host may die at
    any moment. Each model defines RESOLVE(i): what host i does when the answer
-   to its claim was lost. */
+   to its claim is lost or late. */
 
 mtype = { fresh, claiming, unknown, claimed, sent, refused, finished };
 
--- a/spec/config_freshness.h
+++ b/spec/config_freshness.h
@@ -45,8 +45,8 @@
 #define MAJORITY_AGE(i) \
   (AGREES(i) -> MIN(AGREEMENT_AGE(i, J(i)), AGREEMENT_AGE(i, K(i))) \
               : MAX(AGREEMENT_AGE(i, J(i)), AGREEMENT_AGE(i, K(i))))
-/* Age of the last confirmation: by a store read or, for version 1, by a
-   majority. */
+/* Age of the last confirmation of version 1, by a store read or by a majority.
+   store_age keeps it once version 2 is known. */
 #define CONFIRMED(i) (head[i] == 1 -> MIN(store_age[i], MAJORITY_AGE(i)) \
                                    : store_age[i])
 #define ACTS_ON_OLD(i) (in_force[i] == 1 && CONFIRMED(i) <= F)
@@ -58,8 +58,8 @@
   AGREEMENT_AGE(i, 2) = STALE
 }
 
-/* A member that learns of version 2 may go on acting on version 1 until version
-   2 is in force. Until then store_age goes on counting from its last
+/* A member that learns of version 2 may go on acting on version 1 until it puts
+   version 2 into force. Until then store_age goes on counting from its last
    confirmation of version 1. */
 inline learn(i, version) {
   if
--- a/src/bin/measure_jobs.cpp
+++ b/src/bin/measure_jobs.cpp
@@ -188,20 +188,19 @@
   }
 
   void Report(SimulatedWorker& worker) {
-    std::erase_if(worker.running, [&](const SimulatedRun& task) {
-      if (task.ends > m_clock.Now()) {
+    std::erase_if(worker.running, [&](const SimulatedRun& run) {
+      if (run.ends > m_clock.Now()) {
         return false;
       }
-      worker.ended.push_back({++worker.last_end, task.order.task,
-                              task.order.run, cassiastile::jobs::RunEnd::kDone,
-                              ""});
+      worker.ended.push_back({++worker.last_end, run.order.task, run.order.run,
+                              cassiastile::jobs::RunEnd::kDone, ""});
       return true;
     });
     WorkerReport report;
     report.incarnation_ms = 1;
     report.clock = milliseconds(1);
-    for (const SimulatedRun& task : worker.running) {
-      report.running.push_back({task.order.task, task.order.run, "", 50, 0});
+    for (const SimulatedRun& run : worker.running) {
+      report.running.push_back({run.order.task, run.order.run, "", 50, 0});
     }
     report.ended = worker.ended;
     m_scheduler.LeaseSent(worker.id, m_clock.Now() + std::chrono::seconds(5));
--- a/src/bin/measure_member.cpp
+++ b/src/bin/measure_member.cpp
@@ -34,8 +34,8 @@
 constexpr int kCuts = 4;
 // A heartbeat of the full-mesh baseline is 110 bytes: the headers, a name and a
 // version. Two a second leave room to lose one within the freshness period.
-constexpr double kHeartbeatBytes = 110;
-constexpr double kHeartbeatsPerSecond = 2;
+constexpr double kMeshHeartbeatBytes = 110;
+constexpr double kMeshHeartbeatsPerSecond = 2;
 
 void Print(const std::string& name,
            double value,
@@ -208,12 +208,12 @@
   for (const std::uint32_t processes : {7U, 18U, 54U, 108U}) {
     const Cost cost = MeasureCost(processes);
     const double mesh =
-        (processes - 1) * kHeartbeatBytes * kHeartbeatsPerSecond;
+        (processes - 1) * kMeshHeartbeatBytes * kMeshHeartbeatsPerSecond;
     const std::string size = fmt::format("_{}_processes", processes);
     Print("member.bytes_sent_per_second" + size, cost.bytes_per_second, "B/s",
           mesh);
     Print("member.messages_sent_per_second" + size, cost.messages_per_second,
-          "1/s", (processes - 1) * kHeartbeatsPerSecond);
+          "1/s", (processes - 1) * kMeshHeartbeatsPerSecond);
     Print("member.heap_bytes" + size, cost.heap_bytes, "B", nullptr);
     Print("member.cpu_per_message" + size,
           cost.cpu_per_message / kSecondsPerMicrosecond, "us", nullptr);
