--- a/src/cassiastile/jobs/wave_plan_test.cpp
+++ b/src/cassiastile/jobs/wave_plan_test.cpp
@@ -31,14 +31,15 @@
   down.down = true;
   const WavePlan plan =
       PlanWave({down, MakeDraining("a"), MakeDraining("b"), MakeMachine("c")},
-               {.max_down = 2, .left = milliseconds(60000)}, kNow);
+               {.max_down = 2, .time_left = milliseconds(60000)}, kNow);
   EXPECT_THAT(plan.maintain, ElementsAre("a"));
   EXPECT_THAT(plan.cordon, IsEmpty());
 }
 
 TEST(WavePlanTest, DrainsBeforeItMaintains) {
-  const WavePlan plan = PlanWave(
-      {MakeMachine("a")}, {.max_down = 1, .left = milliseconds(60000)}, kNow);
+  const WavePlan plan =
+      PlanWave({MakeMachine("a")},
+               {.max_down = 1, .time_left = milliseconds(60000)}, kNow);
   EXPECT_THAT(plan.cordon, ElementsAre("a"));
   EXPECT_THAT(plan.maintain, IsEmpty());
 }
@@ -46,7 +47,7 @@
 TEST(WavePlanTest, WaitsForFiniteTasksForALimitedTime) {
   WaveMachine busy = MakeDraining("a");
   busy.finite_cpu = 1000;
-  const WaveLimits limits{.max_down = 1, .left = milliseconds(60000)};
+  const WaveLimits limits{.max_down = 1, .time_left = milliseconds(60000)};
   EXPECT_THAT(PlanWave({busy}, limits, kNow).maintain, IsEmpty());
   EXPECT_THAT(PlanWave({busy}, limits, kNow + limits.max_drain_time).maintain,
               SizeIs(1));
@@ -56,7 +57,7 @@
   WaveMachine blocked = MakeDraining("a");
   blocked.can_drain = false;
   EXPECT_THAT(
-      PlanWave({blocked}, {.max_down = 1, .left = milliseconds(0)}, kNow)
+      PlanWave({blocked}, {.max_down = 1, .time_left = milliseconds(0)}, kNow)
           .maintain,
       IsEmpty());
 }
@@ -65,7 +66,7 @@
   WaveMachine needed = MakeMachine("a");
   needed.idle = false;
   needed.needed = true;
-  WaveLimits limits{.max_down = 1, .left = milliseconds(60000)};
+  WaveLimits limits{.max_down = 1, .time_left = milliseconds(60000)};
   EXPECT_THAT(PlanWave({needed}, limits, kNow).cordon, IsEmpty());
   limits.time_left = milliseconds(5000);
   EXPECT_THAT(PlanWave({needed}, limits, kNow).cordon, SizeIs(1));
