--- a/include/cassiastile/jobs/admission.hpp
+++ b/include/cassiastile/jobs/admission.hpp
@@ -50,7 +50,8 @@
   bool admitted = true;
   // For a refused job: the time after which a retry can succeed.
   std::chrono::milliseconds retry_after{0};
-  std::chrono::milliseconds wait{0};  // Expected, behind the backlog.
+  // The expected wait behind the backlog, which is compared with `slack`.
+  std::chrono::milliseconds wait{0};
   // The longest wait with which the job still meets its objective, but at least
   // a small minimum that every job gets.
   std::chrono::milliseconds slack{0};
--- a/include/cassiastile/jobs/scheduler.hpp
+++ b/include/cassiastile/jobs/scheduler.hpp
@@ -124,7 +124,7 @@
   // Sequence number of the newest end that the store covers.
   std::uint64_t acked_end = 0;
   WorkerHealth health;
-  bool terminated = false;  // This incarnation was ended by our order.
+  bool terminated = false;  // Ended by the leader's own order.
   bool silent = false;      // Did not answer the last call, or was terminated.
   // Gets no new tasks, since it is about to be moved or maintained.
   bool cordoned = false;
@@ -177,9 +177,9 @@
   // its lease may be valid.
   void WorkersListed(const std::vector<WorkerEntry>& entries,
                      base::TimePoint now);
-  // A worker has reported; `asked_at` is when the report was requested. A
-  // confirmed run that is missing from it has ended. A report of an older
-  // incarnation is ignored.
+  // A worker has reported; `asked_at` is when the report was requested. A run
+  // that is missing from it has ended if it was recovered, or was confirmed
+  // before `asked_at`. A report of an older incarnation is ignored.
   void WorkerReported(const std::string& worker,
                       const WorkerReport& report,
                       base::TimePoint asked_at,
@@ -216,9 +216,9 @@
   // and places waiting tasks.
   void Plan(base::TimePoint now, base::WallTime wall);
 
-  // The next rows to write, at most `max_rows`, which must be 2 or more; empty
-  // if there are none. The jobs in it count as written, so a scheduler whose
-  // batch could not be committed must be discarded.
+  // The next batch to commit, of at most `max_rows` rows, which must be 2 or
+  // more. Its jobs count as written, so a scheduler whose batch could not be
+  // committed must be discarded.
   Batch TakeBatch(std::size_t max_rows, base::TimePoint now);
   // Whether there are rows that should be written without delay.
   bool HasUrgentRows() const { return m_has_urgent_rows; }
@@ -281,8 +281,8 @@
   const DurationModel& Durations() const { return m_durations; }
 
  private:
-  // The state of a pool that admission checks a new job against. Reused for a
-  // few milliseconds.
+  // The state of a pool that admission checks a new job against. Renewed after
+  // 20 ms.
   struct AdmissionSnapshot {
     base::TimePoint taken_at{};
     // Remaining work of jobs whose result still has value.
@@ -332,8 +332,8 @@
                Run& run,
                StopReason reason,
                base::TimePoint now);
-  // Applies an end that a worker lists: drops the run, and counts the task as
-  // done or the run as failed.
+  // Applies an end that a worker lists: drops the run and, if it succeeded or
+  // failed, completes the task or records the failure.
   void ApplyEnd(const TaskRef& ref,
                 WorkerState& worker,
                 const ListedEnd& end,
@@ -348,8 +348,8 @@
   std::optional<TaskRef> UpdateListedRun(WorkerState& worker,
                                          const ListedRun& listed,
                                          base::TimePoint now);
-  // Drops runs whose lease has ended, stops those whose start was not answered,
-  // and repeats stop orders that were not answered.
+  // Drops runs whose lease has ended, stops those whose start was not answered
+  // in time, and repeats stop orders that were not answered.
   void ExpireRuns(base::TimePoint now);
 
   // scheduler_place.cpp
--- a/src/cassiastile/jobs/arrival_meter.cpp
+++ b/src/cassiastile/jobs/arrival_meter.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-// Over this time, rates are averaged: long enough for about ten jobs of a busy
-// queue, short enough to see its load rise well before a machine could be
-// moved.
+// The rate of arriving work is averaged over this time: long enough for about
+// ten jobs of a busy queue, short enough to see its load rise well before a
+// machine could be moved.
 constexpr std::chrono::milliseconds kRateWindow{500};
-// Within this time, a job that is submitted again counts once: callers that
-// were refused retry within some seconds.
+// A job that is submitted again within this time counts once, since callers
+// that were refused retry within some seconds. JobsPerSecond averages over it.
 constexpr std::chrono::milliseconds kRetryWindow{3000};
 // Callers keep retrying for less than this.
 constexpr std::chrono::milliseconds kMaxFirstArrivalAge{30000};
--- a/src/cassiastile/jobs/scheduler_runs.cpp
+++ b/src/cassiastile/jobs/scheduler_runs.cpp
@@ -268,8 +268,8 @@
                          const ListedEnd& end,
                          base::TimePoint now) {
   Task& task = *FindTask(ref);
-  // When the run began. Known only of confirmed runs that started without a
-  // checkpoint; only their durations are learnt.
+  // When the run began. Known only of confirmed runs without a checkpoint; only
+  // their durations are learnt.
   base::TimePoint began{};
   if (const Run* run = FindRun(ref, end.run)) {
     began = run->checkpoint.empty() ? run->confirmed_at : base::TimePoint{};
@@ -317,8 +317,8 @@
     ++step.tasks_done;
     std::erase(step.waiting, i);
     if (!whole_gang) {
-      for (Run& copy : task.runs) {
-        StopRun({&job, ref.occurrence, ref.step, i}, copy,
+      for (Run& duplicate : task.runs) {
+        StopRun({&job, ref.occurrence, ref.step, i}, duplicate,
                 StopReason::kDuplicate, now);
       }
     }
