--- a/include/cassiastile/fleet/audit_appender.hpp
+++ b/include/cassiastile/fleet/audit_appender.hpp
@@ -32,7 +32,7 @@
 
   // Prepares the addition that appends the entry, and writes nothing itself.
   // Fails if the end of the chain can't be read. The transaction conflicts if
-  // another entry is appended first; the caller then calls Append again.
+  // another entry is appended first; the caller then calls PrepareAppend again.
   virtual base::Result<AuditAddition> PrepareAppend(
       const AuditEntry& entry) = 0;
 };
--- a/include/cassiastile/fleet/host_observer.hpp
+++ b/include/cassiastile/fleet/host_observer.hpp
@@ -36,10 +36,11 @@
   struct WatchedHost {
     HostState state = HostState::kInService;
     std::string pool;
-    base::TimePoint state_since;  // When its state or pool last changed.
-    base::TimePoint out_since;    // When it left service.
+    base::TimePoint state_since;  // When first seen in its state and pool.
+    base::TimePoint out_since;    // When first seen out of service.
     base::TimePoint polled_at;
-    bool is_current = false;  // Whether `last` need not be polled again yet.
+    // Whether the last poll succeeded and its answer has not been invalidated.
+    bool is_current = false;
     HostObservation last;
   };
 
