--- a/include/cassiastile/fleet/reconciler.hpp
+++ b/include/cassiastile/fleet/reconciler.hpp
@@ -68,7 +68,7 @@
  public:
   // `name` is the name of this process; `seed` seeds its transaction nonces.
   Reconciler(std::string name,
-             ReconcilerDependencies ports,
+             ReconcilerDependencies dependencies,
              std::uint64_t seed,
              ReconcilerOptions options = {});
 
@@ -185,7 +185,7 @@
   std::int32_t DemandDrivenSizeChange(const std::string& pool);
 
   std::string m_name;
-  ReconcilerDependencies m_ports;
+  ReconcilerDependencies m_dependencies;
   ReconcilerOptions m_options;
   base::Random m_random;
   StateReader m_reader;
--- a/src/cassiastile/fleet/fake_fleet.hpp
+++ b/src/cassiastile/fleet/fake_fleet.hpp
@@ -125,7 +125,7 @@
   }
   platform::MemoryTable& Rows() { return m_table; }
 
-  bool down = false;       // Reads and commits fail with kUnavailable.
+  bool down = false;       // Get, Scan and Apply fail with kUnavailable.
   double lose_answer = 0;  // Probability that a commit's answer is lost.
   // Probability that a transaction is applied only at the next read, and its
   // answer is lost.
@@ -350,8 +350,9 @@
   }
 
   Reconciler MakeReconciler(const std::string& name, std::uint64_t seed) {
-    ReconcilerDependencies ports{table, machines, work, &demand, clock, sink};
-    return {name, ports, seed, options};
+    ReconcilerDependencies dependencies{table,   machines, work,
+                                        &demand, clock,    sink};
+    return {name, dependencies, seed, options};
   }
 
   // One round over all pools without a fencing token: only the row versions
--- a/src/cassiastile/fleet/reconciler.cpp
+++ b/src/cassiastile/fleet/reconciler.cpp
@@ -36,17 +36,17 @@
 }
 
 Reconciler::Reconciler(std::string name,
-                       ReconcilerDependencies ports,
+                       ReconcilerDependencies dependencies,
                        std::uint64_t seed,
                        ReconcilerOptions options)
     : m_name(std::move(name)),
-      m_ports(ports),
+      m_dependencies(dependencies),
       m_options(options),
       m_random(seed),
-      m_reader(ports.table),
-      m_observer(ports.machines,
-                 ports.work,
-                 ports.clock,
+      m_reader(dependencies.table),
+      m_observer(dependencies.machines,
+                 dependencies.work,
+                 dependencies.clock,
                  options.observe_interval) {}
 
 base::Result<void> Reconciler::Refresh(
@@ -76,7 +76,7 @@
     const std::optional<platform::Precondition>& fence) const {
   ChangeContext context;
   context.actor = actor;
-  context.wall = m_ports.clock.WallNow();
+  context.wall = m_dependencies.clock.WallNow();
   context.document_version = m_document->version;
   context.document_row = m_state.document_row;
   context.fence = fence;
@@ -98,15 +98,15 @@
 }
 
 base::Result<void> Reconciler::Commit(Change change) {
-  const auto commit =
-      m_ports.table.Apply(MakeTransaction(change, base::MakeId(m_random)));
+  const auto commit = m_dependencies.table.Apply(
+      MakeTransaction(change, base::MakeId(m_random)));
   if (!commit) {
     m_reader.Invalidate();
     return tl::unexpected(commit.error());
   }
   ApplyChange(change, m_state);
   change.decision.id = base::MakeId(m_random);
-  m_ports.decisions.Record(std::move(change.decision));
+  m_dependencies.decisions.Record(std::move(change.decision));
   return {};
 }
 
@@ -154,10 +154,10 @@
     const HostRecord& record = found->second.record;
     const bool draining = record.state != HostState::kInService;
     if (record.state == HostState::kDraining) {
-      m_ports.work.RequestEvacuation(host);
+      m_dependencies.work.RequestEvacuation(host);
     }
     if (seen.status->draining != draining &&
-        m_ports.machines.SetDraining(host, draining)) {
+        m_dependencies.machines.SetDraining(host, draining)) {
       m_observer.Invalidate(host);
     }
   }
--- a/src/cassiastile/fleet/reconciler_hosts.cpp
+++ b/src/cassiastile/fleet/reconciler_hosts.cpp
@@ -38,8 +38,8 @@
   bool operator()(const RetryReboot& action) const {
     // A conflict means that the machine has booted since, which the next
     // observation shows. Any other error is retried in the next round.
-    static_cast<void>(
-        m_reconciler.m_ports.machines.Reboot(m_host.record.host, action.boots));
+    static_cast<void>(m_reconciler.m_dependencies.machines.Reboot(
+        m_host.record.host, action.boots));
     return true;
   }
 
--- a/src/cassiastile/fleet/reconciler_moves.cpp
+++ b/src/cassiastile/fleet/reconciler_moves.cpp
@@ -43,7 +43,7 @@
 
 base::Duration Reconciler::TimeFailed(const std::string& host,
                                       std::uint64_t version) {
-  const base::TimePoint now = m_ports.clock.Now();
+  const base::TimePoint now = m_dependencies.clock.Now();
   const auto [found, added] =
       m_failed_since.try_emplace(host, FailedSince{version, now});
   if (found->second.version != version) {
@@ -79,15 +79,15 @@
 }
 
 std::int32_t Reconciler::DemandDrivenSizeChange(const std::string& pool) {
-  if (m_ports.demand == nullptr) {
+  if (m_dependencies.demand == nullptr) {
     return 0;
   }
-  const std::optional<double> demand = m_ports.demand->Demand(pool);
+  const std::optional<double> demand = m_dependencies.demand->Demand(pool);
   if (!demand) {
     return 0;
   }
   DemandHistory& history = m_demand[pool];
-  history = AddDemand(std::move(history), *demand, m_ports.clock.Now(),
+  history = AddDemand(std::move(history), *demand, m_dependencies.clock.Now(),
                       m_options.demand);
   return PoolSizeChange(history, CountMembers(m_state, pool), m_options.demand);
 }
@@ -151,8 +151,8 @@
     return true;
   }
   const std::int32_t size_change = DemandDrivenSizeChange(round.pool);
-  const bool measured = m_ports.demand != nullptr &&
-                        m_ports.demand->Demand(round.pool).has_value();
+  const bool measured = m_dependencies.demand != nullptr &&
+                        m_dependencies.demand->Demand(round.pool).has_value();
   const auto size =
       static_cast<std::int32_t>(CountMembers(m_state, round.pool));
   std::int32_t surplus = measured ? -size_change : size;
--- a/src/cassiastile/fleet/reconciler_waves.cpp
+++ b/src/cassiastile/fleet/reconciler_waves.cpp
@@ -201,7 +201,7 @@
   }
   return ForecastWave(wave, pools, MaintenanceTime(wave.name),
                       m_maintenance_times.contains(wave.name),
-                      m_ports.clock.WallNow());
+                      m_dependencies.clock.WallNow());
 }
 
 void Reconciler::UpdateExpectedDrainTimes(const Round& round,
@@ -214,7 +214,7 @@
   std::size_t position = 0;
   for (const WaveHost* host : OrderHosts(input)) {
     m_expected_drain_times[host->host.name] =
-        m_ports.clock.Now() +
+        m_dependencies.clock.Now() +
         MaintenanceTime(input.wave->name) * (position / concurrent_hosts);
     ++position;
   }
--- a/src/cassiastile/fleet/state.cpp
+++ b/src/cassiastile/fleet/state.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr const char* kHeadKey = "config/head";
+constexpr const char* kDocumentKey = "config/head";
 
 template <typename Record, typename Parse>
 base::Result<std::map<std::string, Stored<Record>>> ReadRecords(
@@ -41,12 +41,12 @@
   return records;
 }
 
-base::Result<void> ReadHead(platform::Table& table, FleetState& state) {
-  const auto row = table.Get(kHeadKey);
+base::Result<void> ReadDocumentRow(platform::Table& table, FleetState& state) {
+  const auto row = table.Get(kDocumentKey);
   if (!row) {
     return tl::unexpected(row.error());
   }
-  state.document_row = {kHeadKey, 0};
+  state.document_row = {kDocumentKey, 0};
   if (!*row) {
     return {};
   }
@@ -91,9 +91,9 @@
 
 base::Result<void> StateReader::Read(FleetState& state) {
   FleetState next;
-  base::Result<void> head = ReadHead(m_table, next);
-  if (!head) {
-    return head;
+  base::Result<void> document = ReadDocumentRow(m_table, next);
+  if (!document) {
+    return document;
   }
   auto pools = ReadRecords(m_table, "pool/", state.pools, ParsePoolRecord);
   if (!pools) {
