--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -66,7 +66,7 @@
           loop,
           log,
           m_scheduler,
-          {.host = settings.host,
+          {.leader = settings.host,
            .machine_order_lease = settings.machine_order_lease},
           [this](Row row, std::function<void()> stored) {
             m_pending_rows.emplace_back(std::move(row), std::move(stored));
--- a/src/cassiastile/host/settings.cpp
+++ b/src/cassiastile/host/settings.cpp
@@ -93,7 +93,7 @@
     return &*found;
   }
 
-  void AddError(const char* name, std::string_view finding) {
+  void AddError(const char* name, std::string_view error) {
     if (!m_errors.empty()) {
       m_errors += "; ";
     }
