--- a/include/cassiastile/host/config_watcher.hpp
+++ b/include/cassiastile/host/config_watcher.hpp
@@ -21,8 +21,8 @@
     std::function<void()> on_waves;
   };
 
-  // `ports`, `loop` and `log` must outlive the watcher.
-  ConfigWatcher(HostDependencies& ports,
+  // `dependencies`, `loop` and `log` must outlive the watcher.
+  ConfigWatcher(HostDependencies& dependencies,
                 Loop& loop,
                 EventLog& log,
                 Listener listener);
@@ -52,7 +52,7 @@
   void FollowFeed();
   void ApplyRows(const std::vector<Row>& rows);
 
-  HostDependencies& m_ports;
+  HostDependencies& m_dependencies;
   Loop& m_loop;
   EventLog& m_log;
   Listener m_listener;
--- a/include/cassiastile/host/dispatcher.hpp
+++ b/include/cassiastile/host/dispatcher.hpp
@@ -48,7 +48,7 @@
   // `transactions` must have acquired leadership; the references must outlive
   // the dispatcher. `on_leadership_lost` runs when a commit finds that another
   // host has taken the leadership.
-  Dispatcher(HostDependencies& ports,
+  Dispatcher(HostDependencies& dependencies,
              Loop& loop,
              EventLog& log,
              const HostSettings& settings,
@@ -148,7 +148,7 @@
   void SendStop(const jobs::StopOrder& order);
   std::chrono::milliseconds WorkerClock(const Link& link) const;
 
-  HostDependencies& m_ports;
+  HostDependencies& m_dependencies;
   Loop& m_loop;
   EventLog& m_log;
   const HostSettings& m_settings;
--- a/include/cassiastile/host/event_log.hpp
+++ b/include/cassiastile/host/event_log.hpp
@@ -16,7 +16,7 @@
 // Writes one JSON object per line: the event, its subject and the inputs of the
 // decision. Lines are buffered in memory and written without blocking. When the
 // reader falls behind, lines are dropped, and their number is logged once the
-// buffer has room again. Use it on the host's loop only.
+// buffer has room again. Not thread-safe.
 class EventLog {
  public:
   // Writes bytes without blocking and returns how many were accepted.
--- a/include/cassiastile/host/host_node.hpp
+++ b/include/cassiastile/host/host_node.hpp
@@ -40,8 +40,8 @@
 // the leader; a row in the table store says which one is.
 class HostNode {
  public:
-  // The references must outlive the node.
-  HostNode(HostDependencies ports,
+  // The references, also those in `dependencies`, must outlive the node.
+  HostNode(HostDependencies dependencies,
            PeerPort& peers,
            Loop& loop,
            EventLog& log,
@@ -95,7 +95,8 @@
   void MergeGossip(const GossipMessage& gossip);
   void HandleAnnouncement(const LeaderAnnouncement& announcement);
   void WatchLeader();
-  // Reads the leader's record, and acquires leadership if it is vacant.
+  // Reads the leader's record, and tries to acquire leadership if the record
+  // allows it.
   void CheckLeader();
   void HandleLeaderRecord(const ObservedLeaderRecord& observed);
   std::string AcquisitionReason(const ObservedLeaderRecord& observed) const;
@@ -115,7 +116,7 @@
   std::string OwnEndpoint() const;
   bool IsLeader() const { return m_dispatcher != nullptr; }
 
-  HostDependencies m_ports;
+  HostDependencies m_dependencies;
   PeerPort& m_peer_port;
   Loop& m_loop;
   EventLog& m_log;
--- a/src/cassiastile/host/config_watcher.cpp
+++ b/src/cassiastile/host/config_watcher.cpp
@@ -16,11 +16,11 @@
 
 }  // namespace
 
-ConfigWatcher::ConfigWatcher(HostDependencies& ports,
+ConfigWatcher::ConfigWatcher(HostDependencies& dependencies,
                              Loop& loop,
                              EventLog& log,
                              Listener listener)
-    : m_ports(ports),
+    : m_dependencies(dependencies),
       m_loop(loop),
       m_log(log),
       m_listener(std::move(listener)) {}
@@ -39,7 +39,7 @@
 }
 
 void ConfigWatcher::ReadAll() {
-  ReadAllRows(m_ports.store, m_ports.operator_table, "",
+  ReadAllRows(m_dependencies.store, m_dependencies.operator_table, "",
               m_lifetime.Guard([this](base::Result<RowPage> page) {
                 if (!page) {
                   m_loop.After(kRetryDelay,
@@ -54,8 +54,8 @@
 }
 
 void ConfigWatcher::FollowFeed() {
-  m_ports.store.Feed(
-      m_ports.operator_table, m_feed_version, kFeedWait,
+  m_dependencies.store.Feed(
+      m_dependencies.operator_table, m_feed_version, kFeedWait,
       m_lifetime.Guard([this](base::Result<FeedPage> page) {
         if (!page) {
           if (!std::exchange(m_feed_failing, true)) {
@@ -85,10 +85,10 @@
     if (row.deleted) {
       continue;
     }
-    if (row.key == m_ports.config_key) {
+    if (row.key == m_dependencies.config_key) {
       ApplyConfigText(row.value, "table");
-    } else if (row.key.starts_with(m_ports.wave_prefix)) {
-      auto wave = m_ports.decode_wave(row.value);
+    } else if (row.key.starts_with(m_dependencies.wave_prefix)) {
+      auto wave = m_dependencies.decode_wave(row.value);
       if (!wave) {
         m_log.Write("wave.bad", {{"error", wave.error().message}});
         continue;
@@ -104,7 +104,7 @@
 
 void ConfigWatcher::ApplyConfigText(const std::string& text,
                                     std::string_view source) {
-  auto config = m_ports.decode_config(text);
+  auto config = m_dependencies.decode_config(text);
   if (!config) {
     m_log.Write("config.bad",
                 {{"source", source}, {"error", config.error().message}});
--- a/src/cassiastile/host/dispatcher.cpp
+++ b/src/cassiastile/host/dispatcher.cpp
@@ -46,13 +46,13 @@
 
 }  // namespace
 
-Dispatcher::Dispatcher(HostDependencies& ports,
+Dispatcher::Dispatcher(HostDependencies& dependencies,
                        Loop& loop,
                        EventLog& log,
                        const HostSettings& settings,
                        std::unique_ptr<LeaderTransactions> transactions,
                        std::function<void()> on_leadership_lost)
-    : m_ports(ports),
+    : m_dependencies(dependencies),
       m_loop(loop),
       m_log(log),
       m_settings(settings),
@@ -61,8 +61,8 @@
       m_config(std::make_shared<jobs::FleetConfig>()),
       m_scheduler(MakeSchedulerOptions(settings)),
       m_machine_controller(
-          ports.machines,
-          ports.store,
+          dependencies.machines,
+          dependencies.store,
           loop,
           log,
           m_scheduler,
@@ -72,9 +72,9 @@
             m_pending_rows.emplace_back(std::move(row), std::move(stored));
             RequestPlan();
           },
-          ports.status_table,
-          ports.wave_prefix,
-          ports.encode_wave_state) {}
+          dependencies.status_table,
+          dependencies.wave_prefix,
+          dependencies.encode_wave_state) {}
 
 Dispatcher::~Dispatcher() {
   // Answers callers that would otherwise wait for a leader that is gone.
@@ -96,7 +96,7 @@
     const std::string& table,
     const std::string& part,
     const std::function<void(RowPage)>& on_rows) {
-  ReadAllRows(m_ports.store, table, part,
+  ReadAllRows(m_dependencies.store, table, part,
               m_lifetime.Guard(
                   [this, table, part, on_rows](base::Result<RowPage> page) {
                     if (page) {
@@ -163,20 +163,21 @@
 }
 
 void Dispatcher::ReadWorkers() {
-  ReadUntilAnswered(m_ports.worker_table, "", [this](const RowPage& page) {
-    m_worker_entries.clear();
-    m_worker_feed_version = page.version;
-    ApplyWorkerRows(page.rows);
-    if (!m_serving) {
-      StartServing();
-    }
-    FeedWorkers();
-  });
+  ReadUntilAnswered(m_dependencies.worker_table, "",
+                    [this](const RowPage& page) {
+                      m_worker_entries.clear();
+                      m_worker_feed_version = page.version;
+                      ApplyWorkerRows(page.rows);
+                      if (!m_serving) {
+                        StartServing();
+                      }
+                      FeedWorkers();
+                    });
 }
 
 void Dispatcher::FeedWorkers() {
-  m_ports.store.Feed(
-      m_ports.worker_table, m_worker_feed_version, kWorkerFeedWait,
+  m_dependencies.store.Feed(
+      m_dependencies.worker_table, m_worker_feed_version, kWorkerFeedWait,
       m_lifetime.Guard([this](base::Result<FeedPage> page) {
         if (page && page->history_compacted) {
           ReadWorkers();
@@ -199,7 +200,7 @@
       m_log.Write("worker.left_list", {{"worker", row.key}});
       continue;
     }
-    auto entry = m_ports.decode_worker(row.key, row.value);
+    auto entry = m_dependencies.decode_worker(row.key, row.value);
     if (!entry) {
       m_log.Write("worker.bad_entry", {{"error", entry.error().message}});
       m_worker_entries.erase(row.key);
--- a/src/cassiastile/host/dispatcher_jobs.cpp
+++ b/src/cassiastile/host/dispatcher_jobs.cpp
@@ -65,7 +65,7 @@
     respond(Refuse(jobs::RefusalReason::kStoreUnavailable, kRetryAfterOutage));
     return;
   }
-  auto spec = m_ports.decode_job(request.spec);
+  auto spec = m_dependencies.decode_job(request.spec);
   if (!spec) {
     m_log.Write("job.invalid",
                 {{"job", request.job}, {"error", spec.error().message}});
--- a/src/cassiastile/host/dispatcher_workers.cpp
+++ b/src/cassiastile/host/dispatcher_workers.cpp
@@ -93,7 +93,7 @@
   }
   (probe ? link.probing : link.polling) = true;
   const std::string id = link.address.id.id;
-  m_ports.workers.Extend(
+  m_dependencies.workers.Extend(
       link.address, extension,
       m_lifetime.Guard(
           [this, id, probe,
@@ -180,11 +180,11 @@
     m_log.Write("run.paced", {{"job", order.task.job},
                               {"worker", order.worker.id},
                               {"percent", order.percent}});
-    m_ports.workers.Pace(link->second.address, order, FencingToken(),
-                         [](bool) {});
+    m_dependencies.workers.Pace(link->second.address, order, FencingToken(),
+                                [](bool) {});
   }
   for (const jobs::AdviceRequest& request : orders.advice) {
-    m_ports.advice.Advise(
+    m_dependencies.advice.Advise(
         request, m_lifetime.Guard([this, request](
                                       const base::Result<AdviceReply>& reply) {
           if (!reply) {
@@ -212,7 +212,7 @@
   const Link& link = found->second;
   const auto until = WorkerClock(link) + kWorkerLease;
   m_scheduler.LeaseSent(order.worker.id, LeaseEnd(now));
-  m_ports.workers.Start(
+  m_dependencies.workers.Start(
       link.address, order, FencingToken(), until,
       m_lifetime.Guard([this, now, worker = order.worker, task = order.task,
                         run = order.run](jobs::StartResult result) {
@@ -251,14 +251,14 @@
   line["worker"] = order.worker.id;
   line["reason"] = base::FindName(jobs::kStopReasonNames, order.reason);
   m_log.Write("run.stop", std::move(line));
-  m_ports.workers.Stop(found->second.address, order, FencingToken(),
-                       m_lifetime.Guard([this, order](bool answered) {
-                         if (answered) {
-                           m_scheduler.StopAnswered(order.worker, order.task,
-                                                    order.run,
-                                                    m_loop.GetClock().Now());
-                         }
-                       }));
+  m_dependencies.workers.Stop(found->second.address, order, FencingToken(),
+                              m_lifetime.Guard([this, order](bool answered) {
+                                if (answered) {
+                                  m_scheduler.StopAnswered(
+                                      order.worker, order.task, order.run,
+                                      m_loop.GetClock().Now());
+                                }
+                              }));
 }
 
 }  // namespace cassiastile::host
--- a/src/cassiastile/host/host_node.cpp
+++ b/src/cassiastile/host/host_node.cpp
@@ -21,7 +21,7 @@
 // Leadership passes to a live peer whose processor share is larger by this
 // factor.
 constexpr double kStrongerFactor = 1.5;
-// A peer not heard of for this long counts as dead.
+// A peer not heard from for this long counts as dead.
 constexpr std::chrono::milliseconds kPeerTimeout{4000};
 // How long a weaker host lets stronger peers try to become the leader first.
 constexpr std::chrono::milliseconds kStrongerPeerHeadStart{400};
@@ -45,14 +45,14 @@
 
 }  // namespace
 
-HostNode::HostNode(HostDependencies ports,
+HostNode::HostNode(HostDependencies dependencies,
                    PeerPort& peers,
                    Loop& loop,
                    EventLog& log,
                    HostSettings settings,
                    JobFrontendFormat format,
                    base::Random random)
-    : m_ports(std::move(ports)),
+    : m_dependencies(std::move(dependencies)),
       m_peer_port(peers),
       m_loop(loop),
       m_log(log),
@@ -60,7 +60,7 @@
       m_random(random),
       m_incarnation(base::MakeId(m_random)),
       m_config_watcher(
-          m_ports,
+          m_dependencies,
           loop,
           log,
           {.on_config =
@@ -119,7 +119,7 @@
   RowTransaction transaction;
   transaction.puts.push_back(
       {kHostTable, "", m_settings.host, OwnEndpoint(), 0, false});
-  m_ports.store.Commit(
+  m_dependencies.store.Commit(
       std::move(transaction), kFindPeersInterval,
       m_lifetime.Guard([this](const TransactionReply& reply) {
         if (reply.outcome != TransactionReply::Outcome::kApplied) {
@@ -130,7 +130,7 @@
 }
 
 void HostNode::FindPeers() {
-  ReadAllRows(m_ports.store, kHostTable, "",
+  ReadAllRows(m_dependencies.store, kHostTable, "",
               m_lifetime.Guard([this](const base::Result<RowPage>& page) {
                 if (page) {
                   for (const Row& row : page->rows) {
@@ -304,7 +304,7 @@
     return;
   }
   m_reading_record = true;
-  m_ports.store.Read(
+  m_dependencies.store.Read(
       kLeaderTable, kLeaderPart, "", m_record_read_timeout,
       m_lifetime.Guard([this](const base::Result<RowPage>& page) {
         m_reading_record = false;
@@ -404,7 +404,7 @@
                               {"seen_version", observed.version},
                               {"seen_holder", observed.record.host}});
   m_candidate = std::make_unique<LeaderTransactions>(
-      m_ports.store, m_loop, m_log,
+      m_dependencies.store, m_loop, m_log,
       LeaderRecord{m_settings.host, OwnEndpoint(), m_incarnation, 0});
   m_candidate->Acquire(observed, m_lifetime.Guard([this](bool taken) {
     m_acquiring = false;
@@ -420,7 +420,8 @@
   m_leader = {m_candidate->FencingToken(), m_settings.host, OwnEndpoint()};
   m_log.Write("office.elected", {{"fence", m_leader.fence}});
   m_dispatcher = std::make_unique<Dispatcher>(
-      m_ports, m_loop, m_log, m_settings, std::move(m_candidate), [this] {
+      m_dependencies, m_loop, m_log, m_settings, std::move(m_candidate),
+      [this] {
         m_loop.After({}, m_lifetime.Guard([this] { HandleLeadershipLost(); }));
       });
   m_dispatcher->ApplyConfig(m_config_watcher.Config());
--- a/src/cassiastile/host/machine_controller.cpp
+++ b/src/cassiastile/host/machine_controller.cpp
@@ -461,8 +461,8 @@
       machine.arriving = true;
       continue;
     }
-    const bool standby = pools[machine.pool].is_spare;
-    const bool idle = worker == nullptr ? standby : worker->runs.empty();
+    const bool is_spare = pools[machine.pool].is_spare;
+    const bool idle = worker == nullptr ? is_spare : worker->runs.empty();
     if (!idle || tracked.idle_since == base::TimePoint{}) {
       tracked.idle_since = now;
     }
