--- a/include/cassiastile/platform/decision_log.hpp
+++ b/include/cassiastile/platform/decision_log.hpp
@@ -21,7 +21,7 @@
 struct DecisionLogOptions {
   std::string process;  // Unique per start of a process, such as "e1-3".
   std::chrono::milliseconds flush_interval{1000};
-  std::size_t max_batch = 500;
+  std::size_t max_batch = 500;  // Decisions that are stored in one object.
   // Limit of decisions that wait to be stored. Beyond it the oldest are dropped
   // and counted.
   std::size_t max_unstored = 20000;
--- a/include/cassiastile/platform/table.hpp
+++ b/include/cassiastile/platform/table.hpp
@@ -13,7 +13,7 @@
 // the row, starting at 1, and keeps increasing when the row is deleted and
 // created again.
 struct Row {
-  std::string key;  // Such as "task/push/6f1c", with parts between slashes.
+  std::string key;  // Such as "task/push/6f1c"; a slash separates parts.
   std::string value;
   std::uint64_t version = 0;
 
@@ -77,7 +77,7 @@
       const std::string& nonce) = 0;
 };
 
-// Reads all rows under a prefix, page by page, so not at one moment.
+// Reads all rows under a prefix, page by page; the result is no snapshot.
 base::Result<std::vector<Row>> ScanAll(Table& table, const std::string& prefix);
 
 }  // namespace cassiastile::platform
--- a/include/cassiastile/work/admission.hpp
+++ b/include/cassiastile/work/admission.hpp
@@ -89,7 +89,8 @@
   void Release(const std::string& team, double cost);
 
   // Removes and refuses queued requests that are not expected to be answered
-  // before their deadline, or that have waited too long for any slot or grant.
+  // before their deadline, or that have waited for max_wait_without_slots while
+  // this host has no usable slots or their team's concurrency limit is zero.
   std::vector<Refusal> RefuseLate(const ServiceRate& rate,
                                   base::TimePoint now,
                                   base::Random& random);
--- a/include/cassiastile/work/placement.hpp
+++ b/include/cassiastile/work/placement.hpp
@@ -19,8 +19,8 @@
   Resources capacity;
   Resources placed;   // Used by the tasks on it.
   Resources reserve;  // Kept free for urgent tasks.
-  // What preemption frees for waiting tasks, so that the same resources are not
-  // counted on twice.
+  // Sizes of the waiting tasks for which runs on it are being preempted, so
+  // that preemption does not count on the same resources twice.
   Resources promised;
   bool in_service = false;
   bool draining = false;
--- a/include/cassiastile/work/runner.hpp
+++ b/include/cassiastile/work/runner.hpp
@@ -26,7 +26,8 @@
   std::uint32_t granted = 0;  // Slots granted to this host.
   std::uint32_t in_use = 0;   // Of these, the ones that are or may be occupied.
 
-  // Moving average over complete answers; zero before the first.
+  // Moving average over complete answers other than server errors. Zero before
+  // the first, and again after a restart or an ejection for slowness.
   base::Duration latency{};
   std::uint32_t failures = 0;  // Consecutive.
   base::TimePoint last_answer{};
--- a/include/cassiastile/work/task_owner.hpp
+++ b/include/cassiastile/work/task_owner.hpp
@@ -41,7 +41,7 @@
 
 std::string_view NameOf(Effect effect);
 
-// What became of one event.
+// The outcome of one event.
 struct TaskResult {
   Effect effect = Effect::kCommitted;
   TaskReply reply;
--- a/include/cassiastile/work/task_shard.hpp
+++ b/include/cassiastile/work/task_shard.hpp
@@ -41,8 +41,8 @@
   // an urgent queue.
   double urgent_reserve = 0.05;
   Resources reserve_piece{4, 16, 0};  // What SpreadReserve reserves per host.
-  // How often an idempotent task may fail, not counting failures on unhealthy
-  // workers; twice as often when they are counted.
+  // Failures after which an idempotent task is given up. Those on unhealthy
+  // workers don't count, but twice as many failures of any kind end it too.
   std::uint32_t max_tries = 3;
   std::size_t max_tasks = 50000;
   // How long ended tasks are kept, and how many a batch deletes at most.
@@ -88,8 +88,8 @@
 
 std::string_view NameOf(Verdict verdict);
 
-// The shard's answer to one event of a batch. It holds once the batch is
-// confirmed.
+// The shard's reply to one event of a batch. kDone and kSame hold only once the
+// batch is confirmed.
 struct TaskReply {
   Verdict verdict = Verdict::kDone;
   std::string reason;
@@ -204,7 +204,7 @@
   TaskReply On(const ResolveEvent& event);
   TaskReply Refuse(const TaskSpec& spec, Verdict verdict, std::string reason);
   // Why the task can't run: its team's limit is zero, or no host of the pool
-  // could hold it. Empty when it can, or while no hosts are known.
+  // could hold it. Empty when it can. While no hosts are known, any task fits.
   std::string WhyUnschedulable(const TaskSpec& spec) const;
   void RecheckUnschedulable();
 
--- a/src/cassiastile/work/placement.cpp
+++ b/src/cassiastile/work/placement.cpp
@@ -25,7 +25,7 @@
 }
 
 // The lowest is best: the number of the team's tasks in the host's zone, that
-// in its rack, and the fraction of the host that would stay free.
+// in its rack, and the largest fraction of any resource that would stay free.
 using Score = std::tuple<std::uint32_t, std::uint32_t, double>;
 
 Score ScoreOf(const PlacementHost& host, const PlacementRequest& request) {
