--- a/include/cassiastile/host/settings.hpp
+++ b/include/cassiastile/host/settings.hpp
@@ -36,7 +36,7 @@
   Endpoint table_endpoint;
   Endpoint machines_endpoint;
   std::string advice_endpoint;  // Empty if no queue uses advice.
-  // Upper bound of the leases that workers get.
+  // Upper bound of lease extensions; a start extends the lease by kWorkerLease.
   std::chrono::milliseconds max_worker_lease{10000};
   // How long a graceful stop may take.
   std::chrono::milliseconds stop_grace{6000};
--- a/include/cassiastile/platform/objects.hpp
+++ b/include/cassiastile/platform/objects.hpp
@@ -7,8 +7,8 @@
 
 namespace cassiastile::platform {
 
-// The platform's object store. This system never changes an object after
-// putting it. Calls block; errors are those of Table.
+// The platform's object store. This system never changes an object once Put has
+// succeeded. Calls block; errors are those of Table.
 class ObjectStore {
  public:
   virtual ~ObjectStore() = default;
