--- a/src/cassiastile/entry/holder_watch.cpp
+++ b/src/cassiastile/entry/holder_watch.cpp
@@ -51,7 +51,7 @@
     m_hosts[host.name].missing_since.reset();
   }
   m_self_listed = present.contains(m_own_name);
-  m_self_last_listed = m_self_listed ? now : m_self_listed_at;
+  m_self_last_listed = m_self_listed ? now : m_self_last_listed;
   for (auto& [name, seen] : m_hosts) {
     if (!present.contains(name) && !seen.missing_since) {
       seen.missing_since = now;
--- a/src/cassiastile/standin/backend_simulation.cpp
+++ b/src/cassiastile/standin/backend_simulation.cpp
@@ -216,7 +216,7 @@
   }
   for (Host& host : m_hosts) {
     if (host.shard) {
-      host.watch->Observe(listed, m_now);
+      host.watch->ObserveHostList(listed, m_now);
       for (std::uint32_t i = 0; i < m_hosts.size(); ++i) {
         host.watch->ObserveIncarnation(HostName(i), m_hosts[i].incarnation,
                                        m_now);
