--- a/include/cassiastile/entry/claim_store.hpp
+++ b/include/cassiastile/entry/claim_store.hpp
@@ -102,7 +102,7 @@
   platform::Table& m_table;
   work::HolderName m_holder;
   ClaimStoreOptions m_options;
-  base::Random m_random;  // Used by the store's thread only.
+  base::Random m_random;  // Used by the store's thread, then by the destructor.
 
   std::mutex m_mutex;
   std::condition_variable m_wake;
--- a/include/cassiastile/entry/credit_plan.hpp
+++ b/include/cassiastile/entry/credit_plan.hpp
@@ -38,8 +38,8 @@
                               const std::set<work::HolderName>& gone);
 
 // Whether the planned row differs in more than the holder's demand. A change of
-// the demand counts only if it is large while the holder lacks credits, or if
-// it begins or ends that lack.
+// the demand counts only if it begins or ends a lack of credits, or if it more
+// than doubles or halves the demand while credits are lacking.
 bool IsWorthWriting(const work::LedgerRow& row,
                     const work::LedgerRow& planned,
                     const work::HolderName& holder);
--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -42,7 +42,7 @@
   std::chrono::milliseconds tick{20};
   std::chrono::milliseconds listing_interval{500};
   std::chrono::milliseconds member_read_interval{5000};
-  // A random time of up to the jitter is added to each interval.
+  // A random time of up to the jitter is added to each credit_sync_interval.
   std::chrono::milliseconds credit_sync_interval{250};
   std::chrono::milliseconds credit_sync_jitter{100};
 };
--- a/include/cassiastile/entry/service_gateway.hpp
+++ b/include/cassiastile/entry/service_gateway.hpp
@@ -42,7 +42,8 @@
                  std::uint64_t seed);
 
   // Accepts a request. Its `done` is called exactly once, with the outcome, on
-  // any thread and possibly within this call.
+  // any thread and possibly within this call, unless the gateway is destroyed
+  // first.
   void Accept(GatewayRequest request);
 
   ServiceShard& Shard() { return m_shard; }
--- a/include/cassiastile/entry/service_shard.hpp
+++ b/include/cassiastile/entry/service_shard.hpp
@@ -48,8 +48,8 @@
   void EndTry(work::TryId try_id, work::TryResult result, base::TimePoint now);
   // Records the result of a runner's health probe.
   void EndProbe(const std::string& runner, bool healthy, base::TimePoint now);
-  // Handles timeouts, probes and hedging. Must be called every few tens of
-  // milliseconds.
+  // Handles all that is due by time, such as timeouts, probes and hedging. Must
+  // be called every few tens of milliseconds.
   void Tick(base::TimePoint now);
   // Sets the listed runners; one that is missing gets no new requests.
   void SetRunners(const std::vector<work::ListedRunner>& listed,
--- a/src/cassiastile/entry/entry_threads.cpp
+++ b/src/cassiastile/entry/entry_threads.cpp
@@ -225,14 +225,14 @@
 // when the table is unreachable and other hosts may soon forfeit them.
 CreditSyncResult EntryService::SyncAccount(CreditAccount& account,
                                            CreditConsumer& consumer) {
-  constexpr int kMaxConflicts = 3;
+  constexpr int kMaxTries = 3;
   const auto find_gone = [this](const std::set<work::HolderName>& holders) {
     const std::lock_guard lock(m_list_mutex);
     return m_watch.FindGoneHolders(holders, m_dependencies.clock.Now());
   };
   CreditSyncResult sync_result = CreditSyncResult::kConflict;
-  for (int i = 0;
-       i < kMaxConflicts && sync_result == CreditSyncResult::kConflict; ++i) {
+  for (int i = 0; i < kMaxTries && sync_result == CreditSyncResult::kConflict;
+       ++i) {
     sync_result = account.Sync(consumer, find_gone, m_dependencies.clock.Now());
   }
   const std::lock_guard lock(m_list_mutex);
--- a/src/cassiastile/entry/holder_watch.cpp
+++ b/src/cassiastile/entry/holder_watch.cpp
@@ -12,7 +12,7 @@
   std::uint64_t incarnation = 0;
 };
 
-// Reverses MakeHolderName; returns nothing for names that it did not make.
+// Reverses MakeHolderName; returns nothing for names of another form.
 std::optional<HolderParts> SplitHolderName(const work::HolderName& holder) {
   const std::size_t separator = holder.rfind('#');
   if (separator == std::string::npos) {
