--- a/include/cassiastile/member/config_store.hpp
+++ b/include/cassiastile/member/config_store.hpp
@@ -39,7 +39,8 @@
   std::uint64_t version = 0;
   // The sequence of the edit's audit row; zero if nothing was committed.
   std::uint64_t audit = 0;
-  std::vector<std::string> sections;  // The changed ones.
+  // The changed ones; empty for the first document.
+  std::vector<std::string> sections;
   config::FleetChange change;
   std::string diff;  // Unified, from the newest version to the edited text.
 };
--- a/include/cassiastile/member/member.hpp
+++ b/include/cassiastile/member/member.hpp
@@ -56,7 +56,7 @@
   Member& operator=(const Member&) = delete;
 
   // Starts the threads for datagrams and for the table; requests of other
-  // members are answered from Create on.
+  // members over TCP are answered from Create on.
   void Start();
   // Stops all threads.
   void Stop();
--- a/include/cassiastile/member/member_rows.hpp
+++ b/include/cassiastile/member/member_rows.hpp
@@ -15,10 +15,11 @@
 // configuration version, and the version of the row itself.
 struct HeadRow {
   ConfigHead head;
-  std::string by;                     // The operator who made the edit.
-  std::string at;                     // RFC 3339 in UTC.
-  std::vector<std::string> sections;  // The changed ones.
-  std::uint64_t row_version = 0;      // Zero if the row doesn't exist yet.
+  std::string by;  // The operator who made the edit.
+  std::string at;  // RFC 3339 in UTC.
+  // The changed ones; empty for the first document.
+  std::vector<std::string> sections;
+  std::uint64_t row_version = 0;  // Zero if the row doesn't exist yet.
 };
 
 inline constexpr const char* kConfigHeadKey = "config/head";
--- a/include/cassiastile/member/shard_lease.hpp
+++ b/include/cassiastile/member/shard_lease.hpp
@@ -17,10 +17,9 @@
 struct ShardLeaseOptions {
   std::string owner;    // NAME#INCARNATION, unique to the process.
   std::string address;  // IP:PORT of its HTTP endpoint.
-  base::Duration lease_duration =
-      std::chrono::milliseconds(3000);  // Lease duration.
-  // Contenders wait this much longer than `lease`, because clocks may run at
-  // different rates.
+  base::Duration lease_duration = std::chrono::milliseconds(3000);
+  // Contenders wait this much longer than `lease_duration`, because clocks may
+  // run at different rates.
   base::Duration clock_margin = std::chrono::milliseconds(200);
   base::Duration renew_period = std::chrono::milliseconds(750);
   base::Duration scan_period = std::chrono::milliseconds(300);
@@ -68,9 +67,9 @@
 // The shard leases of this process: decides which leases to acquire, renew and
 // release. Does no I/O and reads no clock. Not thread-safe.
 //
-// A process acts as the owner until `lease` after the start of its last renewal
-// that is known to have been applied. Another process takes over only after it
-// has seen the rows unchanged for longer than that.
+// A process acts as the owner until `lease_duration` after the start of its
+// last renewal that is known to have been applied. Another process takes over
+// only after it has seen the rows unchanged for longer than that.
 class ShardLeases {
  public:
   explicit ShardLeases(ShardLeaseOptions options);
@@ -116,7 +115,7 @@
     // the shard.
     std::optional<base::TimePoint> renewed_at;
     std::vector<std::string> ranked;
-    // When the first candidate became the first, or when the last handover to
+    // When the first candidate was ranked first, or when the last handover to
     // it was started.
     base::TimePoint first_candidate_since;
   };
--- a/src/cassiastile/member/member.cpp
+++ b/src/cassiastile/member/member.cpp
@@ -191,14 +191,14 @@
   InForceResult WaitUntilInForce(std::uint64_t version) {
     const base::TimePoint end =
         m_clock.Now() + m_options.times.freshness + kExpiryMargin;
-    InForceResult wait;
+    InForceResult result;
     while (true) {
-      wait.missing = WithMembership([&](Membership& membership) {
+      result.missing = WithMembership([&](Membership& membership) {
         return membership.MembersWithoutVersion(version);
       });
-      wait.expired = m_clock.Now() >= end;
-      if (wait.missing.empty() || wait.expired) {
-        return wait;
+      result.expired = m_clock.Now() >= end;
+      if (result.missing.empty() || result.expired) {
+        return result;
       }
       std::this_thread::sleep_for(kPollInterval);
     }
--- a/src/cassiastile/member/membership_receive.cpp
+++ b/src/cassiastile/member/membership_receive.cpp
@@ -192,9 +192,10 @@
          message.incarnation >= found->second.record.incarnation;
 }
 
-// Returns whether the message is newer than all before it, and records its
-// sequence if the sender is known. Messages other than acknowledgements are
-// processed only once and in the order sent; others are dropped as replayed.
+// Returns whether the message is newer than all earlier ones of its sender, and
+// records its sequence if the sender is known. Messages other than
+// acknowledgements are processed only once and in the order sent; others are
+// dropped as replayed.
 bool Membership::AcceptSequence(const Message& message) {
   const auto found = m_peers.find(message.sender);
   if (found == m_peers.end()) {
