--- a/include/cassiastile/standin/backend_model.hpp
+++ b/include/cassiastile/standin/backend_model.hpp
@@ -128,7 +128,7 @@
   std::map<std::uint64_t, ActiveCall> m_calls;
   std::priority_queue<Event, std::vector<Event>, Later> m_events;
   std::vector<Execution> m_log;
-  std::uint64_t m_next_order = 0;  // Of events at the same time.
+  std::uint64_t m_next_order = 0;  // Orders events at the same time.
   std::uint64_t m_arrivals_over_slots = 0;
 };
 
--- a/include/cassiastile/standin/backend_simulation.hpp
+++ b/include/cassiastile/standin/backend_simulation.hpp
@@ -50,7 +50,7 @@
   wire::Execution execution = wire::Execution::kUnknown;
   bool correct = false;  // The complete response to this request.
   base::TimePoint at{};
-  std::uint32_t answers = 0;     // How many the caller got; one is correct.
+  std::uint32_t answers = 0;     // More than one is a fault.
   base::Duration retry_after{};  // Zero when none was given.
 };
 
--- a/include/cassiastile/standin/platform_server.hpp
+++ b/include/cassiastile/standin/platform_server.hpp
@@ -32,7 +32,8 @@
 // docs/PLATFORM.md describes the calls.
 class PlatformServer {
  public:
-  // The clock must outlive the server. Fails when the address can't be bound.
+  // The clock must outlive the server. Fails with kUnavailable when the address
+  // can't be bound.
   static base::Result<std::unique_ptr<PlatformServer>> Start(
       const base::Clock& clock,
       PlatformServerOptions options);
@@ -50,8 +51,8 @@
   void AddHostRoutes(wire::Router& router);
   void AddMachineRoutes(wire::Router& router);
   void AddFaultRoutes(wire::Router& router);
-  // Adds a route that answers after the injected response delay, and with
-  // kInvalid when the body is not valid JSON or lacks a field.
+  // Adds a route that answers after the injected response delay. The
+  // answer is kInvalid when the body is not the JSON that `answer` reads.
   void AddRoute(
       wire::Router& router,
       const std::string& method,
--- a/include/cassiastile/standin/worker.hpp
+++ b/include/cassiastile/standin/worker.hpp
@@ -76,8 +76,8 @@
   bool IsIdle() const;
 
   // Faults. A paused worker is frozen with its runs. All runs fail on a failing
-  // worker. A restarted worker loses all state and returns under a new
-  // incarnation.
+  // worker. A restarted worker returns under a new incarnation and loses all
+  // state, except that a failing one still fails.
   void SetPaused(bool paused);
   bool IsPaused() const;
   void SetFailing(bool failing);
--- a/src/cassiastile/standin/worker_agent.cpp
+++ b/src/cassiastile/standin/worker_agent.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 constexpr std::chrono::milliseconds kTick{50};
-// The least time between two polls of the agent, which otherwise polls at once
-// when a run ends.
+// When a run ends, the next poll is made at once, but no sooner than this after
+// the last one.
 constexpr std::chrono::milliseconds kMinPollGap{100};
 // The time until the next poll after one without an answer.
 constexpr std::chrono::milliseconds kRetryAfter{500};
--- a/src/cassiastile/standin/worker_fleet.cpp
+++ b/src/cassiastile/standin/worker_fleet.cpp
@@ -8,8 +8,8 @@
 
 // The time until the next poll after one without an answer.
 constexpr base::Duration kRetryAfter = std::chrono::milliseconds(500);
-// The least time between two polls of a worker, which otherwise polls at once
-// when a run ends.
+// When a run ends, the next poll is made at once, but no sooner than this after
+// the last one.
 constexpr base::Duration kMinPollGap = std::chrono::milliseconds(100);
 
 }  // namespace
--- a/src/cassiastile/standin/worker_property_test.cpp
+++ b/src/cassiastile/standin/worker_property_test.cpp
@@ -129,7 +129,7 @@
     }
   }
 
-  // Ends all faults and runs long enough for every task that can end.
+  // Ends all faults and runs long enough for every task to end that can.
   void StopFaults() {
     m_cluster.table.SetFaults({});
     m_cluster.workers->SetFaults({});
