--- a/src/cassiastile/entry/holder_watch.cpp
+++ b/src/cassiastile/entry/holder_watch.cpp
@@ -12,7 +12,7 @@
   std::uint64_t incarnation = 0;
 };
 
-// Reverses MakeHolderName; returns nothing for names that it did not make.
+// Reverses MakeHolderName; returns nothing for names of another form.
 std::optional<HolderParts> SplitHolderName(const work::HolderName& holder) {
   const std::size_t separator = holder.rfind('#');
   if (separator == std::string::npos) {
@@ -51,7 +51,7 @@
     m_hosts[host.name].missing_since.reset();
   }
   m_self_listed = present.contains(m_own_name);
-  m_self_last_listed = m_self_listed ? now : m_self_listed_at;
+  m_self_last_listed = m_self_listed ? now : m_self_last_listed;
   for (auto& [name, seen] : m_hosts) {
     if (!present.contains(name) && !seen.missing_since) {
       seen.missing_since = now;
