--- a/src/bin/measure_requests.cpp
+++ b/src/bin/measure_requests.cpp
@@ -115,7 +115,7 @@
     }
     const double took = MillisBetween(request.at, found->second.at);
     const bool good =
-        found->second.whole && took <= static_cast<double>(kTimeout.count());
+        found->second.correct && took <= static_cast<double>(kTimeout.count());
     if (good) {
       answered.push_back(took);
     } else if (found->second.execution == wire::Execution::kNotRun) {
