--- a/include/cassiastile/jobs/admission.hpp
+++ b/include/cassiastile/jobs/admission.hpp
@@ -10,7 +10,7 @@
 
 namespace cassiastile::jobs {
 
-// Why a submitted job was not accepted.
+// Why a submitted job was refused.
 enum class RefusalReason : std::uint8_t {
   kNone,
   // It would miss its objective behind the backlog, or its customer is beyond
@@ -31,7 +31,8 @@
 
 // A job to be admitted to a pool, and the state of that pool.
 struct AdmissionInput {
-  Work backlog;  // Accepted work that is not done yet.
+  // Remaining work of the pool's jobs whose result still has value.
+  Work backlog;
   // Capacity usable by finite tasks, including machines being moved
   // into the pool.
   Resources pool;
@@ -48,20 +49,20 @@
 // The decision on one job, with the values behind it.
 struct AdmissionVerdict {
   bool admitted = true;
-  // For a refused job: the time after which a retry can succeed.
+  // For a refused job: the time after which a retry can succeed, 1 s to 10 s.
   std::chrono::milliseconds retry_after{0};
-  // The expected wait behind the backlog, which is compared with `slack`.
+  // The expected wait behind the backlog, which is compared with `slack`. Both
+  // are zero for a job that fits now or whose pool has no capacity.
   std::chrono::milliseconds wait{0};
   // The longest wait with which the job still meets its objective, but at least
   // a small minimum that every job gets.
   std::chrono::milliseconds slack{0};
 };
 
-// Decides whether a job is accepted. A customer beyond its share is served from
-// free capacity only, so that a burst from one customer doesn't displace the
-// jobs of others. When demand exceeds the pool, a job that would miss its
-// objective behind the backlog is refused at once: accepting it would make it
-// and the jobs behind it late.
+// Decides whether a job is admitted. A customer beyond its share gets only free
+// capacity, so that its burst doesn't displace the jobs of others; any other
+// job is refused if it would miss its objective behind the backlog, since it
+// would be late and make the jobs behind it late.
 AdmissionVerdict Admit(const AdmissionInput& input);
 
 }  // namespace cassiastile::jobs
--- a/include/cassiastile/jobs/fleet_config.hpp
+++ b/include/cassiastile/jobs/fleet_config.hpp
@@ -12,12 +12,13 @@
 
 namespace cassiastile::jobs {
 
-// The time that a queue's placement advisor takes, in total and per worker, and
-// for how long its answer is valid. The scheduler uses only `validity`.
+// The timing of a queue's placement advisor, as configured. The scheduler uses
+// only `validity`.
 struct AdviceConfig {
-  std::chrono::milliseconds decision{0};
+  std::chrono::milliseconds decision{0};  // Time that an answer takes.
+  // Decoded from `period_ms`, despite its name.
   std::chrono::milliseconds per_worker{0};
-  std::chrono::milliseconds validity{0};
+  std::chrono::milliseconds validity{0};  // How long an answer is valid.
 };
 
 // A queue of jobs; requests are routed to it by host and path prefix.
--- a/src/cassiastile/jobs/admission.cpp
+++ b/src/cassiastile/jobs/admission.cpp
@@ -11,7 +11,7 @@
 // expected wait clearly exceeds its slack.
 constexpr double kTolerance = 1.15;
 // Least slack of every job, so that a job that is already late, because its
-// caller got no answer for a while, is still accepted where it hardly waits.
+// caller got no answer for a while, is still admitted where it hardly waits.
 constexpr std::chrono::milliseconds kMinSlack{300};
 constexpr std::chrono::milliseconds kMinRetryAfter{1000};
 constexpr std::chrono::milliseconds kMaxRetryAfter{10000};
--- a/src/cassiastile/jobs/admission_test.cpp
+++ b/src/cassiastile/jobs/admission_test.cpp
@@ -9,6 +9,8 @@
 
 using std::chrono::milliseconds;
 
+// A pool of 100 cores and 1,000,000 MB, and a job with 1 s of slack. Each 100
+// core-seconds of backlog are a wait of 1 s.
 AdmissionInput MakeInput(double backlog_core_seconds) {
   AdmissionInput input;
   input.backlog = {.cpu = backlog_core_seconds * 1000, .memory = 0};
@@ -18,12 +20,13 @@
   return input;
 }
 
-TEST(AdmissionTest, AcceptsJobThatMeetsItsObjective) {
+TEST(AdmissionTest, AdmitsJobThatMeetsItsObjective) {
   EXPECT_TRUE(Admit(MakeInput(90)).admitted);
 }
 
-// At a demand of five times the pool, each job accepted beyond the slack would
-// be late and make those behind it late.
+// Guards against admitting more than the pool can finish: at a demand of five
+// times the pool, each job beyond the slack would be late and make those behind
+// it late.
 TEST(AdmissionTest, RefusesJobThatWouldMissItsObjective) {
   const AdmissionVerdict verdict = Admit(MakeInput(400));
   EXPECT_FALSE(verdict.admitted);
@@ -32,11 +35,11 @@
 
 TEST(AdmissionTest, RefusesJobWhenMemoryIsScarce) {
   AdmissionInput input = MakeInput(0);
-  input.backlog.memory = 5e9;
+  input.backlog.memory = 5e9;  // Megabyte-milliseconds: a wait of 5 s.
   EXPECT_FALSE(Admit(input).admitted);
 }
 
-TEST(AdmissionTest, AcceptsJobThatFitsNow) {
+TEST(AdmissionTest, AdmitsJobThatFitsNow) {
   AdmissionInput input = MakeInput(400);
   input.fits_now = true;
   EXPECT_TRUE(Admit(input).admitted);
@@ -50,7 +53,9 @@
   EXPECT_TRUE(Admit(input).admitted);
 }
 
-TEST(DurationModelTest, UsesEstimatesOnlyWhereTheyAreAccurate) {
+// On queue "good", tasks take twice the estimate; on "bad", they take 800 ms
+// whatever the estimate is.
+TEST(DurationModelTest, UsesEstimatesOnlyWhereTheyPredictDurations) {
   DurationModel model;
   for (int i = 0; i < 200; ++i) {
     const milliseconds good(500 + 10 * (i % 50));
@@ -66,6 +71,8 @@
 }
 
 // After a change of leader, callers submit jobs again that are already late.
+// They still get a slack of 300 ms, which covers a wait of 200 ms but not one
+// of 600 ms.
 TEST(AdmissionTest, LateJobIsTakenWhereItWaitsForNoOthers) {
   AdmissionInput input = MakeInput(20);
   input.time_to_objective = milliseconds(-2000);
@@ -74,7 +81,7 @@
   EXPECT_FALSE(Admit(input).admitted);
 }
 
-TEST(AdmissionTest, VerdictHasTheComparedValues) {
+TEST(AdmissionTest, VerdictReportsWaitAndSlack) {
   const AdmissionVerdict verdict = Admit(MakeInput(400));
   EXPECT_EQ(verdict.wait, milliseconds(4000));
   EXPECT_EQ(verdict.slack, milliseconds(1000));
