--- a/src/cassiastile/jobs/arrival_meter_test.cpp
+++ b/src/cassiastile/jobs/arrival_meter_test.cpp
@@ -20,11 +20,13 @@
 TEST(FirstArrivalsTest, ForgetsJobsNotSubmittedForLong) {
   FirstArrivals arrivals;
   arrivals.RecordArrival("job", kBegin);
+  // Callers keep retrying for less than 30 s.
   const base::TimePoint later = kBegin + std::chrono::seconds(31);
   EXPECT_EQ(arrivals.RecordArrival("job", later), later);
 }
 
-// A flood of jobs that are all refused must not fill the memory.
+// Guards against a flood of refused jobs that fills the memory: about 20,000
+// are kept.
 TEST(FirstArrivalsTest, ForgetsTheOldestWhenThereAreTooMany) {
   FirstArrivals arrivals;
   arrivals.RecordArrival("first", kBegin);
@@ -39,6 +41,7 @@
   ArrivalMeter meter;
   meter.Add("job", {1000, 0}, kBegin);
   meter.Add("job", {1000, 0}, kBegin + milliseconds(100));
+  // 1000 core-milliseconds in the averaged half second.
   EXPECT_DOUBLE_EQ(meter.Rate(kBegin + milliseconds(200)).cpu, 2.0);
 }
 
--- a/src/cassiastile/jobs/pool_plan_test.cpp
+++ b/src/cassiastile/jobs/pool_plan_test.cpp
@@ -61,6 +61,7 @@
   Add("busy", 2, milliseconds(0));
   Add("idle", 5, milliseconds(500));
   Add("spare", 5, milliseconds(60000));
+  // 48 cores with headroom are three machines.
   const auto moves = Plan();
   ASSERT_THAT(moves, SizeIs(1));
   EXPECT_EQ(moves.front().from, "idle");
@@ -74,6 +75,7 @@
   }
   m_pools["busy"].used = {1000, 131072, 0};
   Add("spare", 5, milliseconds(60000));
+  // 131,072 MB in use and 0.6 of the 200,000 MB unplaced are four machines.
   EXPECT_THAT(Plan(), SizeIs(2));
 }
 
--- a/src/cassiastile/jobs/scheduler_bench.hpp
+++ b/src/cassiastile/jobs/scheduler_bench.hpp
@@ -16,7 +16,9 @@
  public:
   explicit SchedulerBench(std::uint32_t max_attempts = 2);
 
+  // A job of one task that needs `cpu` thousandths of a core.
   static JobSpec OneTask(std::int64_t cpu = 1000);
+  // A job of one long-running step.
   static JobSpec LongRunning(std::uint32_t tasks,
                              std::uint32_t max_unavailable);
 
--- a/src/cassiastile/jobs/scheduler_test.cpp
+++ b/src/cassiastile/jobs/scheduler_test.cpp
@@ -32,6 +32,7 @@
   EXPECT_EQ(bench.GetScheduler().FindWorker("a")->acked_end, 1U);
 }
 
+// The next leader reads the store and must find every run that may be alive.
 TEST(SchedulerTest, StartsNothingBeforeItsRecordIsCommitted) {
   SchedulerBench bench;
   bench.AddWorker("a");
@@ -103,6 +104,8 @@
   EXPECT_EQ(successor.GetScheduler().FindJob(kJob)->phase, JobPhase::kRunning);
 }
 
+// If the listed ends counted again, the job would finish before its last step
+// has run.
 TEST(SchedulerTest, EndListedAgainAfterATakeoverCompletesNoOtherStep) {
   SchedulerBench bench;
   bench.AddWorker("a");
@@ -149,6 +152,8 @@
   EXPECT_EQ(successor.GetScheduler().FindJob(kJob)->objective, objective);
 }
 
+// The task may run on the silent worker until its lease ends; started elsewhere
+// before that, it could run twice at once.
 TEST(SchedulerTest, SuccessorWaitsForSilentWorkersLeases) {
   SchedulerBench bench;
   bench.AddWorker("a");
@@ -179,6 +184,8 @@
   EXPECT_EQ(starts.front().worker, (WorkerId{"a", 2}));
 }
 
+// A start without an answer may still be carried out. The task is placed again
+// only after a report from after the answered stop doesn't list the run.
 TEST(SchedulerTest, UnansweredStartIsStoppedBeforeItRunsElsewhere) {
   SchedulerBench bench;
   bench.AddWorker("a");
@@ -291,6 +298,7 @@
   JobSpec spec = SchedulerBench::OneTask(5000);
   spec.steps.front().count = 5;
   bench.Submit(kJob, spec);
+  // Three tasks of 5 cores fit on a worker of 16.
   EXPECT_THAT(bench.StepAndStart(), SizeIs(3));
 }
 
@@ -318,16 +326,16 @@
   SchedulerBench bench;
   bench.AddWorker("a");
   const auto whole_worker = SchedulerBench::OneTask(16000);
-  int taken = 0;
-  while (bench.Submit(std::to_string(taken), whole_worker).verdict !=
+  int accepted_count = 0;
+  while (bench.Submit(std::to_string(accepted_count), whole_worker).verdict !=
          Submission::Verdict::kRefused) {
-    ASSERT_LT(++taken, 100);
+    ASSERT_LT(++accepted_count, 100);
     bench.StepAndStart();
   }
-  const std::string refused_job = std::to_string(taken);
+  const std::string refused_job = std::to_string(accepted_count);
   const base::TimePoint first_request = bench.Now();
   // All accepted jobs are cancelled, so that there is free capacity again.
-  for (int i = 0; i < taken; ++i) {
+  for (int i = 0; i < accepted_count; ++i) {
     bench.GetScheduler().Cancel(std::to_string(i), bench.Now());
   }
   bench.Advance(milliseconds(1000));
@@ -340,13 +348,15 @@
 TEST(SchedulerTest, SimultaneousJobsDoNotAllGetTheSameFreeCapacity) {
   SchedulerBench bench;
   bench.AddWorker("a");
-  int taken = 0;
-  while (bench.Submit(std::to_string(taken), SchedulerBench::OneTask(16000))
+  int accepted_count = 0;
+  while (bench
+             .Submit(std::to_string(accepted_count),
+                     SchedulerBench::OneTask(16000))
              .verdict != Submission::Verdict::kRefused) {
-    ASSERT_LT(++taken, 100);
+    ASSERT_LT(++accepted_count, 100);
   }
   // One job runs; others may wait for up to 1.15 times the slack of 1.1 s.
-  EXPECT_EQ(taken, 3);
+  EXPECT_EQ(accepted_count, 3);
 }
 
 // After a takeover, a worker may be missing from the list though it is still
@@ -412,7 +422,8 @@
 TEST_F(FullPoolTest, LargeTaskIsNotStarvedBySmallOnes) {
   Fill();
   m_bench.Submit(kJob, SchedulerBench::OneTask(10000));
-  // The small tasks that were submitted earlier go first.
+  // The four small tasks that were submitted earlier go first; then ten must
+  // end for its 10 cores.
   EXPECT_LE(EndsUntilStarted(kJob, 30), 14);
 }
 
--- a/src/cassiastile/jobs/wave_plan_test.cpp
+++ b/src/cassiastile/jobs/wave_plan_test.cpp
@@ -68,6 +68,7 @@
   needed.needed = true;
   WaveLimits limits{.max_down = 1, .time_left = milliseconds(60000)};
   EXPECT_THAT(PlanWave({needed}, limits, kNow).cordon, IsEmpty());
+  // Less than twice the 4 s of one maintenance.
   limits.time_left = milliseconds(5000);
   EXPECT_THAT(PlanWave({needed}, limits, kNow).cordon, SizeIs(1));
 }
