--- a/src/cassiastile/fleet/moves_test.cpp
+++ b/src/cassiastile/fleet/moves_test.cpp
@@ -59,6 +59,8 @@
   EXPECT_EQ(count.failed, 2U);
 }
 
+// While a replacement serves, the failed host doesn't count against the budget.
+// Out of service, it would leave two hosts out instead of one.
 TEST_F(MovesTest, ReplacementIsNotDrainedWhileTheBudgetNeedsIt) {
   m_world.document->fleet.pools[0].budget.max_out = 1;
   Run(1);
@@ -72,6 +74,8 @@
       << m_world.table.first_violation;
 }
 
+// Bursts of 10 s at five times a demand of two hosts, then 40 s at a twentieth
+// of it. Demand is averaged over buckets that are longer than such a cycle.
 TEST_F(MovesTest, ShortBurstsMoveNoHost) {
   for (int round = 0; round < 30; ++round) {
     m_world.demand.demand["p0"] = 5 * 2.0;
@@ -83,6 +87,7 @@
 }
 
 TEST_F(MovesTest, LastingDemandChangeMovesAsManyHostsAsNeededAndBack) {
+  // Above 0.9 of four hosts; at a utilization of 0.8, it takes six.
   m_world.demand.demand["p0"] = 4.4;
   Run(1000);
   EXPECT_EQ(Members("p0"), 6U);
--- a/src/cassiastile/fleet/race_test.cpp
+++ b/src/cassiastile/fleet/race_test.cpp
@@ -152,6 +152,7 @@
 }
 
 TEST_F(RaceTest, PausedOwnerIsRejectedByItsFencingToken) {
+  // The version of the lease row is the fencing token.
   auto& rows = m_world.table.Rows();
   ASSERT_TRUE(rows.Apply({"lease-1", {}, {{"lease/p0", "control-1"}}}));
   const platform::Precondition fence{"lease/p0", 1};
--- a/src/cassiastile/fleet/wave_test.cpp
+++ b/src/cassiastile/fleet/wave_test.cpp
@@ -43,6 +43,7 @@
     world.Round(reconciler);
     const std::size_t out =
         world.Pool("p0").out.size() + world.Pool("p1").out.size();
+    // After the canaries, the budgets of both pools allow two hosts each.
     ASSERT_LE(out, world.Wave().canaries_done < 2 ? 1U : 4U);
     world.clock.Advance(seconds(1));
   }
