--- a/include/cassiastile/fleet/budget.hpp
+++ b/include/cassiastile/fleet/budget.hpp
@@ -29,9 +29,10 @@
   std::uint32_t Excess() const { return Out() > max_out ? Out() - max_out : 0; }
 };
 
-// Counts a pool's hosts that are out of service for any cause. `unresponsive`
-// holds the hosts that are in service by their rows but not confirmed to be up.
-// A null `pool`, one that is no longer in the document, has no budget limit.
+// Counts a pool's hosts that are out of service for any cause, where
+// `unresponsive` holds those in service by their rows but not confirmed to be
+// up. A null `pool`, one that is no longer in the document, has no budget
+// limit.
 BudgetCount CountBudget(const config::Pool* pool,
                         const PoolRecord& record,
                         const std::set<std::string>& unresponsive);
--- a/include/cassiastile/fleet/change.hpp
+++ b/include/cassiastile/fleet/change.hpp
@@ -93,7 +93,7 @@
                 const Stored<HostRecord>& host,
                 const HostFailure& failure);
 
-// Marks a drained host as rebooting. The reboot is complete once the machine's
+// Marks a drained host as rebooting; the reboot is complete once the machine's
 // boot count exceeds `boots`. The change names the version of the wave's row,
 // so that no host is rebooted after a halt has committed.
 Change StartReboot(const ChangeContext& context,
--- a/include/cassiastile/fleet/demand.hpp
+++ b/include/cassiastile/fleet/demand.hpp
@@ -31,7 +31,8 @@
   std::optional<base::TimePoint> bucket_start;
 };
 
-// Adds a sample and completes the current bucket if its time is over.
+// Adds a sample, in units of one host's capacity, and completes the current
+// bucket if its time is over.
 DemandHistory AddDemand(DemandHistory history,
                         double hosts,
                         base::TimePoint now,
--- a/include/cassiastile/fleet/wave_plan.hpp
+++ b/include/cassiastile/fleet/wave_plan.hpp
@@ -66,8 +66,8 @@
 WaveStep PlanWaveStep(const WaveInput& input);
 
 // Whether the failure of `host` halts a running wave. The failure of the canary
-// that is out always does. Any other failure does if it brings the number of
-// failures that no operator has accepted to `halt_after`.
+// that is out always does; any other does if it brings the number of failures
+// that no operator has accepted to `halt_after`.
 bool HaltsOnFailure(const config::Wave& wave,
                     const WaveRecord& record,
                     const std::string& host);
--- a/src/cassiastile/fleet/fake_race.hpp
+++ b/src/cassiastile/fleet/fake_race.hpp
@@ -23,15 +23,15 @@
   kHostFails,
   kHostsRepaired,
   kOperatorDrains,
-  kOperatorReturns,
+  kOperatorUndrains,
   kBudgetEdited,
   kHostMovedByEdit,
   kHostRemovedByEdit,
   kWaveStarts,
   kWavePauses,
   kWaveAborts,
-  kStoreFails,
-  kStoreRecovers,
+  kTableFails,
+  kTableRecovers,
   kWorkStarts,
   kWorkEnds,
 };
@@ -47,7 +47,9 @@
 class Race {
  public:
   Race(std::uint64_t seed, double faults)
-      : m_world(MakeDocument(m_shape), seed, std::chrono::seconds(5)),
+      : m_world(MakeDocument(m_document_options),
+                seed,
+                std::chrono::seconds(5)),
         m_first(m_world.MakeReconciler("control-1", seed + 1)),
         m_second(m_world.MakeReconciler("control-2", seed + 2)) {
     Read(m_first);
@@ -115,9 +117,9 @@
           m_world.machines.Repair(HostName(i));
         }
         return true;
-      case Event::kStoreFails:
-      case Event::kStoreRecovers:
-        m_world.table.down = event == Event::kStoreFails;
+      case Event::kTableFails:
+      case Event::kTableRecovers:
+        m_world.table.down = event == Event::kTableFails;
         return true;
       case Event::kWorkStarts:
         m_world.work.work[HostName(pick)].running = 1;
@@ -146,7 +148,7 @@
       case Event::kOperatorDrains:
         static_cast<void>(m_second.DrainHost(HostName(pick), "anna", {}));
         return;
-      case Event::kOperatorReturns:
+      case Event::kOperatorUndrains:
         static_cast<void>(m_second.UndrainHost(HostName(pick), "anna", {}));
         return;
       case Event::kWaveStarts:
@@ -166,11 +168,11 @@
     }
   }
 
-  DocumentOptions m_shape{.pools = kPools,
-                          .hosts = kHosts,
-                          .max_out = 1,
-                          .parallel = 2,
-                          .spare = true};
+  DocumentOptions m_document_options{.pools = kPools,
+                                     .hosts = kHosts,
+                                     .max_out = 1,
+                                     .parallel = 2,
+                                     .spare = true};
   World m_world;
   Reconciler m_first;
   Reconciler m_second;
--- a/src/cassiastile/fleet/race_test.cpp
+++ b/src/cassiastile/fleet/race_test.cpp
@@ -265,7 +265,7 @@
   EXPECT_TRUE(world.Pool("p0").out.empty());
 }
 
-TEST(OutageTest, StoreOutagePausesAWaveThatThenFinishes) {
+TEST(OutageTest, TableOutagePausesAWaveThatThenFinishes) {
   fake::World world(fake::MakeDocument({.pools = 2, .hosts = 6}));
   Reconciler reconciler = world.MakeReconciler("control-1", 1);
   world.Start(reconciler);
