--- a/include/cassiastile/jobs/admission.hpp
+++ b/include/cassiastile/jobs/admission.hpp
@@ -55,7 +55,7 @@
   // are zero for a job that fits now or whose pool has no capacity.
   std::chrono::milliseconds wait{0};
   // The longest wait with which the job still meets its objective, but at least
-  // a small minimum that every job gets.
+  // 300 ms.
   std::chrono::milliseconds slack{0};
 };
 
--- a/include/cassiastile/jobs/arrival_meter.hpp
+++ b/include/cassiastile/jobs/arrival_meter.hpp
@@ -20,10 +20,9 @@
   Work& operator-=(const Work& other);
 };
 
-// Records when each job was first submitted. Callers that were refused or got
-// no answer submit the same job again, and its objective counts from the first
-// submission. Entries expire with age, and the oldest are dropped when there
-// are too many.
+// Records when each job was first submitted: its objective counts from then,
+// and callers that were refused or got no answer submit it again. Entries
+// expire after 30 s, and the oldest are dropped beyond about 20,000.
 class FirstArrivals {
  public:
   // Returns when the job was first submitted, which is `now` for a new job.
--- a/include/cassiastile/jobs/scheduler.hpp
+++ b/include/cassiastile/jobs/scheduler.hpp
@@ -135,10 +135,10 @@
   void Release(const StepSpec& step);
 };
 
-// Decides which tasks run where. It does no I/O: observations and the time go
-// in, orders and rows come out. Only the leader's scheduler gives orders. Each
-// start is recorded in the store before it is ordered, so that the next leader
-// knows every run that may be alive. Not thread-safe.
+// Decides which tasks run where, on the leader only and without I/O:
+// observations and the time go in, orders and rows come out. Each start is
+// recorded in the store before it is ordered, so that the next leader knows
+// every run that may be alive. Not thread-safe.
 class Scheduler {
  public:
   explicit Scheduler(SchedulerOptions options);
@@ -162,8 +162,8 @@
                     JobSpec spec,
                     base::TimePoint now,
                     base::WallTime wall);
-  // Cancels a job that is not finished. Returns false when there is no such
-  // job. Acknowledge once the phase is committed.
+  // Cancels a job unless it is finished; acknowledge once its phase is
+  // committed. Returns false when there is no such job.
   bool Cancel(const std::string& id, base::TimePoint now);
   // The job, or null.
   const Job* FindJob(const std::string& id) const;
--- a/src/cassiastile/jobs/scheduler.cpp
+++ b/src/cassiastile/jobs/scheduler.cpp
@@ -7,7 +7,8 @@
 
 namespace {
 
-// A job accepted by an earlier leader counts as no older than this.
+// A job accepted by an earlier leader counts as no older than this, since its
+// age comes from wall clocks, which may jump.
 constexpr std::chrono::milliseconds kMaxRecoveredAge{60000};
 
 std::chrono::milliseconds Millis(base::WallTime wall) {
@@ -19,7 +20,8 @@
 // time, and each new snapshot visits all of its jobs.
 constexpr std::chrono::milliseconds kMaxSnapshotAge{20};
 
-// The result of a job has no value after this many times its allowed duration.
+// The result of a job has no value after this many times the time from its
+// first submission to its objective.
 constexpr int kWorthlessFactor = 3;
 
 // The fraction of a task that remains, by the progress of its most advanced
--- a/src/cassiastile/jobs/scheduler_place.cpp
+++ b/src/cassiastile/jobs/scheduler_place.cpp
@@ -213,6 +213,7 @@
   const QueueConfig* queue = QueueOf(job);
   const std::string key = StepKey(job.id, occurrence.number, step);
   Advice& advice = m_advice[key];
+  // An advisor that has not answered is asked again after this time.
   constexpr std::chrono::milliseconds kRetryAfter{2000};
   const bool valid = now < advice.valid_until;
   const bool asking = advice.asked_at != base::TimePoint{} &&
--- a/src/cassiastile/jobs/scheduler_runs.cpp
+++ b/src/cassiastile/jobs/scheduler_runs.cpp
@@ -459,6 +459,7 @@
 }
 
 void Scheduler::ExpireRuns(base::TimePoint now) {
+  // A stop order that has not been answered is repeated at this interval.
   constexpr std::chrono::milliseconds kStopRetryInterval{700};
   for (auto& [id, worker] : m_workers) {
     const auto runs = worker.runs;
--- a/src/cassiastile/jobs/scheduler_supervision.cpp
+++ b/src/cassiastile/jobs/scheduler_supervision.cpp
@@ -21,6 +21,8 @@
 // Fillers are sped up only while each tail latency is below this fraction of
 // its target.
 constexpr double kSpeedUpFraction = 0.7;
+// Least time between an order to a filler and speeding it up. Reported loads
+// cover about as long.
 constexpr std::chrono::milliseconds kPaceInterval{500};
 
 }  // namespace
