--- a/include/cassiastile/sim/invariant_checker.hpp
+++ b/include/cassiastile/sim/invariant_checker.hpp
@@ -10,7 +10,7 @@
 namespace cassiastile::sim {
 
 // Checks the invariants of runs, from the requests and answers of callers and
-// from what workers observe. Each violation is a sentence.
+// from what workers observe. Each violation is a sentence. Not thread-safe.
 class InvariantChecker final : public RunObserver {
  public:
   // A caller is about to submit a job; its tasks may run from now on.
--- a/include/cassiastile/sim/table_model.hpp
+++ b/include/cassiastile/sim/table_model.hpp
@@ -12,7 +12,8 @@
 namespace cassiastile::sim {
 
 // The platform's transactional table, in memory. It models neither time nor
-// connections: its user decides which requests are late or lost.
+// connections: its user decides which requests are late or lost. `now` is
+// the table's time, which the answer returns. Not thread-safe.
 class TableModel {
  public:
   // Applies a transaction if each expected row has the expected version, 0 for
--- a/include/cassiastile/sim/worker_model.hpp
+++ b/include/cassiastile/sim/worker_model.hpp
@@ -28,7 +28,7 @@
 
 // Models one incarnation of a worker: its fencing token, lease and runs, and
 // the list of ended runs. Time is passed in, and Advance must be called at
-// NextEvent or later.
+// NextEvent or later. Not thread-safe.
 class WorkerModel {
  public:
   // The observer must outlive the model.
--- a/src/cassiastile/soak/callers.hpp
+++ b/src/cassiastile/soak/callers.hpp
@@ -12,7 +12,7 @@
 
 // Simulated callers that submit jobs, retry until the outcome is known, poll
 // states and cancel jobs, as the platform's callers do. Connections are kept
-// open.
+// open. Must be used on the thread that runs `context`.
 class Callers {
  public:
   // The references must outlive the callers.
--- a/src/cassiastile/soak/fleet.cpp
+++ b/src/cassiastile/soak/fleet.cpp
@@ -33,10 +33,10 @@
 // A fault affects connections and leases for about this long.
 constexpr milliseconds kFaultEffectTime{4000};
 
-// Returns ports that nothing listens on now. They lie below the kernel's
-// ephemeral ports, since an outgoing connection could take such a port while a
-// host is down. The search begins at a port that depends on the process id, so
-// that soaks can run side by side.
+// Returns ports that nothing listens on now, below the kernel's ephemeral
+// ports, of which an outgoing connection could take one while a host is down.
+// The search begins at a port that depends on the process id, so that soaks can
+// run side by side.
 std::vector<std::uint16_t> FreePorts(asio::io_context& context,
                                      std::size_t count) {
   constexpr int kLowest = 10000;
--- a/src/cassiastile/soak/fleet.hpp
+++ b/src/cassiastile/soak/fleet.hpp
@@ -21,7 +21,8 @@
 std::string ServiceName(std::size_t index);
 
 // The host processes, and the stand-in platform services around them: the
-// table, the machines and the workers.
+// table, the machines and the workers. Must be used on the thread that runs
+// `context`.
 class Fleet {
  public:
   // `context`, `loop` and `options` must outlive the fleet. Fails if a server
