--- a/include/cassiastile/jobs/scheduler.hpp
+++ b/include/cassiastile/jobs/scheduler.hpp
@@ -178,8 +178,9 @@
   void WorkersListed(const std::vector<WorkerEntry>& entries,
                      base::TimePoint now);
   // A worker has reported; `asked_at` is when the report was requested. A run
-  // that is missing from it has ended if it was recovered, or was confirmed
-  // before `asked_at`. A report of an older incarnation is ignored.
+  // that is missing from it has ended if it was recovered or was confirmed
+  // before `asked_at`; it is stopped if its start became unknown before that. A
+  // report of an older incarnation is ignored.
   void WorkerReported(const std::string& worker,
                       const WorkerReport& report,
                       base::TimePoint asked_at,
--- a/src/cassiastile/fleet/race_test.cpp
+++ b/src/cassiastile/fleet/race_test.cpp
@@ -221,6 +221,8 @@
   ExpectInvariantsHold(world);
 }
 
+// Both documents have the accepted version, so only the version of the host's
+// row keeps the second owner from adding it to another pool.
 TEST(MembershipTest, TwoOwnersWithDifferentDocumentsAddAHostOnce) {
   fake::World world(fake::MakeDocument({.pools = 2, .hosts = 2}));
   Reconciler first = world.MakeReconciler("control-1", 1);
--- a/src/cassiastile/jobs/scheduler_runs.cpp
+++ b/src/cassiastile/jobs/scheduler_runs.cpp
@@ -198,8 +198,8 @@
       listed.emplace_back(*ref, run.run);
     }
   }
-  // A run that is missing from a newer report has ended without being listed,
-  // or its start order will not be carried out any more.
+  // A run that is missing from a newer report has ended without being listed
+  // or, once its stop order was answered, cannot start any more.
   const auto runs = worker->runs;
   for (const auto& [ref, number] : runs) {
     Run* run = FindRun(ref, number);
