--- a/src/cassiastile/fleet/race_test.cpp
+++ b/src/cassiastile/fleet/race_test.cpp
@@ -152,6 +152,7 @@
 }
 
 TEST_F(RaceTest, PausedOwnerIsRejectedByItsFencingToken) {
+  // The version of the lease row is the fencing token.
   auto& rows = m_world.table.Rows();
   ASSERT_TRUE(rows.Apply({"lease-1", {}, {{"lease/p0", "control-1"}}}));
   const platform::Precondition fence{"lease/p0", 1};
@@ -220,6 +221,8 @@
   ExpectInvariantsHold(world);
 }
 
+// Both documents have the accepted version, so only the version of the host's
+// row keeps the second owner from adding it to another pool.
 TEST(MembershipTest, TwoOwnersWithDifferentDocumentsAddAHostOnce) {
   fake::World world(fake::MakeDocument({.pools = 2, .hosts = 2}));
   Reconciler first = world.MakeReconciler("control-1", 1);
@@ -264,7 +267,7 @@
   EXPECT_TRUE(world.Pool("p0").out.empty());
 }
 
-TEST(OutageTest, StoreOutagePausesAWaveThatThenFinishes) {
+TEST(OutageTest, TableOutagePausesAWaveThatThenFinishes) {
   fake::World world(fake::MakeDocument({.pools = 2, .hosts = 6}));
   Reconciler reconciler = world.MakeReconciler("control-1", 1);
   world.Start(reconciler);
