--- a/include/cassiastile/entry/credit_plan.hpp
+++ b/include/cassiastile/entry/credit_plan.hpp
@@ -59,7 +59,9 @@
  public:
   explicit PeakWindow(base::Duration length) : m_length(length) {}
 
+  // `now` must not be earlier than in the call before.
   void Add(std::uint32_t value, base::TimePoint now);
+  // The maximum in the window that ended at the last Add; zero before any Add.
   std::uint32_t Peak() const;
 
  private:
--- a/include/cassiastile/entry/entry_host.hpp
+++ b/include/cassiastile/entry/entry_host.hpp
@@ -31,7 +31,8 @@
 // health checks and metrics over HTTP.
 class EntryHost {
  public:
-  // Fails when an address can't be bound or an option is invalid.
+  // Fails with kUnavailable when an address can't be bound, and with kInvalid
+  // when an option is invalid.
   static base::Result<std::unique_ptr<EntryHost>> Start(
       EntryHostOptions options);
 
--- a/include/cassiastile/entry/service_shard.hpp
+++ b/include/cassiastile/entry/service_shard.hpp
@@ -68,9 +68,10 @@
 
   // The recent peak of requests that wait or run here, by team.
   std::map<std::string, std::uint32_t> TeamDemand(base::TimePoint now);
-  // Sets one team's quota; `decide` is given how many of its requests run.
+  // Sets one team's quota; `decide` is given how many of its requests run. It
+  // is called under the shard's lock, so it must not call the shard.
   using QuotaDecision = std::function<work::TeamQuota(std::uint32_t running)>;
-  void DecideQuota(const std::string& team, const QuotaDecision& decide);
+  void UpdateQuota(const std::string& team, const QuotaDecision& decide);
 
   // Counts for metrics and decision records.
   struct Stats {
@@ -78,7 +79,7 @@
     std::size_t unfinished = 0;
     std::uint32_t slots = 0;  // Granted to this host.
     std::uint32_t in_use = 0;
-    std::uint32_t ejected = 0;
+    std::uint32_t ejected = 0;  // Runners that are not healthy.
   };
   Stats ReadStats() const;
 
--- a/include/cassiastile/entry/team_credits.hpp
+++ b/include/cassiastile/entry/team_credits.hpp
@@ -16,6 +16,8 @@
 
 // A service's name and its shard on this host.
 using NamedShard = std::pair<std::string, std::shared_ptr<ServiceShard>>;
+// Lists the shards of all services on this host. TeamCredits calls it
+// under its lock, so it must not call TeamCredits.
 using ShardLister = std::function<std::vector<NamedShard>()>;
 
 // Consumes the credits for teams' request limits: splits what this host was
@@ -35,15 +37,17 @@
  private:
   using Demands = std::map<std::string, std::map<std::string, std::uint32_t>>;
 
+  // These need m_mutex held.
   Grants ApplyGrantsLocked(const Grants& grants);
-  std::uint32_t SplitAmongShards(const std::string& team,
-                                 std::uint32_t weight,
-                                 std::uint32_t granted);
+  std::uint32_t SplitAmongServicesLocked(const std::string& team,
+                                         std::uint32_t weight,
+                                         std::uint32_t granted);
 
   const config::FleetSource& m_source;
   ShardLister m_list_shards;
   std::mutex m_mutex;
-  std::map<std::string, work::Ledger> m_split;     // By team, among services.
+  // By team; the holders in these ledgers are the services, by name.
+  std::map<std::string, work::Ledger> m_split;
   std::map<std::string, std::uint32_t> m_running;  // Requests, by team.
   Grants m_granted;   // The grants of the last ApplyGrants.
   Demands m_demands;  // By team and service.
--- a/src/cassiastile/entry/credit_account_test.cpp
+++ b/src/cassiastile/entry/credit_account_test.cpp
@@ -78,7 +78,7 @@
   EXPECT_EQ(GrantedIn("e1#1"), 2U);
 }
 
-TEST_F(CreditAccountTest, GrantedCreditsStayUsableWhileTheStoreIsDown) {
+TEST_F(CreditAccountTest, GrantedCreditsStayUsableWhileTheTableIsDown) {
   m_account.Sync(m_consumer, NoneGone, kStart);
   m_table.SetFaults({.down = true});
   m_consumer.wanted = 0;
@@ -123,6 +123,7 @@
   return host;
 }
 
+// The default of longest_request is 60 seconds.
 TEST(HolderWatchTest, ReplacedProcessIsGoneAfterItsLongestRequest) {
   HolderWatch watch("e1", {});
   watch.ObserveIncarnation("e2", 2, kStart);
@@ -135,6 +136,7 @@
   HolderWatch watch("e1", {});
   watch.ObserveHostList({ListEntry("e2")}, kStart);
   watch.ObserveHostList({}, kStart);
+  // Longer than max_absence, 10 minutes.
   const base::TimePoint later = kStart + std::chrono::minutes(11);
   EXPECT_FALSE(watch.IsGone("e2#1", later));
   watch.ObserveHostList({ListEntry("e1")}, later);
@@ -143,6 +145,8 @@
   EXPECT_FALSE(watch.IsGone("e2#1", later));
 }
 
+// Others take the credits after max_absence, 10 minutes. The host must stop
+// using them earlier by twice longest_request, one minute.
 TEST(HolderWatchTest, CutOffHostStopsBeforeOthersTakeItsCredits) {
   HolderWatch watch("e1", {});
   watch.ObserveHostList({ListEntry("e1")}, kStart);
--- a/src/cassiastile/entry/entry_bench.hpp
+++ b/src/cassiastile/entry/entry_bench.hpp
@@ -86,7 +86,7 @@
 // An entry host over real sockets.
 class TestHost {
  public:
-  TestHost(TestPlatform& shared, const std::string& name) {
+  TestHost(TestPlatform& test_platform, const std::string& name) {
     EntryOptions options;
     options.name = name;
     options.zone = "z1";
@@ -98,8 +98,9 @@
     options.limits.max_body_bytes = 1000;
     options.limits.max_headers = 20;
     m_service = EntryService::Create(
-                    options, {shared.table, shared.hosts, shared.fleet,
-                              shared.decisions, shared.clock, m_metrics})
+                    options, {test_platform.table, test_platform.hosts,
+                              test_platform.fleet, test_platform.decisions,
+                              test_platform.clock, m_metrics})
                     .value();
     wire::Router router;
     m_service->AddRoutes(router);
@@ -147,13 +148,13 @@
 }
 
 inline std::unique_ptr<standin::Backend> StartRunner(
-    TestPlatform& shared,
+    TestPlatform& test_platform,
     const std::string& name,
     const std::string& service = "draw") {
   standin::BackendOptions options;
   options.name = name;
   auto backend = standin::Backend::Start(options).value();
-  shared.hosts.Set(ListRunner(name, service, backend->Address()));
+  test_platform.hosts.Set(ListRunner(name, service, backend->Address()));
   return backend;
 }
 
--- a/src/cassiastile/entry/entry_hosts_test.cpp
+++ b/src/cassiastile/entry/entry_hosts_test.cpp
@@ -9,7 +9,7 @@
 namespace cassiastile::entry {
 namespace {
 
-using Answers = std::vector<std::future<wire::HttpOutcome>>;
+using PendingAnswers = std::vector<std::future<wire::HttpOutcome>>;
 
 class EntryHostsTest : public testing::Test {
  protected:
@@ -31,7 +31,7 @@
     return nlohmann::json::parse(response.body).value("execution", "");
   }
 
-  std::future<wire::HttpOutcome> Start(wire::HttpCall call) {
+  std::future<wire::HttpOutcome> StartCall(wire::HttpCall call) {
     auto promise = std::make_shared<std::promise<wire::HttpOutcome>>();
     auto future = promise->get_future();
     m_client->Start(std::move(call), [promise](wire::HttpOutcome outcome) {
@@ -40,8 +40,9 @@
     return future;
   }
 
-  // Repeats the call until the outcome of its claim is in the table.
-  wire::HttpResponse CallUntilKnown(const wire::HttpCall& call) {
+  // Repeats the call until it isn't answered with 409, which means that the
+  // outcome of its claim is not in the table yet.
+  wire::HttpResponse CallUntilOutcomeIsStored(const wire::HttpCall& call) {
     constexpr int kConflict = 409;
     while (true) {
       auto response = m_client->Call(call).value();
@@ -52,16 +53,17 @@
     }
   }
 
-  TestPlatform m_shared;
-  std::unique_ptr<standin::Backend> m_runner = StartRunner(m_shared, "r1");
-  TestHost m_first{m_shared, "e1"};
-  TestHost m_second{m_shared, "e2"};
+  TestPlatform m_platform;
+  std::unique_ptr<standin::Backend> m_runner = StartRunner(m_platform, "r1");
+  TestHost m_first{m_platform, "e1"};
+  TestHost m_second{m_platform, "e2"};
   std::unique_ptr<wire::HttpClient> m_client = wire::HttpClient::Create();
 };
 
 TEST_F(EntryHostsTest, RetryAtAnotherHostGetsTheSameAnswer) {
   EXPECT_EQ(m_client->Call(MakeCall(m_first, "entry", "k-1"))->status, 200);
-  const auto again = CallUntilKnown(MakeCall(m_second, "entry", "k-1"));
+  const auto again =
+      CallUntilOutcomeIsStored(MakeCall(m_second, "entry", "k-1"));
   EXPECT_EQ(again.status, 200);
   EXPECT_EQ(again.body, "entry");
   EXPECT_EQ(m_runner->Log().size(), 1U);
@@ -69,10 +71,10 @@
 
 TEST_F(EntryHostsTest, SameKeyAtBothHostsAtOnceRunsOnce) {
   m_runner->SetServiceTime(std::chrono::milliseconds(50));
-  Answers answers;
+  PendingAnswers answers;
   for (int i = 0; i < 10; ++i) {
     answers.push_back(
-        Start(MakeCall(i % 2 == 0 ? m_first : m_second, "entry", "k-2")));
+        StartCall(MakeCall(i % 2 == 0 ? m_first : m_second, "entry", "k-2")));
   }
   for (auto& answer : answers) {
     EXPECT_TRUE(answer.get().has_value());
@@ -90,23 +92,26 @@
 
 TEST_F(EntryHostsTest, RequestWhoseKeyCannotBeClaimedIsNotRun) {
   EXPECT_EQ(m_client->Call(MakeCall(m_first, "warm"))->status, 200);
-  m_shared.table.SetFaults({.down = true});
+  m_platform.table.SetFaults({.down = true});
   const auto refused =
       m_client->Call(MakeCall(m_first, "entry", "k-4")).value();
   EXPECT_EQ(refused.status, 503);
   EXPECT_EQ(ExecutionIn(refused), "not-run");
-  m_shared.table.SetFaults({.lose_answer = 1});
+  m_platform.table.SetFaults({.lose_answer = 1});
   const auto lost = m_client->Call(MakeCall(m_first, "entry", "k-5")).value();
   EXPECT_EQ(ExecutionIn(lost), "not-run");
-  m_shared.table.SetFaults({});
+  m_platform.table.SetFaults({});
   EXPECT_EQ(m_runner->Log().size(), 1U);
 }
 
-TEST_F(EntryHostsTest, LostRequestStaysUnknownForItsKey) {
+// The runner closes the connection without an answer, so the request may have
+// run. A retry must not run it again.
+TEST_F(EntryHostsTest, RequestWhoseRunnerDiedStaysUnknownForItsKey) {
   m_runner->SetFault(standin::BackendFault::kDie, 1);
   const auto lost = m_client->Call(MakeCall(m_first, "entry", "k-6")).value();
   EXPECT_EQ(ExecutionIn(lost), "unknown");
-  const auto again = CallUntilKnown(MakeCall(m_second, "entry", "k-6"));
+  const auto again =
+      CallUntilOutcomeIsStored(MakeCall(m_second, "entry", "k-6"));
   EXPECT_EQ(ExecutionIn(again), "unknown");
   EXPECT_EQ(m_runner->Log().size(), 1U);
 }
@@ -123,9 +128,10 @@
   runner->SetServiceTime(std::chrono::milliseconds(20));
   const TestHost first(limited, "e1");
   const TestHost second(limited, "e2");
-  Answers answers;
+  PendingAnswers answers;
   for (int i = 0; i < 60; ++i) {
-    answers.push_back(Start(MakeCall(i % 2 == 0 ? first : second, "entry")));
+    answers.push_back(
+        StartCall(MakeCall(i % 2 == 0 ? first : second, "entry")));
   }
   std::size_t answered = 0;
   for (auto& answer : answers) {
@@ -140,24 +146,26 @@
 
 TEST_F(EntryHostsTest, TwoHostsNeverExceedARunnersSlots) {
   m_runner->SetServiceTime(std::chrono::milliseconds(20));
-  Answers answers;
+  PendingAnswers answers;
   for (int i = 0; i < 100; ++i) {
     answers.push_back(
-        Start(MakeCall(i % 2 == 0 ? m_first : m_second, "entry")));
+        StartCall(MakeCall(i % 2 == 0 ? m_first : m_second, "entry")));
   }
   for (auto& answer : answers) {
     EXPECT_TRUE(answer.get().has_value());
   }
   EXPECT_EQ(m_runner->Counts().starts_over_slots, 0U);
+  // The default of config::Service::connections_per_runner.
   EXPECT_LE(m_runner->Counts().peak_connections, 64U);
 }
 
 TEST_F(EntryHostsTest, StoppingHostFinishesAcceptedRequests) {
   m_runner->SetServiceTime(std::chrono::milliseconds(30));
-  Answers answers;
+  PendingAnswers answers;
   for (int i = 0; i < 20; ++i) {
-    answers.push_back(Start(MakeCall(m_first, "entry")));
+    answers.push_back(StartCall(MakeCall(m_first, "entry")));
   }
+  // Shorter than the service time: the first requests still run in Stop.
   std::this_thread::sleep_for(std::chrono::milliseconds(20));
   EXPECT_EQ(m_first.Stop(), 0U);
   for (auto& answer : answers) {
@@ -170,8 +178,9 @@
 TEST_F(EntryHostsTest, StoppedHostReleasesItsSlots) {
   EXPECT_EQ(m_client->Call(MakeCall(m_first, "entry"))->status, 200);
   m_first.Stop();
-  const auto row = m_shared.table.Get("ledger/slots/draw").value();
+  const auto row = m_platform.table.Get("ledger/slots/draw").value();
   const auto ledgers = work::ParseLedgerRow(row->value).value();
+  // HOST#INCARNATION of the stopped host.
   EXPECT_FALSE(ledgers.at("r1").holdings.contains("e1#1"));
 }
 
--- a/src/cassiastile/entry/entry_service.cpp
+++ b/src/cassiastile/entry/entry_service.cpp
@@ -9,6 +9,7 @@
 
 namespace {
 
+// Upper bounds in seconds.
 const std::vector<double> kLatencyBuckets{0.005, 0.01, 0.025, 0.05, 0.1, 0.25,
                                           0.5,   1,    2.5,   5,    10,  30};
 
--- a/src/cassiastile/entry/entry_service_test.cpp
+++ b/src/cassiastile/entry/entry_service_test.cpp
@@ -53,10 +53,10 @@
     m_second->SetFault(fault, count);
   }
 
-  TestPlatform m_shared;
-  std::unique_ptr<standin::Backend> m_first = StartRunner(m_shared, "r1");
-  std::unique_ptr<standin::Backend> m_second = StartRunner(m_shared, "r2");
-  TestHost m_host{m_shared, "e1"};
+  TestPlatform m_platform;
+  std::unique_ptr<standin::Backend> m_first = StartRunner(m_platform, "r1");
+  std::unique_ptr<standin::Backend> m_second = StartRunner(m_platform, "r2");
+  TestHost m_host{m_platform, "e1"};
   std::unique_ptr<wire::HttpClient> m_client = wire::HttpClient::Create();
 };
 
@@ -67,9 +67,9 @@
   EXPECT_EQ(RunCount("band 7"), 1U);
 }
 
-TEST_F(EntryServiceTest, RunnersNeverSeeTheCallersKey) {
+TEST_F(EntryServiceTest, CallersKeyIsNeitherRecordedNorForwarded) {
   Call("GET", "/v1/services/draw/order");
-  for (const auto& decision : m_shared.decisions.All()) {
+  for (const auto& decision : m_platform.decisions.All()) {
     EXPECT_EQ(decision.subject.find("secret"), std::string::npos);
   }
   const wire::HttpHeaders passed = KeepEndToEndHeaders(
@@ -91,13 +91,13 @@
 
 TEST_F(EntryServiceTest, WithdrawnKeyIsRefused) {
   EXPECT_EQ(Call("GET", "/v1/services/draw/order").status, 200);
-  m_shared.fleet.Edit([](config::Fleet& fleet) { fleet.keys.clear(); });
+  m_platform.fleet.Edit([](config::Fleet& fleet) { fleet.keys.clear(); });
   EXPECT_EQ(Call("GET", "/v1/services/draw/order").status, 401);
 }
 
 TEST_F(EntryServiceTest, StaleConfigurationRefusesKeysAndServesOpenServices) {
-  const auto news = StartRunner(m_shared, "r3", "news");
-  m_shared.fleet.SetFresh(false);
+  const auto news = StartRunner(m_platform, "r3", "news");
+  m_platform.fleet.SetFresh(false);
   const auto refused = Call("POST", "/v1/services/draw/order", "x");
   EXPECT_EQ(refused.status, 503);
   EXPECT_EQ(ExecutionIn(refused), "not-run");
@@ -111,11 +111,12 @@
   const auto refused = Call("GET", "/v1/services/none/x");
   EXPECT_EQ(refused.status, 404);
   const auto id = nlohmann::json::parse(refused.body)["decision"];
-  ASSERT_EQ(m_shared.decisions.All().size(), 1U);
-  EXPECT_EQ(m_shared.decisions.All().front().id, id);
+  ASSERT_EQ(m_platform.decisions.All().size(), 1U);
+  EXPECT_EQ(m_platform.decisions.All().front().id, id);
 }
 
-TEST_F(EntryServiceTest, RequestsOverALimitAreRefused) {
+TEST_F(EntryServiceTest, RequestsOverALimitOrWithAnInvalidTimeoutAreRefused) {
+  // TestHost allows a body of 1000 bytes and 20 headers.
   const auto large =
       Call("POST", "/v1/services/draw/order", std::string(1001, 'x'));
   EXPECT_EQ(large.status, 413);
@@ -178,8 +179,9 @@
 
 TEST_F(EntryServiceTest, UnreachableRunnersMeanNotRun) {
   EXPECT_EQ(Call("GET", "/v1/services/draw/order").status, 200);
-  m_shared.hosts.Set(ListRunner("r1", "draw", "127.0.0.1:1"));
-  m_shared.hosts.Set(ListRunner("r2", "draw", "127.0.0.1:1"));
+  m_platform.hosts.Set(ListRunner("r1", "draw", "127.0.0.1:1"));
+  m_platform.hosts.Set(ListRunner("r2", "draw", "127.0.0.1:1"));
+  // Several listing intervals of TestHost, 50 ms each.
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
   const auto refused = Call("POST", "/v1/services/draw/order", "x");
   EXPECT_EQ(refused.status, 503);
@@ -187,6 +189,9 @@
   EXPECT_EQ(RunCount("x"), 0U);
 }
 
+// The runners ignore the connections that the host has pooled, without closing
+// them. A non-idempotent request gets a new connection, since it can't be tried
+// again; an idempotent one can.
 TEST_F(EntryServiceTest, SilentConnectionsAreHiddenFromCallers) {
   for (int i = 0; i < 8; ++i) {
     EXPECT_EQ(Call("GET", "/v1/services/draw/order").status, 200);
@@ -203,7 +208,8 @@
 TEST_F(EntryServiceTest, LeavingRunnerGetsNothingNew) {
   auto leaving = ListRunner("r1", "draw", m_first->Address());
   leaving.state = platform::ListedState::kLeaving;
-  m_shared.hosts.Set(leaving);
+  m_platform.hosts.Set(leaving);
+  // Several listing intervals of TestHost, 50 ms each.
   std::this_thread::sleep_for(std::chrono::milliseconds(300));
   const std::size_t before = m_first->Log().size();
   for (int i = 0; i < 10; ++i) {
@@ -227,9 +233,9 @@
             1U);
 }
 
-TEST_F(EntryServiceTest, RequestsRunOnGrantedCreditsWhileTheStoreIsDown) {
+TEST_F(EntryServiceTest, RequestsRunOnGrantedCreditsWhileTheTableIsDown) {
   EXPECT_EQ(Call("GET", "/v1/services/draw/order").status, 200);
-  m_shared.table.SetFaults({.down = true});
+  m_platform.table.SetFaults({.down = true});
   for (int i = 0; i < 10; ++i) {
     EXPECT_EQ(Call("POST", "/v1/services/draw/order", "x").status, 200);
   }
--- a/src/cassiastile/entry/service_shard.cpp
+++ b/src/cassiastile/entry/service_shard.cpp
@@ -121,7 +121,7 @@
   return demand;
 }
 
-void ServiceShard::DecideQuota(const std::string& team,
+void ServiceShard::UpdateQuota(const std::string& team,
                                const QuotaDecision& decide) {
   const std::lock_guard lock(m_mutex);
   const std::uint32_t running = m_dispatcher.TeamRunning(team);
--- a/src/cassiastile/entry/team_credits.cpp
+++ b/src/cassiastile/entry/team_credits.cpp
@@ -9,9 +9,12 @@
 
 std::uint32_t WeightOf(const config::Fleet& fleet, const std::string& team) {
   const config::Share* share = config::FindShare(fleet, team);
+  // A weight of zero, which the fleet reader rejects, counts as one.
   return share == nullptr ? 1 : std::max(1U, share->weight);
 }
 
+// How many credits to request for a team's peak demand at one service, so that
+// it is still met while it grows. None without a demand.
 std::uint32_t WithTeamHeadroom(std::uint32_t peak) {
   constexpr std::uint32_t kHeadroomDivisor = 4;
   return peak == 0 ? 0 : peak + peak / kHeadroomDivisor + 1;
@@ -60,16 +63,16 @@
 
 Grants TeamCredits::ApplyGrantsLocked(const Grants& grants) {
   const auto accepted = m_source.Current();
-  Grants in_use;
+  Grants in_use_bounds;
   if (!accepted) {
-    return in_use;
+    return in_use_bounds;
   }
   std::set<std::string> limited;
   for (const config::Limit& limit : accepted->fleet.limits) {
     limited.insert(limit.team);
     const auto found = grants.find(limit.team);
     const std::uint32_t granted = found == grants.end() ? 0 : found->second;
-    in_use[limit.team] = SplitAmongShards(
+    in_use_bounds[limit.team] = SplitAmongServicesLocked(
         limit.team, WeightOf(accepted->fleet, limit.team), granted);
   }
   for (const config::Team& team : accepted->fleet.teams) {
@@ -78,18 +81,17 @@
     }
     const work::TeamQuota quota{WeightOf(accepted->fleet, team.name), {}};
     for (const auto& [service, shard] : m_list_shards()) {
-      shard->DecideQuota(team.name, [&quota](std::uint32_t) { return quota; });
+      shard->UpdateQuota(team.name, [&quota](std::uint32_t) { return quota; });
     }
   }
-  return in_use;
+  return in_use_bounds;
 }
 
-// Sets how many requests of the team each service may run. The second round
-// gives services what others released in the first. Returns the sum over the
-// services.
-std::uint32_t TeamCredits::SplitAmongShards(const std::string& team,
-                                            std::uint32_t weight,
-                                            std::uint32_t granted) {
+// Sets how many requests of the team each service may run and returns the sum.
+// The second round gives services what others released in the first.
+std::uint32_t TeamCredits::SplitAmongServicesLocked(const std::string& team,
+                                                    std::uint32_t weight,
+                                                    std::uint32_t granted) {
   constexpr int kRounds = 2;
   work::Ledger& split = m_split[team];
   split.capacity = granted;
@@ -100,7 +102,7 @@
       const std::uint32_t wanted = demand == m_demands[team].end()
                                        ? 0
                                        : WithTeamHeadroom(demand->second);
-      shard->DecideQuota(team, [&, &name = service](std::uint32_t running) {
+      shard->UpdateQuota(team, [&, &name = service](std::uint32_t running) {
         m_running[team] += running;
         split = work::Rebalance(split, name, running, wanted);
         const auto holding = split.holdings.find(name);
