--- a/include/cassiastile/member/member.hpp
+++ b/include/cassiastile/member/member.hpp
@@ -47,7 +47,8 @@
 class Member final : public config::FleetSource, public EditQuorum {
  public:
   // The table and the clock must outlive the member. The table should be a
-  // platform::StoreGuard. Fails if the addresses can't be bound.
+  // platform::StoreGuard. Fails with kUnavailable if the addresses can't be
+  // bound.
   static base::Result<std::unique_ptr<Member>> Create(MemberOptions options,
                                                       platform::Table& table,
                                                       const base::Clock& clock);
--- a/include/cassiastile/member/shard_lease.hpp
+++ b/include/cassiastile/member/shard_lease.hpp
@@ -39,7 +39,8 @@
   std::uint64_t renewal_version = 0;  // Row version; zero if there is no row.
 };
 
-// Groups the rows under lease/ and renewal/ by shard.
+// Groups the rows under lease/ and renewal/ by shard. A lease row that is not a
+// JSON object counts as released, with epoch zero.
 std::map<std::string, LeaseRows> ReadLeaseRows(
     const std::vector<platform::Row>& leases,
     const std::vector<platform::Row>& renewals);
--- a/include/cassiastile/member/shard_lease_manager.hpp
+++ b/include/cassiastile/member/shard_lease_manager.hpp
@@ -37,7 +37,7 @@
   // Starts the thread.
   void Start();
   // Stops the thread and releases all leases, so that other processes can take
-  // over at once.
+  // over without waiting for their end. Releases none if Start was not called.
   void Stop();
   // Runs one round of the thread's work. Public for tests and measurements.
   void RunOnce();
--- a/src/cassiastile/member/config_store_test.cpp
+++ b/src/cassiastile/member/config_store_test.cpp
@@ -193,6 +193,7 @@
 }
 
 TEST_F(ConfigStoreTest, ExpiredPromisesAreAskedForAgainBeforeTheCommit) {
+  // Longer than the 4 seconds from Prepare in which a commit may be started.
   m_quorum.on_prepare = [&] { m_clock.Advance(std::chrono::seconds(9)); };
   const EditResult result = m_store.Accept(LimitsEdit("late"));
   ASSERT_TRUE(result) << Describe(result);
@@ -221,6 +222,7 @@
 // be; only kUnknown leaves the outcome open.
 TEST_F(ConfigStoreTest, LostAnswersAreResolved) {
   std::uint64_t accepted = 1;
+  // Probabilities of fail_before, lose_answer and delay_apply.
   m_table.SetFaults({false, 0.1, 0.3, 0.2});
   for (int i = 0; i < 100; ++i) {
     const EditResult result =
--- a/src/cassiastile/member/membership_test.cpp
+++ b/src/cassiastile/member/membership_test.cpp
@@ -18,7 +18,8 @@
 
 class FleetTest : public ::testing::Test {
  protected:
-  // Starts a fleet whose members know each other and have version 1 in force.
+  // Starts a fleet of 14 members, two on each of 7 hosts, that know each other
+  // and have version 1 in force.
   void SetUp() override {
     AddFleet(m_network, {});
     CommitVersion(m_network, 1);
@@ -122,7 +123,7 @@
 
 TEST_F(FleetTest, MinorityWithoutTheTableStopsWithinFreshness) {
   CutOff({"h00-0", "h00-1", "h01-0", "h01-1", "h02-0", "h02-1"});
-  m_network.Run(milliseconds(2100));
+  m_network.Run(milliseconds(2100));  // Longer than `freshness`, 2 seconds.
   EXPECT_EQ(CountFresh(), 8U);
 }
 
@@ -135,7 +136,7 @@
   std::erase(others, "h06-1");
   CutOff(others);
   CommitVersion(m_network, 2);
-  m_network.Run(milliseconds(2100));
+  m_network.Run(milliseconds(2100));  // Longer than `freshness`, 2 seconds.
   for (const std::string& name : others) {
     EXPECT_FALSE(m_network.At(name).IsFresh(m_network.Now())) << name;
   }
@@ -201,6 +202,7 @@
   }
 }
 
+// A member is suspected after 3 seconds of silence and dead after 8.
 TEST_F(FleetTest, SilentMemberIsSuspectedBeforeItIsDead) {
   m_network.Pause("h05-0");
   m_network.Run(milliseconds(5500));
@@ -213,6 +215,8 @@
   EXPECT_EQ(StateSeenBy("h00-0", "h05-0"), MemberState::kAlive);
 }
 
+// While h00-1 is paused, h01-1 is the first live control process; h01-0 is an
+// entry process. A member is removed after 10 minutes of silence.
 TEST_F(FleetTest, FirstLiveControlProcessRemovesOneLongDeadMemberAMinute) {
   m_network.Pause("h00-1");
   m_network.Pause("h05-0");
--- a/src/cassiastile/member/membership_tick.cpp
+++ b/src/cassiastile/member/membership_tick.cpp
@@ -131,9 +131,9 @@
   }
 }
 
-// Pings a suspected member directly before it is considered dead, because no
-// other member has heard it lately. Each round pings one: the one whose last
-// ping is the oldest.
+// Pings the suspected member whose last ping is the oldest. It is pinged
+// directly before it is considered dead, because no other member has heard it
+// lately.
 void Membership::AddSuspectPings(MemberActions& actions, base::TimePoint now) {
   Peer* selected = nullptr;
   for (auto& [name, peer] : m_peers) {
--- a/src/cassiastile/member/shard_lease_test.cpp
+++ b/src/cassiastile/member/shard_lease_test.cpp
@@ -25,11 +25,11 @@
     for (const std::string name : {"a#1", "b#1", "c#1"}) {
       Add(name);
     }
-    Run(seconds(40));
+    Run(seconds(40));  // Longer than handover_delay, 30 seconds.
   }
 
   void Add(const std::string& name) {
-    m_alive.insert(name);
+    m_candidates.insert(name);
     ShardLeaseOptions options;
     options.owner = name;
     options.address = name + ":80";
@@ -38,7 +38,8 @@
         ShardLeaseManager::Sources{[this] { return m_shards; },
                                    [this] {
                                      return std::vector<std::string>(
-                                         m_alive.begin(), m_alive.end());
+                                         m_candidates.begin(),
+                                         m_candidates.end());
                                    }},
         m_managers.size() + 1);
   }
@@ -84,11 +85,13 @@
   base::ManualClock m_clock;
   platform::MemoryTable m_table;
   std::vector<std::string> m_shards;
-  std::set<std::string> m_alive;
+  std::set<std::string> m_candidates;
   std::set<std::string> m_paused;
   std::map<std::string, std::unique_ptr<ShardLeaseManager>> m_managers;
 };
 
+// Rendezvous hashing balances only roughly: an even share is 8 or 9 of the 25
+// shards.
 TEST_F(ShardLeaseTest, AllShardsAreOwnedAndBalanced) {
   EXPECT_EQ(Owners().size(), 25U);
   for (const std::string name : {"a#1", "b#1", "c#1"}) {
@@ -97,7 +100,9 @@
   }
 }
 
-TEST_F(ShardLeaseTest, DeadOwnersShardsAreTakenOverWithinLeasePlusOneSecond) {
+// The paused owner stays a candidate, so nothing but the unchanged rows shows
+// that its leases have expired.
+TEST_F(ShardLeaseTest, PausedOwnersShardsAreTakenOverWithinLeasePlusOneSecond) {
   m_paused.insert("a#1");
   Run(ShardLeaseOptions{}.lease_duration + seconds(1));
   EXPECT_EQ(CountOwnedBy("a#1"), 0U);
@@ -110,7 +115,7 @@
   const auto held_lease =
       m_managers.at("a#1")->CurrentLease(shard, m_clock.Now());
   m_paused.insert("a#1");
-  Run(seconds(5));
+  Run(seconds(5));  // Longer than lease_duration, 3 seconds.
   EXPECT_FALSE(m_managers.at("a#1")->CurrentLease(shard, m_clock.Now()));
   // The fence also stops a write whose lease was checked before the pause.
   const auto late =
@@ -131,24 +136,24 @@
   EXPECT_EQ(Owners(), before);
 }
 
-TEST_F(ShardLeaseTest, NewHostMovesOnlyItsShare) {
+TEST_F(ShardLeaseTest, NewProcessMovesOnlyItsShare) {
   const auto before = Owners();
   Add("d#1");
-  Run(seconds(45));
+  Run(seconds(45));  // Longer than handover_delay, 30 seconds.
   std::size_t moved = 0;
   for (const auto& [shard, owner] : Owners()) {
     moved += before.at(shard) != owner ? 1 : 0;
   }
   EXPECT_EQ(moved, CountOwnedBy("d#1"));
   EXPECT_GE(moved, 1U);
-  EXPECT_LE(moved, 12U);
+  EXPECT_LE(moved, 12U);  // An even share is 6 or 7 of the 25 shards.
 }
 
-TEST_F(ShardLeaseTest, LeavingHostMovesOnlyItsShards) {
+TEST_F(ShardLeaseTest, LeavingProcessMovesOnlyItsShards) {
   const auto before = Owners();
-  m_alive.erase("c#1");
+  m_candidates.erase("c#1");
   m_paused.insert("c#1");
-  Run(seconds(45));
+  Run(seconds(45));  // Longer than handover_delay, 30 seconds.
   std::size_t moved = 0;
   for (const auto& [shard, owner] : Owners()) {
     moved += before.at(shard) != owner && before.at(shard) != "c#1" ? 1 : 0;
@@ -159,7 +164,7 @@
 
 TEST_F(ShardLeaseTest, OutageEndsAllLeasesAndTheyAreAcquiredAgain) {
   m_table.SetFaults({true, 0, 0, 0});
-  Run(seconds(4));
+  Run(seconds(4));  // Longer than lease_duration, 3 seconds.
   EXPECT_TRUE(Owners().empty());
   m_table.SetFaults({});
   Run(seconds(6));
@@ -167,6 +172,7 @@
 }
 
 TEST_F(ShardLeaseTest, LostAndDelayedAnswersNeverMakeTwoOwners) {
+  // Probabilities of fail_before, lose_answer and delay_apply.
   m_table.SetFaults({false, 0.1, 0.3, 0.2});
   Run(seconds(120));
   m_table.SetFaults({});
@@ -174,11 +180,14 @@
   EXPECT_EQ(Owners().size(), 25U);
 }
 
-TEST_F(ShardLeaseTest, StopReleasesAllShardsAtOnce) {
+// One second is shorter than lease_duration, so only a release can free the
+// shards in time.
+TEST_F(ShardLeaseTest, ShardsOfAStoppedProcessAreTakenOverWithinOneSecond) {
+  // Stop releases the leases only if the thread was started.
   m_managers.at("b#1")->Start();
   m_managers.at("b#1")->Stop();
   m_paused.insert("b#1");
-  m_alive.erase("b#1");
+  m_candidates.erase("b#1");
   Run(milliseconds(1000));
   EXPECT_EQ(CountOwnedBy("b#1"), 0U);
   EXPECT_EQ(Owners().size(), 25U);
