--- a/include/cassiastile/wire/http_server.hpp
+++ b/include/cassiastile/wire/http_server.hpp
@@ -57,11 +57,12 @@
   // From now on each response carries "Connection: close".
   void BeginDrain();
 
-  // Stops gracefully. Not for servers on a caller's loop. For the duration of
-  // `notice` new connections are still accepted, and each response carries
-  // "Connection: close". Then the server stops accepting and ends once every
-  // accepted request is answered or `deadline` has passed. Returns the number
-  // of requests that were cut off, zero when all were answered.
+  // Stops gracefully and returns the number of requests that were cut off. Not
+  // for servers on a caller's loop.
+  //
+  // From now on each response carries "Connection: close". New connections are
+  // accepted for the duration of `notice`; then the server stops accepting and
+  // ends once every accepted request is answered or `deadline` has passed.
   std::size_t Drain(std::chrono::milliseconds notice,
                     std::chrono::milliseconds deadline);
 
--- a/include/cassiastile/wire/loop_client.hpp
+++ b/include/cassiastile/wire/loop_client.hpp
@@ -11,10 +11,7 @@
 namespace cassiastile::wire {
 
 // Makes HTTP/1.1 calls on an event loop, without threads of its own. Start must
-// be called on the thread that runs the loop; completions run there. URLs must
-// contain an IP address and a port. A call whose pooled connection turns out to
-// be closed is sent once more on a new connection, so it must be safe to
-// repeat.
+// be called on the thread that runs the loop; completions run there.
 class LoopClient {
  public:
   // The loop must outlive the client.
@@ -25,7 +22,11 @@
   LoopClient(const LoopClient&) = delete;
   LoopClient& operator=(const LoopClient&) = delete;
 
-  // Starts a call. The completion runs exactly once, later, on the loop.
+  // Starts a call. The completion runs exactly once, later, on the loop; with
+  // kNotSent if the URL doesn't have the form http://ADDRESS:PORT/PATH.
+  //
+  // A call whose pooled connection turns out to be closed is sent once more on
+  // a new connection, so it must be safe to repeat.
   void Start(HttpCall call, HttpCompletion completion);
 
  private:
