--- a/include/cassiastile/entry/entry_service.hpp
+++ b/include/cassiastile/entry/entry_service.hpp
@@ -144,6 +144,7 @@
   std::mutex m_random_mutex;
   base::Random m_random;
 
+  // Locked after m_list_mutex where both are held.
   mutable std::mutex m_services_mutex;
   std::map<std::string, ServiceSlots> m_services;
 
--- a/src/cassiastile/entry/claim_store.cpp
+++ b/src/cassiastile/entry/claim_store.cpp
@@ -11,6 +11,8 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
+// The claims of a batch that are still undecided after this many transactions
+// fail.
 constexpr int kMaxCommitRounds = 4;
 
 // Removes and returns at most `limit` items from the front.
--- a/src/cassiastile/entry/credit_account_test.cpp
+++ b/src/cassiastile/entry/credit_account_test.cpp
@@ -60,7 +60,8 @@
   EXPECT_EQ(m_account.Sync(m_consumer, NoneGone, kStart),
             CreditSyncResult::kUnreachable);
   EXPECT_EQ(m_consumer.allowed, 0U);
-  // The write of the other host is applied first, so the delayed one conflicts.
+  // The delayed write is applied when the other host reads the row, so that
+  // host finds all credits taken.
   m_table.SetFaults({});
   m_other_account.Sync(m_other, NoneGone, kStart);
   while (m_account.Sync(m_consumer, NoneGone, kStart) ==
--- a/src/cassiastile/entry/request_validation.cpp
+++ b/src/cassiastile/entry/request_validation.cpp
@@ -109,8 +109,8 @@
   return header && (header->starts_with("u=0") || header->starts_with("u=1"));
 }
 
-// Sets the team that the request's key belongs to. Only open services accept
-// requests without a key.
+// Sets the team that the request's key belongs to, or returns the refusal. Only
+// open services accept requests without a key.
 std::optional<work::NotRun> CheckKey(const wire::HttpRequest& request,
                                      const config::Service& service,
                                      const ValidationContext& context,
