--- a/include/cassiastile/member/config_store.hpp
+++ b/include/cassiastile/member/config_store.hpp
@@ -93,9 +93,14 @@
   // document, from the document itself.
   //
   // An edit of an older version is rebased on the newest one if the two changed
-  // different sections and the result violates no rule. An error with code
-  // kUnknown means that the edit may have been accepted; submitting the same
-  // edit again shows whether it was.
+  // different sections and the result violates no rule.
+  //
+  // An error has code kDenied if the key belongs to no operator, kInternal if
+  // the newest document can't be parsed, and kConflict if no attempt could
+  // commit before another edit or before the promises expired; otherwise it is
+  // that of the table or of the quorum. kUnknown means
+  // that the edit may have been accepted; submitting the same edit again shows
+  // whether it was.
   EditResult Accept(const ConfigEdit& edit);
 
   // The newest accepted version as stored in the table.
--- a/include/cassiastile/member/shard_lease.hpp
+++ b/include/cassiastile/member/shard_lease.hpp
@@ -90,8 +90,8 @@
   // RecordOutcome.
   std::vector<LeaseAction> DecideActions(base::TimePoint now);
   // Reports the outcome of a transaction that was started at `started`. After
-  // an error, which may be a conflict or an unknown outcome, the next scan is
-  // brought forward to find out what happened.
+  // an error, which may be a conflict or an unknown outcome, the next scan and
+  // the next renewal are brought forward to find out what happened.
   void RecordOutcome(const LeaseAction& lease_action,
                      base::TimePoint started,
                      const base::Result<platform::Commit>& outcome);
--- a/src/cassiastile/member/membership_test.cpp
+++ b/src/cassiastile/member/membership_test.cpp
@@ -182,6 +182,7 @@
   m_network.Run(seconds(1));
   CutOff(others);
   CommitVersion(m_network, 2);
+  // A confirmation from before the cut is valid for `freshness`, 2 seconds.
   for (int i = 0; i < 30; ++i) {
     m_network.Run(seconds(1));
     for (const std::string& name : others) {
--- a/src/cassiastile/member/message.cpp
+++ b/src/cassiastile/member/message.cpp
@@ -39,7 +39,7 @@
 constexpr std::size_t kHeaderBytes = 4;
 constexpr std::size_t kMinReaderFormatOffset = 3;
 constexpr std::size_t kTagBytes = 16;
-constexpr std::size_t kMaxStatements = 255;
+constexpr std::size_t kMaxStatements = 255;  // Their count is sent as one byte.
 constexpr std::uint8_t kReachesStoreFlag = 1;
 constexpr std::uint8_t kAgreesFlag = 2;
 
