--- a/include/cassiastile/member/config_store.hpp
+++ b/include/cassiastile/member/config_store.hpp
@@ -98,9 +98,8 @@
   // An error has code kDenied if the key belongs to no operator, kInternal if
   // the newest document can't be parsed, and kConflict if no attempt could
   // commit before another edit or before the promises expired; otherwise it is
-  // that of the table or of the quorum. kUnknown means
-  // that the edit may have been accepted; submitting the same edit again shows
-  // whether it was.
+  // that of the table or of the quorum. kUnknown means that the edit may have
+  // been accepted; submitting the same edit again shows whether it was.
   EditResult Accept(const ConfigEdit& edit);
 
   // The newest accepted version as stored in the table.
