--- a/include/cassiastile/member/shard_lease.hpp
+++ b/include/cassiastile/member/shard_lease.hpp
@@ -39,7 +39,8 @@
   std::uint64_t renewal_version = 0;  // Row version; zero if there is no row.
 };
 
-// Groups the rows under lease/ and renewal/ by shard.
+// Groups the rows under lease/ and renewal/ by shard. A lease row that is not a
+// JSON object counts as released, with epoch zero.
 std::map<std::string, LeaseRows> ReadLeaseRows(
     const std::vector<platform::Row>& leases,
     const std::vector<platform::Row>& renewals);
@@ -89,8 +90,8 @@
   // RecordOutcome.
   std::vector<LeaseAction> DecideActions(base::TimePoint now);
   // Reports the outcome of a transaction that was started at `started`. After
-  // an error, which may be a conflict or an unknown outcome, the next scan is
-  // brought forward to find out what happened.
+  // an error, which may be a conflict or an unknown outcome, the next scan and
+  // the next renewal are brought forward to find out what happened.
   void RecordOutcome(const LeaseAction& lease_action,
                      base::TimePoint started,
                      const base::Result<platform::Commit>& outcome);
