--- a/include/cassiastile/host/host_node.hpp
+++ b/include/cassiastile/host/host_node.hpp
@@ -23,7 +23,8 @@
   using Done = std::function<void(tl::expected<Value, Failure>)>;
 
   virtual ~PeerPort() = default;
-  // Sends a gossip message; `done` gets the peer's own message.
+  // Sends a gossip message; `done` gets the peer's own message. The
+  // implementation chooses the timeout.
   virtual void Gossip(const std::string& endpoint,
                       const GossipMessage& gossip,
                       Done<GossipMessage> done) = 0;
@@ -35,9 +36,10 @@
                           Done<JobAnswer> done) = 0;
 };
 
-// One entry host: serves callers' requests, follows the configuration and,
-// while it is the leader, schedules jobs on the workers. Any host can become
-// the leader; a row in the table store says which one is.
+// One scheduler host (cassia-host): serves callers' requests, follows the
+// configuration and, while it is the leader, schedules jobs on the workers. Any
+// host can become the leader; a row in the table store says which one is. Use
+// it on the loop's thread only.
 class HostNode {
  public:
   // The references, also those in `dependencies`, must outlive the node.
@@ -70,16 +72,19 @@
   // Whether every received request is answered and this host is not the leader.
   bool IsReadyToExit() const;
 
-  // Null unless this host is the leader.
+  // Null unless this host is the leader. Valid until the current callback of
+  // the loop returns.
   const Dispatcher* LeaderDispatcher() const { return m_dispatcher.get(); }
   const ConfigWatcher& GetConfigWatcher() const { return m_config_watcher; }
   const HostSettings& Settings() const { return m_settings; }
 
  private:
+  // A time of base::TimePoint{} means here that the event has not happened or
+  // that the condition does not hold.
   struct Peer {
     std::string endpoint;
     base::TimePoint heard_at{};
-    bool store_answers = false;
+    bool store_reachable = false;
     double processor_share = 0;
   };
 
@@ -87,7 +92,7 @@
   void FindPeers();
   void GossipPeriodically();
   void Gossip();
-  void HandleLeaderRefusal();
+  void HandleLeaderConnectionRefused();
   void SendGossip(const std::string& endpoint);
   void SendGossip(const std::string& endpoint, const GossipMessage& gossip);
   void FetchConfig(const std::string& endpoint);
@@ -101,15 +106,16 @@
   void HandleLeaderRecord(const ObservedLeaderRecord& observed);
   std::string AcquisitionReason(const ObservedLeaderRecord& observed) const;
   void AcquireLeadership(const ObservedLeaderRecord& observed);
-  // Which peers HasStrongerPeer counts: those that recently reached the store,
-  // or all.
-  enum class PeerFilter : std::uint8_t { kReachesStore, kAll };
+  // Which live peers HasStrongerPeer counts: those whose last gossip says that
+  // they can reach the store, or all.
+  enum class PeerFilter : std::uint8_t { kStoreReachable, kAll };
   // Whether a live peer has a much larger processor share than this host.
   bool HasStrongerPeer(PeerFilter filter) const;
   void YieldToStrongerPeer();
   void ResignLeadership();
   void BecomeLeader();
-  void HandleLeadershipLost();
+  // Ends the term of this host after it resigned or lost the leadership.
+  void HandleTermEnded();
   void SendToLeader(const JobRequest& request,
                     std::chrono::milliseconds timeout,
                     const std::function<void(JobAnswer)>& respond);
@@ -128,7 +134,7 @@
   std::map<std::string, Peer> m_known_peers;  // By host.
   LeaderAnnouncement m_leader;
   // Consecutive refused connections to the leader.
-  std::uint32_t m_leader_refusals = 0;
+  std::uint32_t m_leader_connection_refusals = 0;
   // A leader that may be replaced before its timeout: its process is gone, or
   // it asked for a takeover.
   std::string m_replaceable_leader;
@@ -136,18 +142,21 @@
   ObservedLeaderRecord m_last_record;
   base::TimePoint m_record_changed_at{};
   bool m_reading_record = false;
-  // Of the next read of the leader's record.
+  // Of the next read of the leader's record; starts at kFirstReadTimeout.
   std::chrono::milliseconds m_record_read_timeout{500};
   bool m_acquiring = false;
-  std::unique_ptr<LeaderTransactions> m_candidate;
+  // Of the last attempt to acquire leadership; moved to the dispatcher when it
+  // succeeds.
+  std::unique_ptr<LeaderTransactions> m_acquiring_transactions;
   std::unique_ptr<Dispatcher> m_dispatcher;
   // Since when a peer has a newer configuration.
   base::TimePoint m_config_behind_since{};
   base::TimePoint m_config_requested_at{};
   // Since when the leader's record has allowed another host to take over.
-  base::TimePoint m_vacant_since{};
-  // Since when this leader has known a stronger peer.
-  base::TimePoint m_weaker_since{};
+  base::TimePoint m_replaceable_since{};
+  // Since when this leader has known a stronger peer; the time of the last
+  // check while there is none.
+  base::TimePoint m_stronger_peer_since{};
   bool m_stopping = false;
   bool m_resigning = false;
   Lifetime m_lifetime;
--- a/include/cassiastile/host/loop.hpp
+++ b/include/cassiastile/host/loop.hpp
@@ -13,12 +13,14 @@
  public:
   virtual ~Loop() = default;
   virtual const base::Clock& GetClock() const = 0;
-  // Runs a function once on the loop after a delay, never within this call.
-  virtual void After(base::Duration delay, std::function<void()> run) = 0;
+  // Runs `callback` once on the loop's thread after a delay, never within this
+  // call; a delay of zero or less means as soon as possible.
+  virtual void After(base::Duration delay, std::function<void()> callback) = 0;
 };
 
 // Cancels an object's callbacks when the object is destroyed. The object holds
-// a Lifetime as a member and wraps the callbacks that it passes on.
+// a Lifetime as a member and wraps the callbacks that it passes on. Destroy the
+// object on the thread that runs its callbacks.
 class Lifetime {
  public:
   // Returns a function that calls `function` only while this object is alive.
--- a/include/cassiastile/host/peer_client.hpp
+++ b/include/cassiastile/host/peer_client.hpp
@@ -6,7 +6,8 @@
 
 namespace cassiastile::host {
 
-// Calls other hosts over HTTP.
+// Calls other hosts over HTTP. Gossip calls time out after 600 ms. `client`
+// must outlive it; completions run on the client's loop.
 class PeerClient final : public PeerPort {
  public:
   explicit PeerClient(wire::LoopClient& client) : m_client(client) {}
--- a/include/cassiastile/host/peer_message.hpp
+++ b/include/cassiastile/host/peer_message.hpp
@@ -8,8 +8,9 @@
 #include "cassiastile/base/enum_names.hpp"
 #include "cassiastile/base/error.hpp"
 
-// Messages between hosts, sent as portable binary cereal archives in HTTP
-// bodies. The order of the fields is the wire format.
+// Messages between hosts, sent in HTTP bodies, and the leader's record in the
+// table store. All are portable binary cereal archives: the order of the fields
+// is the format, and no version is encoded.
 namespace cassiastile::host {
 
 // The leader as the sender knows it.
@@ -40,24 +41,24 @@
   // The sender is the leader and can't reach the store; a host that can should
   // take over.
   bool requests_takeover = false;
-  bool store_answers = false;  // Recently reached the store.
-  double processor_share = 0;  // Of one core.
+  bool store_reachable = false;  // Recently reached the store.
+  double processor_share = 0;    // Of one core.
 
   template <class Archive>
   void serialize(Archive& archive) {
     archive(host, endpoint, config_version, wants_config, config, leader,
-            is_leader, requests_takeover, store_answers, processor_share);
+            is_leader, requests_takeover, store_reachable, processor_share);
   }
 };
 
-// What a caller asks for; kCount asks for the number of queued jobs.
-enum class JobVerb : std::uint8_t { kSubmit, kState, kCancel, kCount };
+// What a caller asks for; kQueueLength gets the number of jobs in the queue.
+enum class JobVerb : std::uint8_t { kSubmit, kState, kCancel, kQueueLength };
 
 inline constexpr std::array<base::EnumName<JobVerb>, 4> kJobVerbNames{{
     {JobVerb::kSubmit, "submit"},
     {JobVerb::kState, "state"},
     {JobVerb::kCancel, "cancel"},
-    {JobVerb::kCount, "count"},
+    {JobVerb::kQueueLength, "count"},
 }};
 
 // A caller's request that is forwarded to the leader.
@@ -90,7 +91,7 @@
 struct JobAnswer {
   JobAnswerKind kind = JobAnswerKind::kOutcomeUnknown;
   std::uint8_t phase = 0;   // A jobs::JobPhase, for kState.
-  std::uint64_t count = 0;  // For kCount.
+  std::uint64_t count = 0;  // Of queued jobs, for kQueueLength.
   std::uint8_t reason = 0;  // A jobs::RefusalReason, for kRefused.
   std::int64_t retry_after_ms = 0;
   std::string detail = {};
@@ -104,7 +105,8 @@
 std::string Encode(const GossipMessage& message);
 std::string Encode(const JobRequest& message);
 std::string Encode(const JobAnswer& message);
-// Fail with kInvalid for bytes that are not such a message.
+// Fail with kInvalid for bytes that end too early. Bytes after the last field
+// are ignored, and enumerators out of range are accepted.
 base::Result<GossipMessage> DecodeGossipMessage(const std::string& bytes);
 base::Result<JobRequest> DecodeJobRequest(const std::string& bytes);
 base::Result<JobAnswer> DecodeJobAnswer(const std::string& bytes);
@@ -124,7 +126,7 @@
 };
 
 std::string Encode(const LeaderRecord& record);
-// Fails with kInvalid for bytes that are not a record.
+// Fails with kInvalid for bytes that end too early; further bytes are ignored.
 base::Result<LeaderRecord> DecodeLeaderRecord(const std::string& bytes);
 
 }  // namespace cassiastile::host
--- a/src/cassiastile/host/dispatcher_jobs.cpp
+++ b/src/cassiastile/host/dispatcher_jobs.cpp
@@ -39,7 +39,7 @@
     case JobVerb::kState:
       respond(State(request));
       return;
-    case JobVerb::kCount:
+    case JobVerb::kQueueLength:
       respond({.kind = JobAnswerKind::kOk,
                .count = m_scheduler.CountQueuedJobs(request.queue)});
       return;
--- a/src/cassiastile/host/host_node.cpp
+++ b/src/cassiastile/host/host_node.cpp
@@ -16,6 +16,8 @@
 // While the leader asks for a takeover.
 constexpr std::size_t kTakeoverFanout = 8;
 constexpr std::chrono::milliseconds kFindPeersInterval{3000};
+// How long the table may take to deliver a newer configuration before a peer is
+// asked for it.
 constexpr std::chrono::milliseconds kTableHeadStart{400};
 constexpr std::chrono::milliseconds kConfigRequestInterval{500};
 // Leadership passes to a live peer whose processor share is larger by this
@@ -40,8 +42,8 @@
 constexpr std::chrono::milliseconds kMaxReadTimeout{1000};
 // A connection may be refused although the process is alive, so one refusal is
 // not enough.
-constexpr std::uint32_t kRefusalsUntilProcessGone = 2;
-constexpr std::chrono::milliseconds kRefusalRetry{100};
+constexpr std::uint32_t kConnectionRefusalsUntilProcessGone = 2;
+constexpr std::chrono::milliseconds kConnectionRetryDelay{100};
 
 }  // namespace
 
@@ -180,14 +182,14 @@
               MergeGossip(*answer);
             } else if (answer.error().refused &&
                        endpoint == m_leader.endpoint) {
-              HandleLeaderRefusal();
+              HandleLeaderConnectionRefused();
             }
           }));
 }
 
-void HostNode::HandleLeaderRefusal() {
-  if (++m_leader_refusals < kRefusalsUntilProcessGone) {
-    m_loop.After(kRefusalRetry, m_lifetime.Guard([this] {
+void HostNode::HandleLeaderConnectionRefused() {
+  if (++m_leader_connection_refusals < kConnectionRefusalsUntilProcessGone) {
+    m_loop.After(kConnectionRetryDelay, m_lifetime.Guard([this] {
       if (!m_leader.host.empty() && !IsLeader()) {
         SendGossip(m_leader.endpoint);
       }
@@ -211,7 +213,7 @@
   gossip.leader = m_leader;
   gossip.is_leader = IsLeader() && !m_resigning;
   gossip.requests_takeover = IsLeader() && m_dispatcher->IsStoreUnavailable();
-  gossip.store_answers = m_config_watcher.IsStoreReachable();
+  gossip.store_reachable = m_config_watcher.IsStoreReachable();
   gossip.processor_share = m_settings.processor_share;
   return gossip;
 }
@@ -228,7 +230,7 @@
   Peer& peer = m_known_peers[gossip.host];
   peer.endpoint = gossip.endpoint;
   peer.heard_at = m_loop.GetClock().Now();
-  peer.store_answers = gossip.store_answers;
+  peer.store_reachable = gossip.store_reachable;
   peer.processor_share = gossip.processor_share;
   if (gossip.config_version <= m_config_watcher.Version()) {
     m_config_behind_since = {};
@@ -241,7 +243,7 @@
   if (gossip.host != m_leader.host || !gossip.is_leader) {
     return;
   }
-  m_leader_refusals = 0;
+  m_leader_connection_refusals = 0;
   if (gossip.requests_takeover) {
     // No need to wait for its timeout: a leader gives no orders that it can't
     // store.
@@ -277,12 +279,12 @@
     return;
   }
   m_leader = announcement;
-  m_leader_refusals = 0;
+  m_leader_connection_refusals = 0;
   m_leader_heard_at = m_loop.GetClock().Now();
   m_log.Write("office.notice",
               {{"holder", announcement.host}, {"fence", announcement.fence}});
   if (IsLeader() && newer && announcement.host != m_settings.host) {
-    HandleLeadershipLost();
+    HandleTermEnded();
   }
   if (resigned) {
     CheckLeader();
@@ -338,15 +340,15 @@
   const bool vacant = observed.version == 0 || observed.record.host.empty() ||
                       observed.record.host == m_settings.host;
   if (!vacant && !process_gone && now - m_record_changed_at <= kLeaderTimeout) {
-    m_vacant_since = {};
+    m_replaceable_since = {};
     return;
   }
-  if (m_vacant_since == base::TimePoint{}) {
-    m_vacant_since = now;
+  if (m_replaceable_since == base::TimePoint{}) {
+    m_replaceable_since = now;
   }
   // Counts all peers: after an outage none has recently reached the store.
   if (HasStrongerPeer(PeerFilter::kAll) &&
-      now - m_vacant_since < kStrongerPeerHeadStart) {
+      now - m_replaceable_since < kStrongerPeerHeadStart) {
     m_replaceable_leader = gone;
     m_loop.After(kStrongerPeerHeadStart / 2,
                  m_lifetime.Guard([this] { CheckLeader(); }));
@@ -361,7 +363,7 @@
                                              filter](const auto& entry) {
     const Peer& peer = entry.second;
     return now - peer.heard_at < kPeerTimeout &&
-           (peer.store_answers || filter == PeerFilter::kAll) &&
+           (peer.store_reachable || filter == PeerFilter::kAll) &&
            peer.processor_share > kStrongerFactor * m_settings.processor_share;
   });
 }
@@ -369,12 +371,12 @@
 void HostNode::YieldToStrongerPeer() {
   const base::TimePoint now = m_loop.GetClock().Now();
   if (!IsLeader() || m_resigning ||
-      !HasStrongerPeer(PeerFilter::kReachesStore)) {
-    m_weaker_since = now;
+      !HasStrongerPeer(PeerFilter::kStoreReachable)) {
+    m_stronger_peer_since = now;
     return;
   }
-  if (now - m_weaker_since > kYieldAfter) {
-    m_weaker_since = now;
+  if (now - m_stronger_peer_since > kYieldAfter) {
+    m_stronger_peer_since = now;
     ResignLeadership();
   }
 }
@@ -403,26 +405,29 @@
   m_log.Write("office.take", {{"why", AcquisitionReason(observed)},
                               {"seen_version", observed.version},
                               {"seen_holder", observed.record.host}});
-  m_candidate = std::make_unique<LeaderTransactions>(
+  m_acquiring_transactions = std::make_unique<LeaderTransactions>(
       m_dependencies.store, m_loop, m_log,
       LeaderRecord{m_settings.host, OwnEndpoint(), m_incarnation, 0});
-  m_candidate->Acquire(observed, m_lifetime.Guard([this](bool taken) {
-    m_acquiring = false;
-    if (taken) {
-      BecomeLeader();
-      return;
-    }
-    m_loop.After(kWatchInterval, m_lifetime.Guard([this] { CheckLeader(); }));
-  }));
+  m_acquiring_transactions->Acquire(
+      observed, m_lifetime.Guard([this](bool taken) {
+        m_acquiring = false;
+        if (taken) {
+          BecomeLeader();
+          return;
+        }
+        m_loop.After(kWatchInterval,
+                     m_lifetime.Guard([this] { CheckLeader(); }));
+      }));
 }
 
 void HostNode::BecomeLeader() {
-  m_leader = {m_candidate->FencingToken(), m_settings.host, OwnEndpoint()};
+  m_leader = {m_acquiring_transactions->FencingToken(), m_settings.host,
+              OwnEndpoint()};
   m_log.Write("office.elected", {{"fence", m_leader.fence}});
   m_dispatcher = std::make_unique<Dispatcher>(
-      m_dependencies, m_loop, m_log, m_settings, std::move(m_candidate),
-      [this] {
-        m_loop.After({}, m_lifetime.Guard([this] { HandleLeadershipLost(); }));
+      m_dependencies, m_loop, m_log, m_settings,
+      std::move(m_acquiring_transactions), [this] {
+        m_loop.After({}, m_lifetime.Guard([this] { HandleTermEnded(); }));
       });
   m_dispatcher->ApplyConfig(m_config_watcher.Config());
   m_dispatcher->ApplyWaves(m_config_watcher.Waves());
@@ -432,7 +437,7 @@
   }
 }
 
-void HostNode::HandleLeadershipLost() {
+void HostNode::HandleTermEnded() {
   if (!IsLeader()) {
     return;
   }
@@ -514,7 +519,7 @@
       SendGossip(peer.endpoint);
     }
     m_resigning = false;
-    HandleLeadershipLost();
+    HandleTermEnded();
   }));
 }
 
--- a/src/cassiastile/host/job_frontend.cpp
+++ b/src/cassiastile/host/job_frontend.cpp
@@ -141,7 +141,7 @@
   }
   const std::string rest = request.path.substr(queue->path_prefix.size());
   if (rest.empty() && request.method == "GET") {
-    job.verb = JobVerb::kCount;
+    job.verb = JobVerb::kQueueLength;
   } else if (!IsJobId(rest)) {
     respond(AnswerError(rest.empty() ? kNotAllowed : kBadRequest,
                         "the path must end with a job id"));
@@ -183,7 +183,7 @@
               respond(
                   Answer(kOk, m_format.encode_state(
                                   static_cast<jobs::JobPhase>(answer.phase))));
-            } else if (verb == JobVerb::kCount) {
+            } else if (verb == JobVerb::kQueueLength) {
               respond(Answer(kOk, m_format.encode_count(answer.count)));
             } else {
               respond(Answer(kOk));
