--- a/src/cassiastile/platform/memory_platform_test.cpp
+++ b/src/cassiastile/platform/memory_platform_test.cpp
@@ -37,6 +37,8 @@
   EXPECT_EQ(table.Get("row").value()->value, "1");
 }
 
+// The second transaction stands for a write that arrives after its caller has
+// used up its nonce to get a final answer.
 TEST(MemoryTableTest, UsedNonceBlocksADelayedWrite) {
   MemoryTable table;
   ASSERT_TRUE(table.Apply({"a", {}, {}}).has_value());
@@ -61,7 +63,7 @@
   EXPECT_FALSE(table.Get("row").value().has_value());
 }
 
-TEST(MemoryTableTest, ScanPagesInKeyOrder) {
+TEST(MemoryTableTest, ScanAllReturnsThePrefixInKeyOrder) {
   MemoryTable table;
   ASSERT_TRUE(table.Apply({"a", {}, {{"p/2", "b"}, {"p/1", "a"}, {"q/1", "c"}}})
                   .has_value());
--- a/src/cassiastile/platform/store_guard_test.cpp
+++ b/src/cassiastile/platform/store_guard_test.cpp
@@ -41,6 +41,7 @@
   for (int i = 0; i < kRows; ++i) {
     const std::string key = std::to_string(i);
     answers.push_back(guard.Apply({key, {{key, 0}}, {{key, "once"}}}));
+    // Longer than the breaker stays open, so that each call is attempted.
     m_clock.Advance(seconds(5));
   }
   m_table.SetFaults({});
@@ -65,6 +66,8 @@
                                                       .lose_answer = 0.2,
                                                       .delay_apply = 0.2}));
 
+// The lost answer opens the breaker, so the retry is not sent. That failure
+// must not hide that the first attempt may have been applied.
 TEST_F(StoreGuardTest, FailureAfterALostAnswerStaysUnknown) {
   StoreGuardOptions options;
   options.breaker.failures_to_open = 1;
@@ -134,6 +137,8 @@
   ASSERT_TRUE(breaker.Allow(clock.Now()));
   breaker.RecordFailure(clock.Now());
   EXPECT_FALSE(breaker.Allow(clock.Now()));
+  // The first open time with its longest jitter; the second open time is 1 to
+  // 1.5 s.
   clock.Advance(milliseconds(750));
   EXPECT_TRUE(breaker.Allow(clock.Now()));
   EXPECT_FALSE(breaker.Allow(clock.Now()));
