--- a/src/cassiastile/host/host_node_test.cpp
+++ b/src/cassiastile/host/host_node_test.cpp
@@ -16,6 +16,7 @@
 using testing::Each;
 using testing::IsEmpty;
 
+// Long enough for a new world to elect a leader that serves.
 constexpr milliseconds kSettled{3000};
 
 TEST(HostNodeTest, OneHostBecomesLeaderAndRunsAJob) {
@@ -24,7 +25,7 @@
   ASSERT_TRUE(world.LeaderIndex().has_value());
   const std::string job = world.Submit(0, 2, 3, milliseconds(400));
   world.RunFor(milliseconds(100));
-  EXPECT_EQ(world.Answers().at(job), 200);
+  EXPECT_EQ(world.SubmissionStatuses().at(job), 200);
   world.RunFor(milliseconds(1500));
   EXPECT_EQ(world.StateOf(job), "done");
   EXPECT_EQ(world.CountDoneTasks(job), 6U);
@@ -48,7 +49,7 @@
   const std::string job = world.Submit(0, 3, 4, milliseconds(600));
   const std::string long_running_job = world.SubmitLongRunning(1, 3);
   world.RunFor(milliseconds(300));
-  ASSERT_EQ(world.Answers().at(job), 200);
+  ASSERT_EQ(world.SubmissionStatuses().at(job), 200);
   world.KillHost(*world.LeaderIndex());
   world.RunFor(milliseconds(2000));
   ASSERT_TRUE(world.LeaderIndex().has_value());
@@ -63,7 +64,7 @@
   world.RunFor(kSettled);
   const std::string job = world.Submit(0, 2, 4, milliseconds(500));
   world.RunFor(milliseconds(100));
-  ASSERT_EQ(world.Answers().at(job), 200);
+  ASSERT_EQ(world.SubmissionStatuses().at(job), 200);
   for (std::size_t i = 0; i < 6; ++i) {
     world.KillHost(i);
   }
@@ -121,7 +122,7 @@
   EXPECT_NE(*world.LeaderIndex(), leader);
   const std::string job = world.Submit(0, 1, 2, milliseconds(300));
   world.RunFor(milliseconds(1000));
-  EXPECT_EQ(world.Answers().at(job), 200);
+  EXPECT_EQ(world.SubmissionStatuses().at(job), 200);
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
 
@@ -134,13 +135,13 @@
   world.RunFor(milliseconds(1000));
   const std::string refused = world.Submit(0, 1, 1, milliseconds(300));
   world.RunFor(milliseconds(3500));
-  EXPECT_EQ(world.Answers().at(refused), 503);
+  EXPECT_EQ(world.SubmissionStatuses().at(refused), 503);
   EXPECT_EQ(world.CountRuns(long_running_job), 2U);
   world.Faults().store_down = false;
   world.RunFor(milliseconds(3000));
   const std::string job = world.Submit(0, 1, 1, milliseconds(300));
   world.RunFor(milliseconds(1000));
-  EXPECT_EQ(world.Answers().at(job), 200);
+  EXPECT_EQ(world.SubmissionStatuses().at(job), 200);
   EXPECT_EQ(world.CountRuns(long_running_job), 2U);
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
@@ -193,7 +194,7 @@
     world.RunFor(milliseconds(1200));
     const std::string job = world.Submit(0, 1, 1, milliseconds(300));
     world.RunFor(milliseconds(300));
-    EXPECT_EQ(world.Answers().at(job), 200) << "outage " << i;
+    EXPECT_EQ(world.SubmissionStatuses().at(job), 200) << "outage " << i;
   }
   EXPECT_THAT(world.Violations(), IsEmpty());
 }
@@ -212,11 +213,14 @@
 TEST(HostNodeTest, ConfigurationComesFromTheTableWhenItAnswers) {
   VirtualWorld world;
   world.RunFor(kSettled);
+  // At most 300 ms, for host-5: less than the 400 ms that the table has before
+  // peers are asked.
   world.Faults().feed_delay = milliseconds(60);
   for (int i = 0; i < 5; ++i) {
     world.PublishNextConfig();
     world.RunFor(milliseconds(700));
   }
+  // Six configurations with the first; each raises the version by 2.
   EXPECT_EQ(world.ConfigVersionOf(0), 12U);
   EXPECT_EQ(world.ConfigsFromPeers(), 0U);
 }
@@ -226,6 +230,7 @@
   world.RunFor(kSettled);
   const std::string job = world.Submit(0, 1, 4, milliseconds(2000));
   world.RunFor(milliseconds(300));
+  // Crashes workers until one was hit that ran a task of the job.
   for (const std::string& id : world.WorkerIds()) {
     if (world.CountRuns(job) == 4) {
       world.CrashWorker(id, milliseconds(8000));
@@ -254,7 +259,7 @@
 
 TEST_P(HostFaultsTest, NothingRunsTwiceAndNothingAcceptedIsLost) {
   VirtualWorld world({.seed = static_cast<std::uint64_t>(GetParam())});
-  base::Random& random = world.Engine();
+  base::Random& random = world.RandomSource();
   const auto pick = [&random](std::size_t count) {
     return std::uniform_int_distribution<std::size_t>(0, count - 1)(random);
   };
@@ -315,8 +320,8 @@
   }
   world.RunFor(milliseconds(30000));
   for (const std::string& job : jobs) {
-    if (world.Answers().at(job) == 200) {
-      EXPECT_EQ(world.CountDoneTasks(job), world.TasksOf(job)) << job;
+    if (world.SubmissionStatuses().at(job) == 200) {
+      EXPECT_EQ(world.CountDoneTasks(job), world.TaskCountOf(job)) << job;
       EXPECT_EQ(world.StateOf(job), "done") << job;
     }
   }
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -100,9 +100,9 @@
 
 }  // namespace
 
-void VirtualLoop::After(base::Duration delay, std::function<void()> run) {
+void VirtualLoop::After(base::Duration delay, std::function<void()> callback) {
   m_events.push({m_clock.Now() + std::max(delay, base::Duration::zero()),
-                 ++m_number, std::move(run)});
+                 ++m_number, std::move(callback)});
 }
 
 void VirtualLoop::RunFor(base::Duration time) {
@@ -111,7 +111,7 @@
     const Event event = m_events.top();
     m_events.pop();
     m_clock.Advance(event.at - m_clock.Now());
-    event.run();
+    event.callback();
   }
   m_clock.Advance(end - m_clock.Now());
 }
@@ -148,8 +148,8 @@
       }
     };
   }
-  void After(base::Duration delay, std::function<void()> run) override {
-    m_loop.After(delay, Guard(std::move(run)));
+  void After(base::Duration delay, std::function<void()> callback) override {
+    m_loop.After(delay, Guard(std::move(callback)));
   }
 
  private:
@@ -181,9 +181,9 @@
     const bool late = m_world.Chance(m_world.m_faults.late_commit_chance);
     const bool lost =
         late || m_world.Chance(m_world.m_faults.lost_answer_chance);
-    const auto delay = late
-                           ? std::chrono::microseconds(m_world.RandomLateness())
-                           : kStoreLatency / 2;
+    const auto delay =
+        late ? std::chrono::microseconds(m_world.RandomLateDelay())
+             : kStoreLatency / 2;
     m_world.Post(
         delay, [this, transaction = std::move(transaction), lost, done] {
           TransactionReply reply = m_world.Apply(transaction);
@@ -238,8 +238,7 @@
         return false;
       }
       *answered = true;
-      // Hosts' links differ in speed: the delay grows with the last digit of
-      // the host's name.
+      // See WorldFaults::feed_delay.
       const auto delay = m_world.m_faults.feed_delay * (m_host.back() - '0');
       m_world.Post(kStoreLatency + delay, [done, page] { done(page); });
       return true;
@@ -325,7 +324,7 @@
              std::function<void(jobs::StartResult)> done) override {
     done = m_loop.Guard(std::move(done));
     if (m_world.Chance(m_world.m_faults.late_start_chance)) {
-      m_world.Post(m_world.RandomLateness(),
+      m_world.Post(m_world.RandomLateDelay(),
                    [this, address, order, fence, until] {
                      if (VirtualWorld::Worker* worker = Find(address)) {
                        m_world.StartRun(*worker, order, fence, until);
@@ -637,8 +636,8 @@
 }
 
 void VirtualWorld::Post(std::chrono::microseconds delay,
-                        std::function<void()> run) {
-  m_loop.After(delay, std::move(run));
+                        std::function<void()> callback) {
+  m_loop.After(delay, std::move(callback));
 }
 
 bool VirtualWorld::Chance(double probability) {
@@ -646,7 +645,7 @@
          std::uniform_real_distribution<double>(0, 1)(m_random) < probability;
 }
 
-milliseconds VirtualWorld::RandomLateness() {
+milliseconds VirtualWorld::RandomLateDelay() {
   return milliseconds(
       std::uniform_int_distribution<int>(2000, 12000)(m_random));
 }
@@ -693,7 +692,7 @@
   entry.machine = name;
   entry.capacity = {kWorkerCpu, kWorkerMemory, 0};
   machine.worker = worker->id;
-  ListWorker(entry);
+  PublishWorkerEntry(entry);
   worker->model = std::make_unique<sim::WorkerModel>(std::move(entry),
                                                      m_loop.Now(), m_checker);
   worker->timer = std::make_unique<sim::WorkerTimer>(
@@ -705,7 +704,7 @@
   m_workers[worker->id] = std::move(worker);
 }
 
-void VirtualWorld::ListWorker(const jobs::WorkerEntry& entry) {
+void VirtualWorld::PublishWorkerEntry(const jobs::WorkerEntry& entry) {
   RowTransaction transaction;
   transaction.puts.push_back({kWorkerTable, "", entry.id.id,
                               fmt::format("{} {} {}", entry.id.incarnation_ms,
@@ -719,6 +718,7 @@
   worker.model->Crash();
   RowTransaction transaction;
   transaction.deletes.push_back({kWorkerTable, "", worker.id, "", 0, false});
+  // The table keeps the entry of a worker that is gone for a while.
   constexpr milliseconds kEntryExpiry{4500};
   Post(kEntryExpiry, [this, transaction] { Apply(transaction); });
 }
@@ -782,8 +782,8 @@
   std::string job = MakeJobId();
   m_checker.JobSubmitted(job, *DecodeSpec(text));
   m_job_service[job] = service;
-  m_tasks[job] = tasks;
-  m_answers[job] = 0;
+  m_task_counts[job] = tasks;
+  m_submission_statuses[job] = 0;
   std::vector<Host*> live;
   for (const auto& host : m_hosts) {
     if (host) {
@@ -796,7 +796,7 @@
     live[pick]->node.ServeCaller(
         MakeRequest("POST", job),
         [this, job](const wire::HttpResponse& response) {
-          m_answers[job] = response.status;
+          m_submission_statuses[job] = response.status;
           RecordAnswer(job, response.status);
         });
   }
@@ -822,14 +822,15 @@
   // start with the payload of another job.
   return SubmitText(service,
                     fmt::format("{} {} {} 0 {}", steps, tasks,
-                                task_duration.count(), m_tasks.size()),
+                                task_duration.count(), m_task_counts.size()),
                     steps * tasks);
 }
 
 std::string VirtualWorld::SubmitLongRunning(std::size_t service,
                                             std::uint32_t tasks) {
-  return SubmitText(
-      service, fmt::format("1 {} 1000 1 {}", tasks, m_tasks.size()), tasks);
+  return SubmitText(service,
+                    fmt::format("1 {} 1000 1 {}", tasks, m_task_counts.size()),
+                    tasks);
 }
 
 int VirtualWorld::Call(const wire::HttpRequest& request, std::string* body) {
--- a/src/cassiastile/host/virtual_world_bench.hpp
+++ b/src/cassiastile/host/virtual_world_bench.hpp
@@ -26,7 +26,7 @@
 class VirtualLoop final : public Loop {
  public:
   const base::Clock& GetClock() const override { return m_clock; }
-  void After(base::Duration delay, std::function<void()> run) override;
+  void After(base::Duration delay, std::function<void()> callback) override;
   void RunFor(base::Duration time);
   base::TimePoint Now() const { return m_clock.Now(); }
 
@@ -34,7 +34,7 @@
   struct Event {
     base::TimePoint at;
     std::uint64_t number;
-    std::function<void()> run;
+    std::function<void()> callback;
     bool operator>(const Event& other) const {
       return std::tie(at, number) > std::tie(other.at, other.number);
     }
@@ -46,9 +46,13 @@
 
 // Faults to inject; chances are probabilities from 0 to 1.
 struct WorldFaults {
-  bool store_down = false;    // Commits and reads fail at once.
-  bool store_silent = false;  // Calls get no answer.
-  // Of a feed's answer, multiplied by the last digit of the host's name.
+  // Commits and reads fail at once, feeds at the end of their wait.
+  bool store_down = false;
+  // Calls get no answer: they fail at their timeout, feeds at the end of their
+  // wait.
+  bool store_silent = false;
+  // Of a feed's answer, multiplied by the last digit of the host's name, since
+  // hosts' links differ in speed.
   std::chrono::milliseconds feed_delay{0};
   // Commits applied without an answer.
   double lost_answer_chance = 0;
@@ -56,8 +60,8 @@
   double late_commit_chance = 0;
   // Starts carried out 2 to 12 s later, without an answer.
   double late_start_chance = 0;
-  std::set<std::string> hosts_without_store;
-  std::set<std::string> silent_workers;  // Unreachable, but running.
+  std::set<std::string> hosts_without_store;  // For them the store is down.
+  std::set<std::string> silent_workers;       // Unreachable, but running.
 };
 
 // Size and seed of a simulated fleet.
@@ -87,9 +91,12 @@
                      std::uint32_t tasks,
                      std::chrono::milliseconds task_duration);
   // Submits the same job again and returns the HTTP status, or 0 if there was
-  // no answer.
+  // no answer. Advances the time by 1.6 s; see Call.
   int SubmitAgain(const std::string& job);
+  // Submits a job of one step with `tasks` long-running tasks, which run until
+  // they are stopped, and returns its id.
   std::string SubmitLongRunning(std::size_t service, std::uint32_t tasks);
+  // Cancels a job. Advances the time by 1.6 s; see Call.
   void Cancel(const std::string& job);
 
   // Killing ends a host at once; stopping lets it resign.
@@ -103,31 +110,43 @@
   // Kills a worker; a new one starts on its machine after `down`.
   void CrashWorker(const std::string& id, std::chrono::milliseconds down);
   std::vector<std::string> WorkerIds() const;
+  // Writes a configuration whose version is 2 higher than the last one's; the
+  // first has version 2.
   void PublishNextConfig();
+  // Requests wave 1, with a time limit of 25 s.
   void RequestWave(const std::vector<std::string>& machines,
                    std::uint32_t max_down);
   std::vector<std::string> MachineNames() const;
 
   WorldFaults& Faults() { return m_faults; }
-  base::Random& Engine() { return m_random; }
+  base::Random& RandomSource() { return m_random; }
 
   // Descriptions of violated invariants; empty if all held.
   const std::vector<std::string>& Violations() const {
     return m_checker.Violations();
   }
   // HTTP status of each job's first submission; 0 while it has no answer.
-  const std::map<std::string, int>& Answers() const { return m_answers; }
+  const std::map<std::string, int>& SubmissionStatuses() const {
+    return m_submission_statuses;
+  }
   std::size_t CountDoneTasks(const std::string& job) const;
+  // Number of the job's runs that are running now.
   std::size_t CountRuns(const std::string& job) const;
+  // Asks a host for the job's phase and returns its name, or the HTTP status as
+  // text if it is not 200. Advances the time by 1.6 s; see Call.
   std::string StateOf(const std::string& job);
   bool WaveIsDone(std::uint64_t wave) const;
+  // Version that a host has in force; 0 if it is not running or has none.
   std::uint64_t ConfigVersionOf(std::size_t host) const;
   std::uint64_t StoreCalls() const { return m_store_calls; }
   // Number of configurations that hosts got from peers.
   std::uint64_t ConfigsFromPeers() const { return m_configs_from_peers; }
   // The hosts' log lines, if `keep_log` is set.
   const std::string& Log();
-  std::size_t TasksOf(const std::string& job) const { return m_tasks.at(job); }
+  // Number of tasks of a submitted job.
+  std::size_t TaskCountOf(const std::string& job) const {
+    return m_task_counts.at(job);
+  }
 
  private:
   friend class WorldStore;
@@ -139,10 +158,13 @@
   struct Worker;
   struct Machine;
 
-  void Post(std::chrono::microseconds delay, std::function<void()> run);
+  // Runs `callback` once after a delay, whichever hosts are killed meanwhile;
+  // callbacks of one host go through its HostLoop instead.
+  void Post(std::chrono::microseconds delay, std::function<void()> callback);
   // Draws true with this probability.
   bool Chance(double probability);
-  std::chrono::milliseconds RandomLateness();
+  // Draws the delay of a late order or commit, from 2 to 12 s.
+  std::chrono::milliseconds RandomLateDelay();
 
   // The table.
   TransactionReply Apply(const RowTransaction& transaction);
@@ -151,7 +173,8 @@
   // Workers.
   void StartWorker(const std::string& machine);
   void TerminateWorker(Worker& worker);
-  void ListWorker(const jobs::WorkerEntry& entry);
+  // Writes a worker's row to the workers' table.
+  void PublishWorkerEntry(const jobs::WorkerEntry& entry);
   jobs::StartResult StartRun(Worker& worker,
                              const jobs::StartOrder& order,
                              std::uint64_t fence,
@@ -169,7 +192,7 @@
                                 const std::string& job) const;
   std::string MakeJobId();
   // Sends a request to the first live host and returns the HTTP status after
-  // 1.6 s, or 0 if there was no answer by then.
+  // 1.6 s, or 0 if there was no answer by then. A host answers within 1.5 s.
   int Call(const wire::HttpRequest& request, std::string* body = nullptr);
   std::string SubmitText(std::size_t service,
                          const std::string& text,
@@ -190,8 +213,8 @@
   std::map<std::string, Machine> m_machines;
   std::uint64_t m_started_workers = 0;
   std::map<std::string, std::size_t> m_job_service;
-  std::map<std::string, std::size_t> m_tasks;
-  std::map<std::string, int> m_answers;
+  std::map<std::string, std::size_t> m_task_counts;
+  std::map<std::string, int> m_submission_statuses;
   std::uint64_t m_config_version = 0;
   std::string m_log_text;
 };
