--- a/include/cassiastile/host/dispatcher.hpp
+++ b/include/cassiastile/host/dispatcher.hpp
@@ -160,6 +160,7 @@
   bool m_serving = false;
   bool m_term_over = false;
   bool m_plan_requested = false;
+  // Rows of the job table by job, from reading them until serving starts.
   std::map<std::string, StoredJob> m_recovered;
   std::uint64_t m_stored_durations_revision = 0;
   base::TimePoint m_durations_stored_at{};
@@ -174,6 +175,7 @@
   // Rows of the machine controller and of learnt durations for the next commit,
   // with callbacks that run once they are stored.
   std::vector<std::pair<Row, std::function<void()>>> m_pending_rows;
+  // A resignation that waits for the commit in flight.
   std::function<void()> m_after_commit;
   Lifetime m_lifetime;
 };
--- a/include/cassiastile/host/job_frontend.hpp
+++ b/include/cassiastile/host/job_frontend.hpp
@@ -23,7 +23,8 @@
 };
 
 // Serves callers' HTTP requests about jobs: finds the queue, checks the API key
-// and forwards the request to the leader.
+// and forwards the request to the leader. Use it on the loop's thread only; it
+// must outlive the requests that it has forwarded.
 class JobFrontend {
  public:
   // Forwards a request to the leader; answers kNotLeader if no leader is known
@@ -39,6 +40,7 @@
     std::chrono::milliseconds heard_ago{0};
   };
 
+  // `loop` and `log` must outlive the frontend.
   JobFrontend(JobFrontendFormat format,
               Loop& loop,
               EventLog& log,
@@ -47,7 +49,8 @@
 
   // Until the first call every request is answered with 503.
   void ApplyConfig(std::shared_ptr<const jobs::FleetConfig> config);
-  // Serves one request; `respond` runs once, possibly later.
+  // Serves one request; `respond` runs once, possibly later. A request waits at
+  // most 1.5 s for the leader.
   void Serve(const wire::HttpRequest& request,
              const wire::HttpResponder& respond);
   // Number of forwarded requests that are not answered yet.
--- a/include/cassiastile/host/leader_transactions.hpp
+++ b/include/cassiastile/host/leader_transactions.hpp
@@ -52,6 +52,7 @@
   // token.
   void Acquire(const ObservedLeaderRecord& seen,
                std::function<void(bool)> done);
+  // Valid once Acquire has succeeded.
   std::uint64_t FencingToken() const { return m_fencing_token; }
 
   // Writes and deletes rows in one transaction. Only one commit may be in
--- a/include/cassiastile/host/loop.hpp
+++ b/include/cassiastile/host/loop.hpp
@@ -7,8 +7,9 @@
 
 namespace cassiastile::host {
 
-// The single-threaded event loop of a host. Tests implement it in virtual time,
-// with many hosts in one process.
+// The single-threaded event loop of a host, whose objects are used on the
+// loop's thread only. Tests implement it in virtual time, with many hosts in
+// one process.
 class Loop {
  public:
   virtual ~Loop() = default;
--- a/include/cassiastile/host/machine_controller.hpp
+++ b/include/cassiastile/host/machine_controller.hpp
@@ -89,7 +89,7 @@
     // When this leader first saw the request, from which its time limit is
     // counted.
     base::TimePoint seen_at{};
-    bool done = false;
+    bool done = false;  // The orders for all listed machines were accepted.
     // Whether the status table has the state, and whether a write is in flight.
     bool running_stored = false;
     bool done_stored = false;
--- a/include/cassiastile/host/ports.hpp
+++ b/include/cassiastile/host/ports.hpp
@@ -14,7 +14,9 @@
 
 // Interfaces to everything outside a host. The platform adapter implements
 // them, and tests use fakes. Each completion runs once on the host's loop,
-// never within the call itself.
+// never within the call itself. A Result fails with kUnavailable if the service
+// gave no answer or refused the call, and with kInvalid for an answer that
+// can't be decoded.
 namespace cassiastile::host {
 
 // A row of the platform's transactional table store.
--- a/src/cassiastile/host/job_frontend.cpp
+++ b/src/cassiastile/host/job_frontend.cpp
@@ -26,7 +26,7 @@
 constexpr int kGatewayTimeout = 504;
 
 constexpr std::size_t kJobIdLength = 16;
-// For callers that send no timeout header.
+// For callers that send no timeout header; kMaxWait limits it like theirs.
 constexpr std::chrono::milliseconds kDefaultTimeout{3000};
 // A retry reaches another host, so a longer wait would not help the caller.
 constexpr std::chrono::milliseconds kMaxWait{1500};
@@ -71,9 +71,9 @@
   return Answer(status, nlohmann::json{{"error", error}}.dump());
 }
 
-HttpResponse AnswerLater(int status,
-                         std::string_view error,
-                         std::chrono::milliseconds retry_after) {
+HttpResponse AnswerWithRetryAfter(int status,
+                                  std::string_view error,
+                                  std::chrono::milliseconds retry_after) {
   HttpResponse response = AnswerError(status, error);
   // Retry-After is in whole seconds; rounded up, at least 1.
   const auto seconds =
@@ -87,8 +87,9 @@
   const auto reason = static_cast<jobs::RefusalReason>(answer.reason);
   const int status =
       reason == jobs::RefusalReason::kOverload ? kTooMany : kUnavailable;
-  return AnswerLater(status, base::FindName(jobs::kRefusalNames, reason),
-                     std::chrono::milliseconds(answer.retry_after_ms));
+  return AnswerWithRetryAfter(status,
+                              base::FindName(jobs::kRefusalNames, reason),
+                              std::chrono::milliseconds(answer.retry_after_ms));
 }
 
 }  // namespace
@@ -111,8 +112,8 @@
 void JobFrontend::Serve(const wire::HttpRequest& request,
                         const wire::HttpResponder& respond) {
   if (m_config == nullptr) {
-    respond(
-        AnswerLater(kUnavailable, "no configuration yet", kRetryWithoutLeader));
+    respond(AnswerWithRetryAfter(kUnavailable, "no configuration yet",
+                                 kRetryWithoutLeader));
     return;
   }
   const std::string host = HostOf(request);
@@ -203,8 +204,8 @@
             return;
           case JobAnswerKind::kNotLeader:
             LogUnansweredRequest("request.no_office", verb, job, waited);
-            respond(AnswerLater(kUnavailable, "no host is in office",
-                                kRetryWithoutLeader));
+            respond(AnswerWithRetryAfter(kUnavailable, "no host is in office",
+                                         kRetryWithoutLeader));
             return;
           case JobAnswerKind::kOutcomeUnknown:
             LogUnansweredRequest("request.undecided", verb, job, waited);
--- a/src/cassiastile/host/leader_transactions.cpp
+++ b/src/cassiastile/host/leader_transactions.cpp
@@ -11,7 +11,8 @@
 
 // Long enough for a store that is slower than usual by a factor of 100.
 constexpr std::chrono::milliseconds kCommitTimeout{1500};
-constexpr std::chrono::milliseconds kFirstRetry{30};
+// The first retry waits twice this; the wait doubles up to kMaxRetry.
+constexpr std::chrono::milliseconds kRetryBase{30};
 constexpr std::chrono::milliseconds kMaxRetry{400};
 
 }  // namespace
@@ -120,7 +121,7 @@
 
 void LeaderTransactions::Retry() {
   const auto delay =
-      std::min(kFirstRetry * (1U << std::min(m_attempts, 5U)), kMaxRetry);
+      std::min(kRetryBase * (1U << std::min(m_attempts, 5U)), kMaxRetry);
   m_loop.After(delay, m_lifetime.Guard([this] { Send(); }));
 }
 
