--- a/include/cassiastile/platform/decision_log.hpp
+++ b/include/cassiastile/platform/decision_log.hpp
@@ -94,11 +94,13 @@
 };
 
 // Searches the stored batches of all processes, the newest batch of each
-// process first. Fails with kNotFound if none holds the decision.
+// process first. Fails with kNotFound if none holds the decision, with
+// kInternal for an object that is no batch, and with the store's errors.
 base::Result<base::Decision> FindStoredDecision(ObjectStore& objects,
                                                 const std::string& id);
 
-// Finds the gaps in the numbers of the stored batches of all processes.
+// Finds the gaps in the numbers of the stored batches of all processes. Fails
+// with kInternal for an object that is no batch, and with the store's errors.
 base::Result<std::vector<DecisionGap>> FindDecisionGaps(ObjectStore& objects);
 
 }  // namespace cassiastile::platform
--- a/src/cassiastile/platform/store_guard.cpp
+++ b/src/cassiastile/platform/store_guard.cpp
@@ -128,6 +128,7 @@
 
 bool StoreGuard::WaitBeforeRetry(std::uint32_t attempt,
                                  base::TimePoint deadline) {
+  // Bounds the shift; by default 5 doublings reach the longest backoff.
   constexpr std::uint32_t kMaxDoublings = 10;
   base::Duration wait{};
   {
