--- a/src/cassiastile/host/event_log_test.cpp
+++ b/src/cassiastile/host/event_log_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_EQ(line["job"], "a");
 }
 
-TEST_F(EventLogTest, LinesDroppedForABlockedReaderAreCountedInTheLog) {
+TEST_F(EventLogTest, LinesDroppedForABlockedReaderAreReportedInTheLog) {
   m_room = 0;
   constexpr int kLines = 20000;
   for (int i = 0; i < kLines; ++i) {
--- a/src/cassiastile/host/host_node_test.cpp
+++ b/src/cassiastile/host/host_node_test.cpp
@@ -81,6 +81,7 @@
   VirtualWorld world;
   world.RunFor(kSettled);
   world.Submit(0, 1, 4, milliseconds(400));
+  // Learnt durations are stored at most once every 3 s.
   world.RunFor(milliseconds(5000));
   world.KillHost(*world.LeaderIndex());
   world.RunFor(milliseconds(3000));
@@ -107,11 +108,14 @@
   world.RunFor(kSettled);
   const std::size_t leader = *world.LeaderIndex();
   world.StopHost(leader);
+  // Far less than the 1.8 s after which a leader's record may be taken over.
   world.RunFor(milliseconds(150));
   ASSERT_TRUE(world.LeaderIndex().has_value());
   EXPECT_NE(*world.LeaderIndex(), leader);
 }
 
+// Such a leader asks for a takeover in its gossip; waiting for its record to
+// time out would take more than the 1.5 s given here.
 TEST(HostNodeTest, LeaderWithoutStoreAccessIsReplaced) {
   VirtualWorld world;
   world.RunFor(kSettled);
@@ -168,6 +172,8 @@
     world.RunFor(2 * kSettled);
     const auto before = ElectedHosts(world.Log()).size();
     world.Faults().store_silent = true;
+    // Longer than the 2.5 s for which a store that answered counts as
+    // reachable.
     world.RunFor(milliseconds(4200));
     world.Faults().store_silent = false;
     world.RunFor(milliseconds(3000));
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -30,6 +30,10 @@
   return "service-" + std::to_string(index);
 }
 
+// The texts that this world stores instead of the platform's JSON are fields
+// separated by spaces. A job: the numbers of steps and of tasks per step, the
+// milliseconds per task, whether the tasks are long-running, and a number that
+// makes the text unique.
 base::Result<jobs::JobSpec> DecodeSpec(const std::string& text) {
   std::istringstream in(text);
   std::size_t steps = 0;
@@ -54,6 +58,7 @@
   return spec;
 }
 
+// A worker's entry: incarnation, service and machine.
 base::Result<jobs::WorkerEntry> DecodeEntry(const std::string& id,
                                             const std::string& text) {
   std::istringstream in(text);
@@ -65,6 +70,7 @@
   return entry;
 }
 
+// A wave: number, most machines down at once, and the machines.
 base::Result<WaveRequest> DecodeWaveText(const std::string& text) {
   std::istringstream in(text);
   WaveRequest wave;
@@ -76,6 +82,7 @@
   return wave;
 }
 
+// A configuration: version and number of services, each with one queue.
 base::Result<jobs::FleetConfig> DecodeConfigText(const std::string& text) {
   std::istringstream in(text);
   jobs::FleetConfig config;
