--- a/include/cassiastile/host/host_node.hpp
+++ b/include/cassiastile/host/host_node.hpp
@@ -69,7 +69,7 @@
   // Starts a graceful stop: the host is no longer ready and resigns if it is
   // the leader.
   void BeginStop();
-  // Whether every received request is answered and this host is not the leader.
+  // Whether every caller's request is answered and this host is not the leader.
   bool IsReadyToExit() const;
 
   // Null unless this host is the leader. Valid until the current callback of
@@ -81,6 +81,7 @@
  private:
   // A time of base::TimePoint{} means here that the event has not happened or
   // that the condition does not hold.
+
   struct Peer {
     std::string endpoint;
     base::TimePoint heard_at{};
--- a/src/cassiastile/host/peer_client.cpp
+++ b/src/cassiastile/host/peer_client.cpp
@@ -28,6 +28,8 @@
   return call;
 }
 
+// Returns the completion of an HTTP call: it decodes the answer and calls
+// `done`.
 template <typename Value, typename Decoder>
 auto Complete(PeerPort::Done<Value> done, Decoder decode) {
   return [done = std::move(done), decode](wire::HttpOutcome outcome) {
--- a/src/cassiastile/host/virtual_world_bench.hpp
+++ b/src/cassiastile/host/virtual_world_bench.hpp
@@ -51,8 +51,8 @@
   // Calls get no answer: they fail at their timeout, feeds at the end of their
   // wait.
   bool store_silent = false;
-  // Of a feed's answer, multiplied by the last digit of the host's name, since
-  // hosts' links differ in speed.
+  // Delays a feed's answer by this time multiplied by the last digit of the
+  // host's name, since hosts' links differ in speed.
   std::chrono::milliseconds feed_delay{0};
   // Commits applied without an answer.
   double lost_answer_chance = 0;
