--- a/include/cassiastile/standin/backend.hpp
+++ b/include/cassiastile/standin/backend.hpp
@@ -21,7 +21,7 @@
   std::chrono::milliseconds service_time{0};
 };
 
-// One execution of a request, as the runner logs it.
+// One execution of a request, as the runner (a backend server) logs it.
 struct LoggedExecution {
   std::string method;
   std::string path;
@@ -36,15 +36,16 @@
   std::uint64_t starts_over_slots = 0;  // Starts while all slots were in use.
 };
 
-// A stand-in for a runner (a backend server), over HTTP. It answers each
-// request with the request's own body after the service time, stops at the
-// timeout the request names, and logs what it executes. Faults are set by calls
-// here or by POST /admin/fault with {"fault", "count", "service_ms",
-// "silence"}; "silence": true calls BlackholeConnections. GET /admin/log
-// returns the log; GET /healthz answers while it runs. Thread-safe.
+// A stand-in for a runner, over HTTP. It answers each request with the
+// request's own body after the service time, stops at the timeout the request
+// names (60 s if it names none), and logs what it executes.
+//
+// Faults are set by calls here or by POST /admin/fault with {"fault", "count",
+// "service_ms", "silence"}; "silence": true calls BlackholeConnections. GET
+// /admin/log returns the log; GET /healthz answers while it runs. Thread-safe.
 class Backend {
  public:
-  // Fails when the address can't be bound.
+  // Fails with kUnavailable when the address can't be bound.
   static base::Result<std::unique_ptr<Backend>> Start(BackendOptions options);
   // Closes all connections.
   ~Backend();
--- a/include/cassiastile/standin/backend_fault.hpp
+++ b/include/cassiastile/standin/backend_fault.hpp
@@ -6,7 +6,8 @@
 
 namespace cassiastile::standin {
 
-// How a runner fails a request, in BackendModel and in Backend.
+// How a runner (a backend server) fails a request, in BackendModel and in
+// Backend.
 enum class BackendFault : std::uint8_t {
   kNone,
   // BackendModel refuses the connection. Backend can't: it runs the request and
--- a/include/cassiastile/standin/backend_model.hpp
+++ b/include/cassiastile/standin/backend_model.hpp
@@ -15,7 +15,7 @@
 
 namespace cassiastile::standin {
 
-// One execution of a request, as a runner logs it.
+// One execution of a request, as a runner (a backend server) logs it.
 struct Execution {
   std::string request;  // The caller's identifier of the request.
   std::string runner;
--- a/include/cassiastile/standin/backend_simulation.hpp
+++ b/include/cassiastile/standin/backend_simulation.hpp
@@ -54,7 +54,8 @@
   base::Duration retry_after{};  // Zero when none was given.
 };
 
-// Simulates entry hosts with their callers, runners and table in virtual time.
+// Simulates entry hosts with their callers, runners (backend servers) and table
+// in virtual time.
 // Decisions are made by the code of the daemons; only the network and the time
 // are simulated.
 class RequestSimulation {
--- a/src/cassiastile/standin/backend.cpp
+++ b/src/cassiastile/standin/backend.cpp
@@ -193,7 +193,7 @@
     ParseHeader(std::string_view(buffer).substr(0, header_end - 2), received);
     buffer.erase(0, header_end);
     const auto length = static_cast<std::size_t>(
-        NumberOf(wire::FindHeader(received.headers, "Content-Length"), 0));
+        ParseNumberOr(wire::FindHeader(received.headers, "Content-Length"), 0));
     if (buffer.size() < length) {
       asio::read(socket, asio::dynamic_buffer(buffer),
                  asio::transfer_exactly(length - buffer.size()));
@@ -215,10 +215,10 @@
   // Answers a request. Returns false when the connection must be closed.
   bool Answer(tcp::socket& socket, const ReceivedRequest& received) {
     if (received.path == "/healthz") {
-      return Write(socket, MakeAnswer("", "ok"));
+      return Write(socket, FormatResponse("", "ok"));
     }
     if (received.path.starts_with("/admin/")) {
-      return Write(socket, MakeAnswer("", HandleAdminRequest(received)));
+      return Write(socket, FormatResponse("", HandleAdminRequest(received)));
     }
     const BackendFault fault = StartWork(received);
     const WorkGuard end(*this);
@@ -229,8 +229,8 @@
             const ReceivedRequest& received,
             BackendFault fault) {
     const std::chrono::milliseconds stop(
-        NumberOf(wire::FindHeader(received.headers, "Request-Timeout-Ms"),
-                 std::chrono::milliseconds(kDefaultTimeout).count()));
+        ParseNumberOr(wire::FindHeader(received.headers, "Request-Timeout-Ms"),
+                      std::chrono::milliseconds(kDefaultTimeout).count()));
     const std::chrono::milliseconds service = ServiceTime();
     if (fault == BackendFault::kStall || service >= stop) {
       Wait(stop);
@@ -243,9 +243,9 @@
     const std::string id =
         wire::FindHeader(received.headers, "X-Request-Id").value_or("");
     if (fault == BackendFault::kNone || fault == BackendFault::kLate) {
-      return Write(socket, MakeAnswer(id, received.body));
+      return Write(socket, FormatResponse(id, received.body));
     }
-    const std::string answer = MakeFaultyAnswer(fault, id, received.body);
+    const std::string answer = FormatFaultyResponse(fault, id, received.body);
     if (!answer.empty()) {
       Write(socket, answer);
     }
--- a/src/cassiastile/standin/backend_http.hpp
+++ b/src/cassiastile/standin/backend_http.hpp
@@ -10,7 +10,7 @@
 
 namespace cassiastile::standin {
 
-// A request as the stand-in runner reads it.
+// A request as the stand-in backend server reads it.
 struct ReceivedRequest {
   std::string method;
   std::string path;
@@ -24,15 +24,15 @@
 
 // Returns the number at the start of the text, or the default where there is
 // none.
-std::int64_t NumberOf(const std::optional<std::string>& text,
-                      std::int64_t default_value);
+std::int64_t ParseNumberOr(const std::optional<std::string>& text,
+                           std::int64_t default_value);
 
 // Returns the bytes of a complete response.
-std::string MakeAnswer(const std::string& id, const std::string& body);
+std::string FormatResponse(const std::string& id, const std::string& body);
 
 // Returns the bytes to send under a fault; empty if none are sent.
-std::string MakeFaultyAnswer(BackendFault fault,
-                             const std::string& id,
-                             const std::string& body);
+std::string FormatFaultyResponse(BackendFault fault,
+                                 const std::string& id,
+                                 const std::string& body);
 
 }  // namespace cassiastile::standin
--- a/src/cassiastile/standin/platform_server_test.cpp
+++ b/src/cassiastile/standin/platform_server_test.cpp
@@ -13,8 +13,9 @@
   PlatformServerTest()
       : m_server(PlatformServer::Start(m_clock, {}).value()),
         m_client(wire::HttpClient::Create()) {
-    m_link.client = m_client.get();
-    m_link.address = "127.0.0.1:" + std::to_string(m_server->Port());
+    m_platform_options.client = m_client.get();
+    m_platform_options.address =
+        "127.0.0.1:" + std::to_string(m_server->Port());
   }
 
   void Send(const std::string& method,
@@ -22,7 +23,7 @@
             const nlohmann::json& body) {
     wire::HttpCall call;
     call.method = method;
-    call.url = "http://" + m_link.address + path;
+    call.url = "http://" + m_platform_options.address + path;
     call.body = body.dump();
     ASSERT_TRUE(m_client->Call(call).has_value());
   }
@@ -30,11 +31,11 @@
   base::ManualClock m_clock;
   std::unique_ptr<PlatformServer> m_server;
   std::unique_ptr<wire::HttpClient> m_client;
-  platform::HttpPlatformOptions m_link;
+  platform::HttpPlatformOptions m_platform_options;
 };
 
 TEST_F(PlatformServerTest, TableBehavesLikeTheMemoryTable) {
-  platform::HttpTable table(m_link);
+  platform::HttpTable table(m_platform_options);
   const platform::Transaction insert{"a", {{"k/ä b", 0}}, {{"k/ä b", "v&="}}};
   ASSERT_TRUE(table.Apply(insert).has_value());
   EXPECT_EQ(table.Get("k/ä b").value()->value, "v&=");
@@ -47,7 +48,7 @@
 }
 
 TEST_F(PlatformServerTest, LostAnswerIsUnknownAndOutageIsUnavailable) {
-  platform::HttpTable table(m_link);
+  platform::HttpTable table(m_platform_options);
   Send("PUT", "/v1/faults", {{"lose_answer", 1.0}});
   EXPECT_EQ(table.Apply({"a", {}, {{"k", "v"}}}).error().code,
             base::ErrorCode::kUnknown);
@@ -60,7 +61,7 @@
 }
 
 TEST_F(PlatformServerTest, ObjectsKeepNamesWithSlashes) {
-  platform::HttpObjectStore objects(m_link);
+  platform::HttpObjectStore objects(m_platform_options);
   ASSERT_TRUE(objects.Put("decisions/e1/1", "text").has_value());
   EXPECT_EQ(objects.Get("decisions/e1/1").value(), "text");
   EXPECT_EQ(objects.List("decisions/").value().size(), 1U);
@@ -68,8 +69,8 @@
 }
 
 TEST_F(PlatformServerTest, ListLagsAndShowsDrainingMachinesAsLeaving) {
-  platform::HttpHostList list(m_link);
-  platform::HttpMachines machines(m_link);
+  platform::HttpHostList list(m_platform_options);
+  platform::HttpMachines machines(m_platform_options);
   Send("PUT", "/v1/machines/w-1",
        {{"state", "up"},
         {"draining", false},
@@ -88,7 +89,7 @@
 }
 
 TEST_F(PlatformServerTest, RepeatedRebootBootsOnce) {
-  platform::HttpMachines machines(m_link);
+  platform::HttpMachines machines(m_platform_options);
   Send("PUT", "/v1/machines/w-1",
        {{"state", "up"},
         {"draining", true},
