--- a/src/cassiastile/standin/worker_cluster_test.hpp
+++ b/src/cassiastile/standin/worker_cluster_test.hpp
@@ -12,17 +12,22 @@
 
 namespace cassiastile::standin {
 
+// A sink that keeps all decisions, in their order.
 class RecordedDecisions final : public base::DecisionSink {
  public:
   void Record(base::Decision decision) override {
-    kept.push_back(std::move(decision));
+    recorded.push_back(std::move(decision));
   }
 
-  std::vector<base::Decision> kept;
+  std::vector<base::Decision> recorded;
 };
 
-// One pool with its table, its workers and two processes that may own its
-// shard. What ran is judged by the log of the workers, not by the table.
+// One pool in virtual time: its table, its workers and two processes that may
+// own its shard. Tests learn what ran from the workers' log, as the table is
+// what they check.
+//
+// The pool "p" has the hosts w0, w1 and so on in three zones, with 16 cores
+// each, the queue "q" and the urgent queue "u".
 class TaskCluster {
  public:
   explicit TaskCluster(std::size_t hosts = 4, std::uint64_t seed = 1)
@@ -49,11 +54,11 @@
                                                 base::Random(m_random()));
     }
     TakeOver(0);
-    Apply();
+    ApplyFleet();
   }
 
   // Applies the fleet document and the states of the hosts to both owners.
-  void Apply() {
+  void ApplyFleet() {
     ++accepted.version;
     std::vector<fleet::HostView> views;
     for (const config::Host& host : accepted.fleet.pools[0].hosts) {
@@ -71,12 +76,13 @@
     }
   }
 
+  // Sets the most tasks of a team that may run at once.
   void SetLimit(const std::string& team, std::uint32_t tasks) {
     std::erase_if(accepted.fleet.limits, [&team](const config::Limit& limit) {
       return limit.team == team;
     });
     accepted.fleet.limits.push_back({team, 0, tasks});
-    Apply();
+    ApplyFleet();
   }
 
   // Gives a process the lease on the shard. The other process still believes
@@ -99,6 +105,7 @@
 
   work::TaskOwner& Owner() { return *m_owners[current]; }
 
+  // Gives the event to the current process as a batch of its own.
   work::TaskResult Send(work::TaskEvent event) {
     return m_owners[current]
         ->ProcessEvents({std::move(event)}, Now(), m_leases[current])
@@ -115,6 +122,7 @@
     return result;
   }
 
+  // Advances the time and handles the polls that are due by then.
   void Step(base::Duration by) {
     clock.Advance(by);
     std::vector<SentPoll> polls = workers->CollectPolls(clock.Now());
@@ -127,6 +135,7 @@
     m_owners[current]->ProcessEvents({}, Now(), m_leases[current]);
   }
 
+  // Advances the time in steps of 100 ms.
   void Run(base::Duration length) {
     constexpr base::Duration kStep = std::chrono::milliseconds(100);
     for (base::Duration passed{}; passed < length; passed += kStep) {
@@ -136,7 +145,8 @@
 
   work::Moment Now() const { return {clock.Now(), clock.WallNow()}; }
 
-  // Returns the task as stored in the table.
+  // Returns the task as stored in the table; empty if it is absent or the table
+  // fails.
   std::optional<work::Task> Stored(const std::string& key) {
     const auto row = table.Get("task/p/" + key);
     if (!row || !*row) {
@@ -145,6 +155,7 @@
     return work::DecodeTask((*row)->value).value();
   }
 
+  // Counts the events of one kind in the workers' log for a task.
   std::size_t CountLog(const std::string& key, WorkerEvent event) const {
     std::size_t count = 0;
     for (const WorkerLogEntry& line : log) {
@@ -157,11 +168,11 @@
   platform::MemoryTable table;
   RecordedDecisions decisions;
   config::AcceptedFleet accepted;
-  std::set<std::string> draining;
+  std::set<std::string> draining;  // Host names; ApplyFleet passes them on.
   std::unique_ptr<WorkerFleet> workers;
   std::vector<WorkerLogEntry> log;
-  std::set<std::string> acknowledged;
-  // Runs by team, from the workers' log.
+  std::set<std::string> acknowledged;  // Task keys.
+  // Runs in progress by team, and the most at once, from the workers' log.
   std::map<std::string, std::int64_t> running;
   std::map<std::string, std::int64_t> peak_running;
   std::size_t current = 0;  // The process that gets submissions and polls.
@@ -186,6 +197,7 @@
   std::array<work::OwnerLease, 2> m_leases;
 };
 
+// Returns an idempotent task of team "a" in queue "q" that runs for `seconds`.
 inline work::TaskSpec MakeSpec(const std::string& id, double seconds = 5) {
   work::TaskSpec spec;
   spec.id = id;
--- a/src/cassiastile/standin/worker_property_test.cpp
+++ b/src/cassiastile/standin/worker_property_test.cpp
@@ -26,11 +26,11 @@
   kRestart,
   kFailWorker,
   kHealWorker,
-  kLoseAnswers,
+  kLoseAnswers,  // Of the table.
   kDelayWrites,
   kStoreDown,
   kStoreUp,
-  kLoseMessages,
+  kLoseMessages,  // Polls and their answers.
   kTakeOver,
   kPollBoth,
   kPollCurrent,
@@ -40,6 +40,7 @@
   kCount,
 };
 
+// An action with a number from 0 to 11 that selects its worker, task or length.
 struct Event {
   Action action = Action::kRun;
   int choice = 0;
@@ -69,6 +70,7 @@
   return spec;
 }
 
+// Performs the events of a history on a cluster.
 class FaultInjector {
  public:
   explicit FaultInjector(TaskCluster& cluster) : m_cluster(cluster) {}
@@ -85,6 +87,7 @@
       case Action::kRun:
         return m_cluster.Run(std::chrono::milliseconds(300 * event.choice));
       case Action::kRunPastTheLease:
+        // The lease is 6 s and its margin 2 s; see TaskShardOptions.
         return m_cluster.Run(seconds(9));
       case Action::kPause:
         return worker.SetPaused(true);
@@ -118,11 +121,12 @@
         return;
       case Action::kDrain:
         m_cluster.draining.insert(worker.Name());
-        return m_cluster.Apply();
+        return m_cluster.ApplyFleet();
       case Action::kEndDrains:
         m_cluster.draining.clear();
-        return m_cluster.Apply();
+        return m_cluster.ApplyFleet();
       case Action::kChangeLimit:
+        // Never above kLimitA, so that the check of the peak holds throughout.
         return m_cluster.SetLimit("a", kLimitA - index);
       case Action::kCount:
         return;
@@ -173,6 +177,9 @@
                   cluster.CountLog(key, WorkerEvent::kCheckpointed));
 }
 
+// Checks that every acknowledged task is stored and has ended or, if it is not
+// idempotent, is in doubt. A non-idempotent task starts at most once, apart
+// from resumptions at a checkpoint, and only cancelled tasks end as cancelled.
 void CheckEnds(TaskCluster& cluster, const FaultInjector& injector) {
   for (const std::string& key : cluster.acknowledged) {
     const auto task = cluster.Stored(key);
@@ -209,6 +216,9 @@
   CheckEnds(cluster, injector);
 }
 
+// Runs generated histories of submissions, cancellations and faults of workers,
+// table, messages and owners, then ends all faults. The seed is fixed, so that
+// every run checks the same histories.
 TEST(TaskPropertyTest, NoTaskIsLostOrRunTwiceAndNoLimitIsExceeded) {
   rc::detail::TestParams params;
   params.seed = 20261203;
--- a/src/cassiastile/standin/worker_task_test.cpp
+++ b/src/cassiastile/standin/worker_task_test.cpp
@@ -29,7 +29,11 @@
   EXPECT_EQ(cluster.CountLog("q/1", WorkerEvent::kStarted), 1U);
 }
 
-TEST(TaskLifecycleTest, PausedWorkerCannotReportAndTaskRunsElsewhere) {
+// A worker that resumes after its lease lapsed must not finish a run that was
+// given to another worker. The 12 s of the pause exceed the lease of 6 s and
+// its margin of 2 s; the abandoned run stays unconfirmed until the worker
+// reports that it has stopped it.
+TEST(TaskLifecycleTest, TaskOfAPausedWorkerRunsElsewhereAndEndsOnce) {
   TaskCluster cluster;
   cluster.Submit(MakeSpec("1", 20));
   cluster.Run(seconds(3));
@@ -50,6 +54,8 @@
   EXPECT_EQ(cluster.CountLog("q/1", WorkerEvent::kSucceeded), 1U);
 }
 
+// The run of a silent worker may still go on, so a task that must not run twice
+// is not given to another worker.
 TEST(TaskLifecycleTest, NonIdempotentTaskOfASilentWorkerIsInDoubt) {
   TaskCluster cluster;
   work::TaskSpec spec = MakeSpec("1", 20);
@@ -63,7 +69,7 @@
   const work::Task task = *cluster.Stored("q/1");
   EXPECT_EQ(task.state, TaskState::kInDoubt);
   EXPECT_NE(task.reason.find("worker " + worker), std::string::npos);
-  EXPECT_EQ(cluster.decisions.kept.back().outcome, "in doubt");
+  EXPECT_EQ(cluster.decisions.recorded.back().outcome, "in doubt");
   EXPECT_EQ(cluster.CountLog("q/1", WorkerEvent::kStarted), 1U);
 }
 
@@ -84,7 +90,10 @@
   EXPECT_EQ(cluster.Stored("q/1")->outcome, TaskOutcome::kSucceeded);
 }
 
-TEST(TaskLifecycleTest, LostStartIsRepeatedAndRunsOnce) {
+// When the answer with a start order is lost, or the poll that reports the run,
+// the shard repeats the order. A worker that executed both orders would run a
+// task twice that is not idempotent.
+TEST(TaskLifecycleTest, TaskRunsOnceAndEndsDespiteLostPollsAndAnswers) {
   TaskCluster cluster;
   cluster.workers->SetFaults({.lose_poll = 0.3, .lose_answer = 0.5});
   work::TaskSpec spec = MakeSpec("1", 3);
@@ -95,6 +104,8 @@
   EXPECT_EQ(cluster.Stored("q/1")->state, TaskState::kEnded);
 }
 
+// The task takes 30 s and the test 36 s, of which 10 s pass before the drain.
+// So the task ends in time only if its second run resumes from the checkpoint.
 TEST(TaskLifecycleTest, TaskLeavesDrainingHostAtACheckpoint) {
   TaskCluster cluster;
   work::TaskSpec spec = MakeSpec("1", 30);
@@ -104,7 +115,7 @@
   cluster.Run(seconds(10));
   const std::string worker = cluster.Stored("q/1")->lease.worker;
   cluster.draining.insert(worker);
-  cluster.Apply();
+  cluster.ApplyFleet();
   cluster.Run(seconds(4));
   EXPECT_EQ(cluster.CountLog("q/1", WorkerEvent::kCheckpointed), 1U);
   EXPECT_NE(cluster.Stored("q/1")->lease.worker, worker);
@@ -132,6 +143,9 @@
   EXPECT_EQ(cluster.CountLog("q/1", WorkerEvent::kStarted), 3U);
 }
 
+// A task that no host can hold must not wait without a reason, whether this is
+// known on submission or comes about later. w0 drains, so that it doesn't start
+// the accepted task before its accelerator is removed.
 TEST(TaskLifecycleTest, UnschedulableTaskIsRefusedOrExplained) {
   TaskCluster cluster;
   work::TaskSpec spec = MakeSpec("1");
@@ -141,19 +155,21 @@
   EXPECT_NE(refused.reply.reason.find("accelerators"), std::string::npos);
   cluster.accepted.fleet.pools[0].hosts[0].accelerators = 1;
   cluster.draining.insert("w0");
-  cluster.Apply();
+  cluster.ApplyFleet();
   EXPECT_EQ(cluster.Submit(spec).effect, Effect::kCommitted);
   cluster.accepted.fleet.pools[0].hosts[0].accelerators = 0;
-  cluster.Apply();
+  cluster.ApplyFleet();
   cluster.Run(seconds(2));
   EXPECT_NE(cluster.Owner().Shard().Explain("q/1").find("no host of pool p"),
             std::string::npos);
   cluster.accepted.fleet.pools[0].hosts[1].accelerators = 1;
-  cluster.Apply();
+  cluster.ApplyFleet();
   cluster.Run(seconds(10));
   EXPECT_EQ(cluster.Stored("q/1")->outcome, TaskOutcome::kSucceeded);
 }
 
+// A task that fails on w0 is retried on another worker, so none may fail for
+// good. After the quarantine w0 gets one task at a time, as a probe.
 TEST(FailingWorkerTest, IsQuarantinedWhenOthersSucceedAndReinstatedByProbes) {
   TaskCluster cluster;
   cluster.workers->At(0).SetFailing(true);
@@ -180,6 +196,9 @@
       work::WorkerHealthState::kHealthy);
 }
 
+// Runs on paused workers are abandoned after their lease, but may still go on.
+// They count against the team's limit until the workers report that they have
+// stopped; otherwise the tasks started instead would exceed it.
 TEST(UpperLimitTest, HoldsWithAPausedWorker) {
   TaskCluster cluster;
   cluster.SetLimit("a", 3);
@@ -202,6 +221,7 @@
   }
 }
 
+// The runs take 10 s, so none ends in the 9 s until the log is compared.
 TEST(UpperLimitTest, LoweredLimitStartsNothingUntilEnoughRunsEnd) {
   TaskCluster cluster;
   cluster.SetLimit("a", 6);
@@ -211,15 +231,17 @@
   cluster.Run(seconds(5));
   EXPECT_EQ(cluster.running["a"], 6);
   cluster.SetLimit("a", 2);
-  const std::size_t lines = cluster.log.size();
+  const std::size_t events_before = cluster.log.size();
   cluster.Run(seconds(4));
-  EXPECT_EQ(cluster.log.size(), lines);
+  EXPECT_EQ(cluster.log.size(), events_before);
   cluster.Run(seconds(6));
   cluster.peak_running.clear();
   cluster.Run(seconds(30));
   EXPECT_EQ(cluster.peak_running["a"], 2);
 }
 
+// In an outage of the table, the owner renews the workers' leases without
+// writing. Otherwise the 40 s run would be stopped and started again.
 TEST(StoreTest, OutageRefusesSubmissionsAndRunningTasksContinue) {
   TaskCluster cluster;
   cluster.Submit(MakeSpec("1", 40));
@@ -235,6 +257,7 @@
   EXPECT_EQ(cluster.CountLog("q/1", WorkerEvent::kStarted), 1U);
 }
 
+// The table applies the write of the submission, but its answer is lost.
 TEST(StoreTest, LostAnswerIsUnknownAndTheSameIdMayBeRepeated) {
   TaskCluster cluster;
   cluster.table.SetFaults({.lose_answer = 1});
@@ -246,6 +269,9 @@
   EXPECT_EQ(cluster.CountLog("q/1", WorkerEvent::kStarted), 1U);
 }
 
+// Process 1 takes over the lease on the shard while process 0 still believes
+// that it holds it, as after a long pause. The write of process 0 must fail on
+// the precondition that fences it with the version of the lease's row.
 TEST(StoreTest, OwnerPausedPastItsLeaseWritesNothing) {
   TaskCluster cluster;
   cluster.Submit(MakeSpec("1", 5));
@@ -260,7 +286,12 @@
   EXPECT_EQ(cluster.CountLog("q/1", WorkerEvent::kStarted), 1U);
 }
 
-TEST(UrgentTest, StartsWhileSweepsFillThePool) {
+// Sweeps are long batch tasks, pushes short urgent ones. The sweeps use all
+// cores but the reserve, which is smaller than the 12 cores of the push, so
+// some of them must be preempted. That takes up to 500 ms each for the poll
+// that orders the checkpoints, the checkpoints, and the poll that starts the
+// push.
+TEST(UrgentTaskTest, StartsWhileSweepsFillThePool) {
   TaskCluster cluster;
   for (int index = 0; index < 100; ++index) {
     work::TaskSpec sweep = MakeSpec("s" + std::to_string(index), 600);
@@ -279,7 +310,9 @@
   EXPECT_EQ(cluster.CountLog("u/push", WorkerEvent::kStopped), 0U);
 }
 
-TEST(UrgentTest, NeverStopsTasksThatCannotBeCheckpointed) {
+// The sweeps are neither checkpointable nor idempotent: stopping one would
+// leave it in doubt. So the push waits.
+TEST(UrgentTaskTest, NeverStopsTasksThatCannotBeCheckpointed) {
   TaskCluster cluster;
   for (int index = 0; index < 100; ++index) {
     work::TaskSpec sweep = MakeSpec("s" + std::to_string(index), 600);
@@ -300,21 +333,31 @@
   EXPECT_EQ(cluster.CountLog("u/push", WorkerEvent::kStarted), 0U);
 }
 
+// The new owner reads the table one page per call. Until all are read, it must
+// accept a new task, and a repeated submission must not overwrite a task that
+// was not read yet.
 TEST(RecoveryTest, AcceptsSubmissionsDuringRecoveryAndLosesNothing) {
   TaskCluster cluster;
+  // Three pages of up to 500 rows, so that both submissions come before the
+  // last page is read.
   constexpr int kTasks = 1200;
   for (int index = 0; index < kTasks; ++index) {
     cluster.Submit(MakeSpec(std::to_string(index), 600));
   }
   cluster.TakeOver(1);
   EXPECT_EQ(cluster.Submit(MakeSpec("new", 600)).effect, Effect::kCommitted);
+  // kCommitted if the page with this task was read, as it is known then;
+  // kNotRun if not, as the write conflicts with its row.
   EXPECT_NE(cluster.Submit(MakeSpec("0", 600)).effect, Effect::kUnknown);
   cluster.Run(seconds(2));
   EXPECT_EQ(cluster.Owner().Shard().Tasks().Size(), kTasks + 1U);
   EXPECT_EQ(cluster.Submit(MakeSpec("0", 600)).reply.verdict, Verdict::kSame);
 }
 
-TEST(CancelTest, ThousandsOfCancelsDoNotDelayAStart) {
+// Guards against cancelled tasks that hold up the scheduling of others. Time
+// passes only in Run, so the 5 s bound the polls until the start, not the
+// processing time. No worker polls before, so all cancelled tasks end at once.
+TEST(TaskCancelTest, ThousandsOfCancelsDoNotDelayAStart) {
   TaskCluster cluster;
   for (int index = 0; index < 3000; ++index) {
     cluster.Submit(MakeSpec(std::to_string(index), 600));
