--- a/include/cassiastile/standin/backend_simulation.hpp
+++ b/include/cassiastile/standin/backend_simulation.hpp
@@ -135,7 +135,7 @@
 
   SimulationOptions m_options;
   base::Random m_random;
-  base::TimePoint m_now;
+  base::TimePoint m_now;  // Starts above zero, which stands for "never".
   BackendModel m_backends;
   platform::MemoryTable m_table;
   std::vector<Host> m_hosts;
--- a/include/cassiastile/standin/platform_server.hpp
+++ b/include/cassiastile/standin/platform_server.hpp
@@ -39,6 +39,8 @@
       PlatformServerOptions options);
 
   std::uint16_t Port() const;
+  // Stops accepting connections, and ends once every accepted request is
+  // answered or 2 s have passed.
   void Drain();
 
   platform::MemoryTable& Table();
--- a/include/cassiastile/standin/worker_agent.hpp
+++ b/include/cassiastile/standin/worker_agent.hpp
@@ -18,7 +18,8 @@
 
 struct WorkerAgentOptions {
   WorkerOptions worker;
-  std::vector<std::string> control;  // IP:PORT of control processes.
+  // IP:PORT of control processes. Must not be empty.
+  std::vector<std::string> control;
   std::chrono::milliseconds poll_timeout{2000};
   // How long Stop waits for runs that can be neither checkpointed nor stopped.
   std::chrono::milliseconds stop_deadline{20000};
--- a/include/cassiastile/standin/worker_fleet.hpp
+++ b/include/cassiastile/standin/worker_fleet.hpp
@@ -31,7 +31,8 @@
               base::Random random,
               const Worker::Log& log);
 
-  // Advances all workers to a time and returns the polls that arrive at it.
+  // Advances all workers to a time and returns the polls that they send then,
+  // without the lost ones.
   std::vector<SentPoll> CollectPolls(base::TimePoint now);
 
   // Gives a worker the answer to its poll, unless there is none or the answer
--- a/src/cassiastile/standin/backend_fault_mix.cpp
+++ b/src/cassiastile/standin/backend_fault_mix.cpp
@@ -17,6 +17,8 @@
 constexpr std::chrono::seconds kCrashAfter{2};
 constexpr std::chrono::seconds kRestartAfter{3};
 constexpr std::chrono::seconds kBlackholeTime{4};
+// All deadlines have passed by then: requests arrive within 6 s and have
+// timeouts of up to 4 s.
 constexpr std::chrono::seconds kRunLength{20};
 constexpr double kMaxFaultProbability = 0.06;
 
--- a/src/cassiastile/standin/backend_simulation.cpp
+++ b/src/cassiastile/standin/backend_simulation.cpp
@@ -10,11 +10,14 @@
 
 namespace {
 
+// How often hosts tick, and how long a health check takes.
 constexpr std::chrono::milliseconds kTick{20};
 constexpr std::chrono::milliseconds kListInterval{500};
 constexpr std::chrono::milliseconds kCreditSyncInterval{250};
+// Spreads the hosts' credit exchanges in time.
 constexpr std::chrono::milliseconds kCreditJitter{50};
 constexpr std::chrono::milliseconds kProbeTimeout{1000};
+// Tries per request in the baseline, each with an equal part of its timeout.
 constexpr std::uint32_t kBaselineTries = 3;
 const std::string kService = "simulated";
 
--- a/src/cassiastile/standin/platform_server_test.cpp
+++ b/src/cassiastile/standin/platform_server_test.cpp
@@ -34,7 +34,7 @@
   platform::HttpPlatformOptions m_platform_options;
 };
 
-TEST_F(PlatformServerTest, TableBehavesLikeTheMemoryTable) {
+TEST_F(PlatformServerTest, TableStoresRowsAndRejectsConflictsOverHttp) {
   platform::HttpTable table(m_platform_options);
   const platform::Transaction insert{"a", {{"k/ä b", 0}}, {{"k/ä b", "v&="}}};
   ASSERT_TRUE(table.Apply(insert).has_value());
