--- a/src/cassiastile/work/admission_test.cpp
+++ b/src/cassiastile/work/admission_test.cpp
@@ -55,6 +55,8 @@
     Offer(MakeTicket("short"));
   }
   std::map<std::string, int> started;
+  // A long request costs as much as ten short ones, so about 40 short and four
+  // long ones start.
   for (int i = 0; i < 44; ++i) {
     const std::string team = m_queue.TakeNext()->team;
     ++started[team];
@@ -78,6 +80,7 @@
   for (int i = 0; i < 40; ++i) {
     ++started[m_queue.TakeNext()->team];
   }
+  // urgent_lead is 16; the other 34 of the 50 starts are shared equally.
   EXPECT_GE(started["calm"], 15);
 }
 
@@ -85,12 +88,15 @@
   for (int i = 0; i < 50; ++i) {
     EXPECT_TRUE(Offer(MakeTicket("t")).empty());
   }
+  // The 50 requests before it take 5 s at kRate.
   const auto refusals = Offer(MakeTicket("t", std::chrono::seconds(3)));
   ASSERT_EQ(refusals.size(), 1U);
   EXPECT_EQ(refusals[0].not_run.reason, RefusalReason::kWaitTooLong);
   EXPECT_GT(refusals[0].not_run.retry_after, base::Duration::zero());
 }
 
+// A request waits for its own team's queue and, by weight, for other teams, not
+// for the whole queue.
 TEST_F(AdmissionTest, SmallTeamIsNotRefusedForTheQueueOfALargeOne) {
   for (int i = 0; i < 90; ++i) {
     Offer(MakeTicket("large"));
@@ -102,7 +108,8 @@
   for (int i = 0; i < 50; ++i) {
     Offer(MakeTicket("t", std::chrono::seconds(20)));
   }
-  // The runners become ten times slower.
+  // The runners become ten times slower, so about 17 of the requests can start
+  // within 90 % of the time that is left (keep_fraction).
   const ServiceRate slow{1, std::chrono::seconds(1)};
   const auto refusals = m_queue.RefuseLate(slow, kStart, m_random);
   EXPECT_GE(refusals.size(), 30U);
@@ -147,6 +154,8 @@
     EXPECT_LE(after, m_options.max_retry_after);
     seconds.insert(base::Milliseconds(after) / 1000);
   }
+  // 50 requests at kRate take 5 s, so the times are drawn from the 10 s after
+  // min_retry_after.
   EXPECT_GE(seconds.size(), 8U);
 }
 
@@ -157,6 +166,7 @@
     retries += budget.Spend() ? 1 : 0;
     budget.Earn();
   }
+  // The bucket starts with 2 tokens and earns 0.1 for each of 1000 answers.
   EXPECT_NEAR(retries, 102, 2);
 }
 
--- a/src/cassiastile/work/credit_ledger_test.cpp
+++ b/src/cassiastile/work/credit_ledger_test.cpp
@@ -21,7 +21,7 @@
   return ledger;
 }
 
-TEST(CreditLedgerTest, OneHolderTakesAllItWants) {
+TEST(CreditLedgerTest, OneHolderGetsTheWholeCapacity) {
   const Ledger ledger = Rebalance(MakeLedger(kSlots), "e1#1", 0, 20);
   EXPECT_EQ(ledger.holdings.at("e1#1").granted, kSlots);
 }
--- a/src/cassiastile/work/request_dispatcher_test.cpp
+++ b/src/cassiastile/work/request_dispatcher_test.cpp
@@ -5,6 +5,7 @@
 namespace cassiastile::work {
 namespace {
 
+// Above zero, which stands for "never" in the dispatcher.
 constexpr base::TimePoint kStart{std::chrono::hours(1)};
 constexpr std::chrono::seconds kTimeout{10};
 
@@ -17,6 +18,7 @@
       listed.push_back({name, "", "z0", 1, false});
       slots[name] = 1;
     }
+    // Ignored, as the runners are not listed yet.
     m_dispatcher.SetSlots(slots, m_now);
     m_dispatcher.SetRunners(listed, m_now);
     m_dispatcher.SetSlots(slots, m_now);
@@ -77,8 +79,7 @@
   EXPECT_NE(again.runner, send.runner);
 }
 
-TEST_F(RequestDispatcherTest,
-       LostIdempotentRequestIsRetriedElsewhereThenUnknown) {
+TEST_F(RequestDispatcherTest, LostIdempotentRequestIsRetriedAndThenUnknown) {
   auto send = Only<SendTry>(Arrive(true));
   send = Only<SendTry>(End(send, TryLost{}));
   send = Only<SendTry>(End(send, TryLost{}));
@@ -87,6 +88,8 @@
   EXPECT_TRUE(std::holds_alternative<MaybeRan>(end.outcome));
 }
 
+// The runner was told to stop at the deadline. The slot is held for 200 ms more
+// (stop_margin).
 TEST_F(RequestDispatcherTest, SlotOfALostRequestIsHeldUntilItsRunnerStops) {
   const auto send = Only<SendTry>(Arrive(false));
   End(send, TryLost{});
@@ -105,6 +108,7 @@
 
 TEST_F(RequestDispatcherTest, SilentRunnerIsEjectedAndIdempotentRequestHedged) {
   const auto send = Only<SendTry>(Arrive(true));
+  // Longer than the silence limit, which is min_silence (500 ms) here.
   const auto actions = TickAfter(std::chrono::milliseconds(600));
   const auto again = Only<SendTry>(actions);
   EXPECT_NE(again.runner, send.runner);
@@ -126,6 +130,7 @@
   for (int i = 0; i < 4; ++i) {
     Arrive(false, "k1");
   }
+  // All four slots are in use, so this request is queued.
   Arrive(false, "k1");
   const auto end = Only<FinishRequest>(
       m_dispatcher.RefuseInvalidKeys({"k2"}, RefusalReason::kUnknownKey));
@@ -133,6 +138,8 @@
   EXPECT_EQ(m_dispatcher.Queued(), 0U);
 }
 
+// While the process is paused for more than 5 s (longest_pause), its slots may
+// be granted to others. Requests sent to them would exceed the runners' slots.
 TEST_F(RequestDispatcherTest, NothingIsSentAfterAPauseUntilSlotsAreReread) {
   const base::TimePoint before = m_now;
   m_dispatcher.Tick(m_now);
--- a/src/cassiastile/work/routing_test.cpp
+++ b/src/cassiastile/work/routing_test.cpp
@@ -49,6 +49,7 @@
 TEST(RoutingTest, LoadSpreadsWithoutHotSpots) {
   base::Random random(1);
   Runners runners = MakeRunners(9);
+  // Four requests for each runner on average.
   for (int i = 0; i < 36; ++i) {
     ++runners[*PickRunner(runners, {}, MakeOptions(), random)].in_use;
   }
--- a/src/cassiastile/work/task_policy_test.cpp
+++ b/src/cassiastile/work/task_policy_test.cpp
@@ -33,7 +33,7 @@
   EXPECT_NEAR(estimate.seconds, 25, 0.1);
 }
 
-// Guards against teams that give old work a new kind to escape what was learned
+// Guards against teams that give old work a new kind to escape what was learnt
 // about their declarations.
 TEST(SizeEstimateTest, NewKindStartsFromTheTeamsDeclarationError) {
   SizeEstimator sizes;
@@ -44,6 +44,8 @@
   EXPECT_NEAR(sizes.Estimate(MakeSpec("b", "new")).size.cores, 8, 0.1);
 }
 
+// Guards against a later team that gets the whole pool until it has caught up
+// with the usage of a team that was alone before.
 TEST(ShareAccountTest, BorrowedIdleCapacityIsNotHeldAgainstTheBorrower) {
   ShareAccount shares;
   base::ManualClock clock;
@@ -64,6 +66,7 @@
   ShareAccount shares;
   shares.SetCapacity(kPool);
   shares.SetWeight("a", 4);
+  // "a" has 40 % of the cores at weight 4, "b" 10 % of the memory at weight 1.
   shares.SetUse("a", {40, 0, 0}, TeamDemand::kWaiting);
   shares.SetUse("b", {1, 40, 0}, TeamDemand::kWaiting);
   EXPECT_NEAR(shares.ProjectedUsage("a"), shares.ProjectedUsage("b"), 1e-9);
@@ -97,6 +100,7 @@
 TEST(PlacementTest, ReserveIsForUrgentTasks) {
   base::ManualClock clock;
   std::vector<PlacementHost> hosts{MakeHost("w0", 0)};
+  // One core is asked for, but pieces have four.
   EXPECT_EQ(SpreadReserve(hosts, 1, {4, 16, 0}), 4);
   hosts[0].placed = {12, 12, 0};
   PlacementRequest request;
@@ -127,7 +131,7 @@
   EXPECT_TRUE(health.RecordEnd("w0", "k", false, clock.Now()));
   EXPECT_EQ(health.HealthOf("w0", clock.Now()),
             WorkerHealthState::kQuarantined);
-  clock.Advance(seconds(31));
+  clock.Advance(seconds(31));  // Past first_quarantine, 30 s.
   EXPECT_EQ(health.HealthOf("w0", clock.Now()), WorkerHealthState::kProbing);
   health.RecordEnd("w0", "k", true, clock.Now());
   EXPECT_EQ(health.HealthOf("w0", clock.Now()), WorkerHealthState::kHealthy);
