--- a/include/cassiastile/work/admission.hpp
+++ b/include/cassiastile/work/admission.hpp
@@ -18,7 +18,7 @@
 
 // Settings of an AdmissionQueue.
 struct AdmissionOptions {
-  std::size_t queue_limit = 512;
+  std::size_t queue_limit = 512;  // Queued requests of all teams.
   // By how many requests a team's urgent ones may run ahead of its fair share.
   double urgent_lead = 16;
   // How long after its arrival a request may wait while this host has no
@@ -165,6 +165,7 @@
   // full.
   RetryBudget(double tokens_per_answer, double max_tokens);
 
+  // Adds the tokens for one answer.
   void Earn();
   bool HasToken() const { return m_tokens >= 1; }
   // Spends one token; returns false when there is none.
--- a/include/cassiastile/work/credit_ledger.hpp
+++ b/include/cassiastile/work/credit_ledger.hpp
@@ -32,8 +32,10 @@
 // Updates the holder's entry from its current use and demand. A holder with
 // more than its fair share returns the excess that it does not use; any other
 // takes free credits up to its fair share. Its grant never drops below what it
-// has in use. Write the returned ledger only if the table still has the version
-// it was computed from.
+// has in use.
+//
+// Write the returned ledger only if the table still has the version it was
+// computed from.
 Ledger Rebalance(const Ledger& ledger,
                  const HolderName& holder,
                  std::uint32_t in_use,
--- a/include/cassiastile/work/request_dispatcher.hpp
+++ b/include/cassiastile/work/request_dispatcher.hpp
@@ -50,9 +50,9 @@
 struct RequestDispatcherOptions {
   RoutingOptions routing;
   AdmissionOptions admission;
-  std::uint32_t max_tries = 3;
+  std::uint32_t max_tries = 3;      // Per request, the first included.
   double retries_per_answer = 0.1;  // Retry tokens earned per answer.
-  double retry_burst = 10;
+  double retry_burst = 10;          // The most tokens; a retry costs one.
   // How long a lost request's slot stays occupied after the time at which its
   // runner was told to stop.
   std::chrono::milliseconds stop_margin{200};
--- a/include/cassiastile/work/routing.hpp
+++ b/include/cassiastile/work/routing.hpp
@@ -18,11 +18,11 @@
   std::string zone;  // The zone of this host.
   // Added to the latency of runners in other zones.
   std::chrono::milliseconds zone_penalty{3};
-  std::uint32_t eject_after_failures = 3;
+  std::uint32_t eject_after_failures = 3;  // Consecutive ones.
   // Length of the first ejection; doubles with each consecutive one.
   std::chrono::milliseconds ejection{2000};
   std::chrono::milliseconds max_ejection{30000};
-  double max_ejected_fraction = 0.5;
+  double max_ejected_fraction = 0.5;  // Of the runners that are not leaving.
   // A runner counts as silent when a request to it is unanswered for this long,
   // and for this many times its usual latency, and the runner has sent no other
   // answer since.
--- a/include/cassiastile/work/size_estimate.hpp
+++ b/include/cassiastile/work/size_estimate.hpp
@@ -22,9 +22,9 @@
 // The expected size and run time of a task.
 struct SizeEstimate {
   Resources size;
-  double seconds = 0;          // Expected run time.
-  double seconds_upper = 0;    // A run time that is rarely exceeded.
-  bool cores_learned = false;  // Whether size.cores comes from observations.
+  double seconds = 0;         // Expected run time.
+  double seconds_upper = 0;   // A run time that is rarely exceeded.
+  bool cores_learnt = false;  // Whether size.cores comes from observations.
 };
 
 // Observations of one quantity: its amount, and its ratio to the declared
@@ -46,7 +46,10 @@
 // that giving old work a new kind gains nothing.
 class SizeEstimator {
  public:
+  // Estimates each quantity on its own. Without at least three observations of
+  // the kind or the team, it is as declared.
   SizeEstimate Estimate(const TaskSpec& spec) const;
+  // Records a measurement. Amounts that are not above zero are ignored.
   void ObserveUsage(const TaskSpec& spec, const Resources& usage);
   void ObserveRunTime(const TaskSpec& spec, double seconds);
 
--- a/include/cassiastile/work/task_index.hpp
+++ b/include/cassiastile/work/task_index.hpp
@@ -82,7 +82,7 @@
   // batch's rows.
   void Put(TaskEntry entry, bool write);
   void Erase(const std::string& key);
-  // Records the progress of a run. Not part of a batch.
+  // Records the progress of a run, whose entry must exist. Not part of a batch.
   void SetProgress(const std::string& key, double progress);
 
   // The rows that the batch writes.
@@ -92,6 +92,7 @@
   // Ends the batch and undoes its changes.
   void RollBack();
 
+  // Empty when there is none. The references are valid until the next change.
   const TeamTasks& TeamOf(const std::string& team) const;
   const WorkerTasks& WorkerOf(const std::string& worker) const;
   const std::map<std::string, TeamTasks>& Teams() const;
--- a/include/cassiastile/work/task_owner.hpp
+++ b/include/cassiastile/work/task_owner.hpp
@@ -56,11 +56,12 @@
 };
 
 // Runs a shard on its rows in the table: decides, writes, and confirms only
-// what is written. Reads all rows again when the epoch changes or a
-// precondition failed, one page per call. While reading, it accepts submissions
-// of ids that the table does not have, renews workers' leases, and rejects
-// other events with kNotRun. While the table fails, it keeps renewing workers'
-// leases. Calls block on the table. Not thread-safe.
+// what is written. Calls block on the table. Not thread-safe.
+//
+// Reads all rows again when the epoch changes or a precondition failed, one
+// page per call. Until all are read, it accepts submissions of ids that the
+// table does not have, and rejects other events with kNotRun. Workers' leases
+// are renewed meanwhile, and also while the table fails.
 class TaskOwner {
  public:
   // The table and the sink must outlive the owner.
--- a/include/cassiastile/work/task_poll.hpp
+++ b/include/cassiastile/work/task_poll.hpp
@@ -15,7 +15,7 @@
 struct HeldRun {
   std::string key;  // As returned by KeyOf.
   std::uint64_t epoch = 0;
-  double progress = 0;
+  double progress = 0;    // From 0 to 1.
   bool measured = false;  // Whether the usage was measured yet.
   Resources usage;
 };
@@ -39,8 +39,8 @@
   double seconds = 0;  // How long it ran.
   // Resources times seconds; zero when they were not measured.
   Resources used;
-  std::string checkpoint;
-  std::string message;
+  std::string checkpoint;  // Only with kCheckpointed; opaque to the shard.
+  std::string message;     // Why it ended, for people.
 };
 
 // A worker's report to a shard. A worker has at most one poll in flight, and
@@ -82,12 +82,13 @@
 // not below the highest that it has seen from the pool, starts each run once,
 // and stops all runs of the pool when it received no answer for the lease time,
 // counted from when the answered poll was sent. It ignores an answer that
-// arrives after it abandoned the poll. A shard epoch of zero only renews the
-// lease: no owner of the shard could be asked.
+// arrives after it abandoned the poll.
 struct PollAnswer {
   std::string pool;  // The shard that answered.
   // The pool of the worker's host; empty when the answering side does not know.
   std::string home_pool;
+  // Zero when no owner of the shard could be asked; the answer then only renews
+  // the lease.
   std::uint64_t shard_epoch = 0;
   base::Duration lease{};
   base::Duration poll_after{};
--- a/include/cassiastile/work/task_shard.hpp
+++ b/include/cassiastile/work/task_shard.hpp
@@ -105,10 +105,11 @@
 
 // Schedules the tasks of one pool: their state, their order, and their
 // placement. Does no I/O and reads no clock: events and the time go in, rows
-// and answers come out. A proposed batch is either confirmed after its rows
-// were written, or rolled back; until then no answer may be given. Until all
-// rows were read from the table, the shard accepts submissions and starts
-// nothing. Not thread-safe.
+// and answers come out. Not thread-safe.
+//
+// A proposed batch is either confirmed after its rows were written, or rolled
+// back; until then no answer may be given. Until all rows were read from the
+// table, the shard accepts submissions and starts nothing.
 class TaskShard {
  public:
   TaskShard(std::string pool, TaskShardOptions options, base::Random random);
--- a/include/cassiastile/work/task_store.hpp
+++ b/include/cassiastile/work/task_store.hpp
@@ -49,7 +49,8 @@
                            const platform::Precondition& fence);
 
   bool IsPending() const;
-  // Applies the pending transaction again; it takes effect at most once.
+  // Applies the pending transaction again; it takes effect at most once. There
+  // must be one.
   // kConflict: it did not and will not apply. kUnknown: its outcome is still
   // unknown.
   base::Result<void> Resolve();
--- a/src/cassiastile/work/admission.cpp
+++ b/src/cassiastile/work/admission.cpp
@@ -22,6 +22,7 @@
 
 // The number of requests that can be started per second.
 double StartsPerSecond(std::uint32_t slots, const ServiceRate& rate) {
+  // A service time of zero would make the rate infinite.
   constexpr double kShortestSeconds = 1e-4;
   return slots / std::max(SecondsOf(rate.service_time), kShortestSeconds);
 }
@@ -118,6 +119,7 @@
 }
 
 void AdmissionQueue::Release(const std::string& team, double cost) {
+  // Bounds the charge for one slow try.
   constexpr double kMaxCost = 20;
   TeamQueue& queue = m_teams[team];
   --queue.running;
--- a/src/cassiastile/work/routing.cpp
+++ b/src/cassiastile/work/routing.cpp
@@ -9,7 +9,9 @@
 
 // The weight of each answer in the moving average of a runner's latency.
 constexpr double kLatencyGain = 0.1;
+// Keeps the shift that doubles an ejection within its type.
 constexpr std::uint32_t kMaxDoublings = 8;
+// With fewer measured runners, none is ejected for slowness.
 constexpr std::size_t kMinRunnersForMedian = 3;
 
 base::Duration UsualLatency(const Runner& runner,
--- a/src/cassiastile/work/size_estimate.cpp
+++ b/src/cassiastile/work/size_estimate.cpp
@@ -7,8 +7,12 @@
 
 namespace {
 
+// The weight of each new value falls with the number of values, but not below
+// this, so that estimates follow changes.
 constexpr double kMinLearningRate = 0.05;
+// With fewer observations, a kind or a team predicts nothing.
 constexpr std::uint32_t kMinObservations = 3;
+// Bounds the memory: each further kind replaces the one observed least.
 constexpr std::size_t kMaxKindsPerTeam = 256;
 // Memory and run time are planned at this many standard deviations above the
 // median.
@@ -92,7 +96,7 @@
   const auto cores = Predict(kind.cores, all.cores, spec.declared.cores);
   if (cores.moments != nullptr) {
     estimate.size.cores = cores.scale * Mean(*cores.moments);
-    estimate.cores_learned = true;
+    estimate.cores_learnt = true;
   }
   const auto memory = Predict(kind.memory, all.memory, spec.declared.memory_gb);
   if (memory.moments != nullptr) {
--- a/src/cassiastile/work/task.cpp
+++ b/src/cassiastile/work/task.cpp
@@ -14,6 +14,7 @@
 
 using Json = nlohmann::json;
 
+// Rounding errors of summed resources must not keep out a size that just fits.
 constexpr double kRoundingSlack = 1e-9;
 constexpr std::size_t kMaxIdLength = 64;
 constexpr std::size_t kMaxPayloadBytes = 64U << 10U;
--- a/src/cassiastile/work/task_shard_dispatch.cpp
+++ b/src/cassiastile/work/task_shard_dispatch.cpp
@@ -193,7 +193,7 @@
       {"spread over zones and racks", "pools", m_fleet_version,
        fmt::format("fewest of the team's runs in its zone and rack, {} size "
                    "{:.1f} cores {:.1f} GB",
-                   estimate.cores_learned ? "learnt" : "declared",
+                   estimate.cores_learnt ? "learnt" : "declared",
                    estimate.size.cores, estimate.size.memory_gb)});
   task.placement = decision.id;
   Write(std::move(entry), "given to worker " + host.name);
--- a/src/cassiastile/work/task_shard_poll.cpp
+++ b/src/cassiastile/work/task_shard_poll.cpp
@@ -15,6 +15,7 @@
 // Runs are throttled when they would use more than this many times the host's
 // cores.
 constexpr double kThrottleSlack = 1.05;
+// Runs are not slowed below this fraction of their full speed.
 constexpr double kMinThrottle = 0.25;
 
 double Seconds(base::Duration duration) {
--- a/src/cassiastile/work/worker_health.cpp
+++ b/src/cassiastile/work/worker_health.cpp
@@ -8,7 +8,9 @@
 
 namespace {
 
+// With two, at least one differs from the worker whose failure is judged.
 constexpr std::size_t kWorkersPerKind = 2;
+// Bounds the memory: each further kind replaces another one.
 constexpr std::size_t kMaxKinds = 4096;
 
 }  // namespace
