--- a/include/cassiastile/standin/worker.hpp
+++ b/include/cassiastile/standin/worker.hpp
@@ -75,12 +75,13 @@
   void Leave(base::TimePoint now);
   bool IsIdle() const;
 
-  // Faults. A paused worker is frozen with its runs. All runs fail on a failing
-  // worker. A restarted worker returns under a new incarnation and loses all
-  // state, except that a failing one still fails.
+  // A paused worker is frozen with its runs.
   void SetPaused(bool paused);
   bool IsPaused() const;
+  // All runs on a failing worker fail.
   void SetFailing(bool failing);
+  // Restarts the worker under a new incarnation. It loses all state, except
+  // that a failing worker still fails.
   void Restart(base::TimePoint now);
 
   // Whether a run ended since the last poll was made.
--- a/include/cassiastile/work/task_store.hpp
+++ b/include/cassiastile/work/task_store.hpp
@@ -35,10 +35,11 @@
 
 using TeamGrants = std::map<std::string, std::uint32_t>;
 
-// A pool's task rows in the table. Every write is fenced by the shard's
-// precondition. A write whose answer was lost stays pending until its outcome
-// is known; nothing else is written before. Calls block on the table. Not
-// thread-safe.
+// A pool's task rows in the table. Calls block on the table. Not thread-safe.
+//
+// Every write is fenced by the shard's precondition. A write whose answer was
+// lost stays pending until its outcome is known; no tasks may be written
+// before.
 class TaskStore {
  public:
   // The table must outlive the store.
--- a/src/cassiastile/standin/backend_fault_mix.cpp
+++ b/src/cassiastile/standin/backend_fault_mix.cpp
@@ -14,12 +14,15 @@
 constexpr std::uint32_t kRequests = 300;
 // The requests arrive within this time.
 constexpr std::chrono::seconds kArrivalTime{6};
+// The crash and the restart fall into the time of the arrivals.
 constexpr std::chrono::seconds kCrashAfter{2};
 constexpr std::chrono::seconds kRestartAfter{3};
 constexpr std::chrono::seconds kBlackholeTime{4};
 // All deadlines have passed by then: requests arrive within 6 s and have
 // timeouts of up to 4 s.
 constexpr std::chrono::seconds kRunLength{20};
+// Of each fault; all eleven add up to at most 0.66, so that some requests run
+// without a fault.
 constexpr double kMaxFaultProbability = 0.06;
 
 std::map<BackendFault, double> DrawFaults(base::Random& random) {
--- a/src/cassiastile/standin/worker_task_test.cpp
+++ b/src/cassiastile/standin/worker_task_test.cpp
@@ -235,6 +235,7 @@
   cluster.Run(seconds(4));
   EXPECT_EQ(cluster.log.size(), events_before);
   cluster.Run(seconds(6));
+  // All six runs have ended; from here on the peak shows the lowered limit.
   cluster.peak_running.clear();
   cluster.Run(seconds(30));
   EXPECT_EQ(cluster.peak_running["a"], 2);
