--- a/include/cassiastile/host/job_frontend.hpp
+++ b/include/cassiastile/host/job_frontend.hpp
@@ -19,7 +19,7 @@
   std::string key_header;
   std::string timeout_header;
   std::function<std::string(jobs::JobPhase)> encode_state;
-  std::function<std::string(std::size_t)> encode_count;
+  std::function<std::string(std::size_t)> encode_queue_length;
 };
 
 // Serves callers' HTTP requests about jobs: finds the queue, checks the API key
--- a/include/cassiastile/jobs/fleet_config.hpp
+++ b/include/cassiastile/jobs/fleet_config.hpp
@@ -16,8 +16,7 @@
 // only `validity`.
 struct AdviceConfig {
   std::chrono::milliseconds decision{0};  // Time that an answer takes.
-  // Decoded from `period_ms`, despite its name.
-  std::chrono::milliseconds per_worker{0};
+  std::chrono::milliseconds period{0};
   std::chrono::milliseconds validity{0};  // How long an answer is valid.
 };
 
--- a/include/cassiastile/jobs/wave_plan.hpp
+++ b/include/cassiastile/jobs/wave_plan.hpp
@@ -11,9 +11,9 @@
 // A machine of a maintenance wave as the planner sees it.
 struct WaveMachine {
   std::string name;
-  bool begun = false;        // Its maintenance has begun or is done.
-  bool down = false;         // In maintenance, or an order for it is pending.
-  bool unavailable = false;  // Moving, not up, or may get no order now.
+  bool begun = false;  // Its maintenance has begun or is done.
+  bool down = false;   // In maintenance, or an order for it is pending.
+  bool cannot_be_ordered = false;  // Moving, not up, or may get no order now.
   // Whether all its runs may end now; see Scheduler::CanDrainMachine.
   bool can_drain = true;
   bool idle = true;       // Has no runs.
--- a/include/cassiastile/platform/store_guard.hpp
+++ b/include/cassiastile/platform/store_guard.hpp
@@ -17,9 +17,9 @@
   // For a whole call, including waits and retries.
   base::Duration call_timeout = std::chrono::seconds(2);
   // The wait before a retry starts at `first_backoff` and doubles up to
-  // `longest_backoff`; random jitter takes off up to half of it.
+  // `max_backoff`; random jitter takes off up to half of it.
   base::Duration first_backoff = std::chrono::milliseconds(20);
-  base::Duration longest_backoff = std::chrono::milliseconds(400);
+  base::Duration max_backoff = std::chrono::milliseconds(400);
   // This process's share of the rates that the table allows all hosts together.
   double writes_per_second = 25;
   double reads_per_second = 100;
--- a/include/cassiastile/work/task_owner.hpp
+++ b/include/cassiastile/work/task_owner.hpp
@@ -27,7 +27,7 @@
   base::Duration credit_return_interval = std::chrono::seconds(3);
   // Waits between attempts while the table fails.
   base::Duration first_backoff = std::chrono::milliseconds(100);
-  base::Duration longest_backoff = std::chrono::seconds(2);
+  base::Duration max_backoff = std::chrono::seconds(2);
   // Whether submissions are accepted while the table is still being read.
   bool accept_submissions_while_reading = true;
 };
--- a/src/bin/cassia_host.cpp
+++ b/src/bin/cassia_host.cpp
@@ -57,7 +57,7 @@
   return {.key_header = adapter::kKeyHeader,
           .timeout_header = adapter::kTimeoutHeader,
           .encode_state = adapter::EncodeJobState,
-          .encode_count = adapter::EncodeQueueLength};
+          .encode_queue_length = adapter::EncodeQueueLength};
 }
 
 wire::HttpServerOptions OptionsFor(asio::io_context& context,
--- a/src/cassiastile/host/job_frontend.cpp
+++ b/src/cassiastile/host/job_frontend.cpp
@@ -185,7 +185,7 @@
                   Answer(kOk, m_format.encode_state(
                                   static_cast<jobs::JobPhase>(answer.phase))));
             } else if (verb == JobVerb::kQueueLength) {
-              respond(Answer(kOk, m_format.encode_count(answer.count)));
+              respond(Answer(kOk, m_format.encode_queue_length(answer.count)));
             } else {
               respond(Answer(kOk));
             }
--- a/src/cassiastile/host/machine_controller.cpp
+++ b/src/cassiastile/host/machine_controller.cpp
@@ -299,15 +299,15 @@
     machine.begun = wave.begun[name];
     machine.down = tracked.pending == PendingOrder::kMaintain ||
                    tracked.machine.state == MachineState::kMaintenance;
-    machine.unavailable = tracked.machine.state != MachineState::kUp ||
-                          tracked.pending == PendingOrder::kMove ||
-                          now < tracked.retry_at || !MayOrder(name);
+    machine.cannot_be_ordered = tracked.machine.state != MachineState::kUp ||
+                                tracked.pending == PendingOrder::kMove ||
+                                now < tracked.retry_at || !MayOrder(name);
     machine.cordoned = tracked.cordoned;
     machine.cordoned_at = tracked.cordoned_at;
     if (const jobs::WorkerState* worker = WorkerOf(tracked)) {
       const std::string& id = worker->entry.id.id;
       if (tracked.cordoned && !machine.begun && !machine.down &&
-          !machine.unavailable) {
+          !machine.cannot_be_ordered) {
         m_scheduler.Evacuate(id, now);
       }
       machine.finite_cpu = worker->used.cpu - worker->long_running_used.cpu;
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -537,7 +537,7 @@
                        return std::string(
                            base::FindName(jobs::kJobPhaseNames, phase));
                      },
-                 .encode_count =
+                 .encode_queue_length =
                      [](std::size_t count) { return std::to_string(count); }},
              base::Random(world.m_options.seed * 100 + index)) {}
 
--- a/src/cassiastile/jobs/wave_plan.cpp
+++ b/src/cassiastile/jobs/wave_plan.cpp
@@ -15,7 +15,7 @@
   for (const WaveMachine& machine : machines) {
     if (machine.down) {
       ++down_count;
-    } else if (!machine.begun && !machine.unavailable) {
+    } else if (!machine.begun && !machine.cannot_be_ordered) {
       (machine.cordoned ? being_drained : others).push_back(&machine);
     }
   }
--- a/src/cassiastile/platform/store_guard.cpp
+++ b/src/cassiastile/platform/store_guard.cpp
@@ -138,7 +138,7 @@
     }
     m_retry_tokens -= 1;
     const base::Duration longest = std::min(
-        m_options.longest_backoff,
+        m_options.max_backoff,
         m_options.first_backoff * (1U << std::min(attempt, kMaxDoublings)));
     std::uniform_int_distribution<base::Duration::rep> jitter(
         longest.count() / 2, longest.count());
--- a/src/cassiastile/standin/worker_task_test.cpp
+++ b/src/cassiastile/standin/worker_task_test.cpp
@@ -199,7 +199,7 @@
 // Runs on paused workers are abandoned after their lease, but may still go on.
 // They count against the team's limit until the workers report that they have
 // stopped; otherwise the tasks started instead would exceed it.
-TEST(UpperLimitTest, HoldsWithAPausedWorker) {
+TEST(TeamLimitTest, HoldsWithPausedWorkers) {
   TaskCluster cluster;
   cluster.SetLimit("a", 3);
   for (int index = 0; index < 12; ++index) {
@@ -222,7 +222,7 @@
 }
 
 // The runs take 10 s, so none ends in the 9 s until the log is compared.
-TEST(UpperLimitTest, LoweredLimitStartsNothingUntilEnoughRunsEnd) {
+TEST(TeamLimitTest, LoweredLimitStartsNothingUntilEnoughRunsEnd) {
   TaskCluster cluster;
   cluster.SetLimit("a", 6);
   for (int index = 0; index < 20; ++index) {
@@ -243,7 +243,7 @@
 
 // In an outage of the table, the owner renews the workers' leases without
 // writing. Otherwise the 40 s run would be stopped and started again.
-TEST(StoreTest, OutageRefusesSubmissionsAndRunningTasksContinue) {
+TEST(TaskOwnerTest, OutageRefusesSubmissionsAndRunningTasksContinue) {
   TaskCluster cluster;
   cluster.Submit(MakeSpec("1", 40));
   cluster.Run(seconds(3));
@@ -259,7 +259,7 @@
 }
 
 // The table applies the write of the submission, but its answer is lost.
-TEST(StoreTest, LostAnswerIsUnknownAndTheSameIdMayBeRepeated) {
+TEST(TaskOwnerTest, LostAnswerIsUnknownAndTheSameIdMayBeRepeated) {
   TaskCluster cluster;
   cluster.table.SetFaults({.lose_answer = 1});
   EXPECT_EQ(cluster.Submit(MakeSpec("1")).effect, Effect::kUnknown);
@@ -273,7 +273,7 @@
 // Process 1 takes over the lease on the shard while process 0 still believes
 // that it holds it, as after a long pause. The write of process 0 must fail on
 // the precondition that fences it with the version of the lease's row.
-TEST(StoreTest, OwnerPausedPastItsLeaseWritesNothing) {
+TEST(TaskOwnerTest, FormerOwnerWritesNothing) {
   TaskCluster cluster;
   cluster.Submit(MakeSpec("1", 5));
   cluster.Run(seconds(2));
--- a/src/cassiastile/work/task_owner.cpp
+++ b/src/cassiastile/work/task_owner.cpp
@@ -267,7 +267,7 @@
 void TaskOwner::StartBackoff(base::TimePoint now) {
   m_backoff = m_backoff == base::Duration{}
                   ? m_options.first_backoff
-                  : std::min(m_backoff * 2, m_options.longest_backoff);
+                  : std::min(m_backoff * 2, m_options.max_backoff);
   m_retry_at = now + m_backoff;
 }
 
