--- a/include/cassiastile/config/fleet_check.hpp
+++ b/include/cassiastile/config/fleet_check.hpp
@@ -6,12 +6,13 @@
 
 namespace cassiastile::config {
 
-// Checks that the sections of a document agree with each other. `document` must
-// be the one that the fleet was read from; it gives the positions of the
-// findings. `faults` are the findings about single fields: nothing further is
-// reported about those fields.
+// Checks what ReadFields doesn't: that names are unique and refer to something,
+// that sections, teams and pools have what they need, that budgets, waves and
+// limits can be met, and that key digests are valid. `document` must be parsed
+// from the text that `fleet` was read from; `field_findings` come from reading
+// its fields, and their paths get no further finding.
 base::Findings CheckFleet(const Fleet& fleet,
                           const PositionedDocument& document,
-                          const base::Findings& faults = {});
+                          const base::Findings& field_findings = {});
 
 }  // namespace cassiastile::config
--- a/include/cassiastile/daemon/command_line.hpp
+++ b/include/cassiastile/daemon/command_line.hpp
@@ -12,10 +12,10 @@
 };
 
 // The options from a daemon's command line.
-struct Invocation {
-  std::string settings_path;
-  std::string log_level = "info";
-  bool check_only = false;  // Check the settings, then exit.
+struct CommandLineOptions {
+  std::string settings_path;       // From --config; never empty.
+  std::string log_level = "info";  // Not checked here; see LoadSettings.
+  bool check_only = false;         // Check the settings, then exit.
 };
 
 // Says that the program has printed its answer and should exit with the given
@@ -33,8 +33,7 @@
 // Parses --help, --version, --config FILE, --log-level LEVEL and --check.
 // Prints the help, the version or the usage error itself and then returns
 // EarlyExit: status 0 for help and version, 2 for wrong usage.
-std::variant<Invocation, EarlyExit> ReadCommandLine(const Program& program,
-                                                    int argc,
-                                                    const char* const* argv);
+std::variant<CommandLineOptions, EarlyExit>
+ReadCommandLine(const Program& program, int argc, const char* const* argv);
 
 }  // namespace cassiastile::daemon
--- a/include/cassiastile/daemon/run_daemon.hpp
+++ b/include/cassiastile/daemon/run_daemon.hpp
@@ -42,9 +42,10 @@
 };
 
 // Starts logging and loads the settings file named on the command line. On
-// failure, prints the error to standard error and returns EarlyExit.
+// failure, prints the error to standard error and returns EarlyExit: kExitUsage
+// for an unknown log level, kExitInvalidSettings for invalid settings.
 std::variant<config::Settings, EarlyExit> LoadSettings(
-    const Invocation& invocation);
+    const CommandLineOptions& command_line);
 
 // Prints findings to standard error. Returns whether there are none.
 bool AreClean(const base::Findings& findings);
@@ -63,12 +64,12 @@
               const Read& read,
               const Start& start) {
   const StopSignal signal;
-  const auto command = ReadCommandLine(program, argc, argv);
-  if (const auto* early_exit = std::get_if<EarlyExit>(&command)) {
+  const auto parsed = ReadCommandLine(program, argc, argv);
+  if (const auto* early_exit = std::get_if<EarlyExit>(&parsed)) {
     return early_exit->exit_status;
   }
-  const auto& invocation = std::get<Invocation>(command);
-  auto loaded = LoadSettings(invocation);
+  const auto& command_line = std::get<CommandLineOptions>(parsed);
+  auto loaded = LoadSettings(command_line);
   if (const auto* early_exit = std::get_if<EarlyExit>(&loaded)) {
     return early_exit->exit_status;
   }
@@ -77,7 +78,7 @@
   if (!AreClean(settings.Finish())) {
     return kExitInvalidSettings;
   }
-  if (invocation.check_only) {
+  if (command_line.check_only) {
     return kExitSuccess;
   }
   auto daemon = start(std::move(options));
--- a/src/bin/cassia_soak.cpp
+++ b/src/bin/cassia_soak.cpp
@@ -1,5 +1,10 @@
 // cassia-soak: injects seeded faults into real host processes and checks the
 // invariants.
+//
+// Exit status: 0 if every seed kept the invariants, 1 if one violated them, 2
+// for wrong usage or a run that can't be carried out. With --shrink: 0 if a
+// failing plan was printed, 1 if the whole plan passed; a run that can't be
+// carried out counts as failing.
 #include <filesystem>
 #include <fstream>
 #include <iostream>
@@ -28,9 +33,8 @@
             << std::endl;
 }
 
-// Runs one seed after the other and returns how many violated an invariant.
-// Keeps the logs of those in `kept_folder` and removes the others. Fails if a
-// run can't be carried out.
+// Runs one seed after the other and returns how many violated an invariant,
+// whose logs stay in `kept_folder`. Fails if a run can't be carried out.
 base::Result<int> RunSeeds(soak::SoakOptions options,
                            std::uint64_t seeds,
                            const std::string& kept_folder) {
--- a/src/cassiastile/base/log.cpp
+++ b/src/cassiastile/base/log.cpp
@@ -40,13 +40,13 @@
 
 void Write(LogLevel level,
            const std::string& prefix,
-           std::string_view sentence) {
+           std::string_view message) {
   const log4cxx::LoggerPtr logger = log4cxx::Logger::getLogger("cassiastile");
   const log4cxx::LevelPtr log4cxx_level = ToLog4cxxLevel(level);
   if (!logger->isEnabledFor(log4cxx_level)) {
     return;
   }
-  logger->forcedLog(log4cxx_level, prefix + ": " + std::string(sentence),
+  logger->forcedLog(log4cxx_level, prefix + ": " + std::string(message),
                     log4cxx::spi::LocationInfo::getLocationUnavailable());
 }
 
@@ -54,20 +54,20 @@
 
 Log::Log(std::string prefix) : m_prefix(std::move(prefix)) {}
 
-void Log::Debug(std::string_view sentence) const {
-  Write(LogLevel::kDebug, m_prefix, sentence);
+void Log::Debug(std::string_view message) const {
+  Write(LogLevel::kDebug, m_prefix, message);
 }
 
-void Log::Info(std::string_view sentence) const {
-  Write(LogLevel::kInfo, m_prefix, sentence);
+void Log::Info(std::string_view message) const {
+  Write(LogLevel::kInfo, m_prefix, message);
 }
 
-void Log::Warn(std::string_view sentence) const {
-  Write(LogLevel::kWarn, m_prefix, sentence);
+void Log::Warn(std::string_view message) const {
+  Write(LogLevel::kWarn, m_prefix, message);
 }
 
-void Log::Error(std::string_view sentence) const {
-  Write(LogLevel::kError, m_prefix, sentence);
+void Log::Error(std::string_view message) const {
+  Write(LogLevel::kError, m_prefix, message);
 }
 
 bool StartLogging(std::string_view level) {
--- a/src/cassiastile/config/check_context.hpp
+++ b/src/cassiastile/config/check_context.hpp
@@ -18,23 +18,25 @@
 namespace cassiastile::config {
 
 // The state that the checks of a document share: the findings so far, and the
-// fields that are already known to be faulty.
+// fields about which reading gave a finding.
 class CheckContext {
  public:
-  CheckContext(const PositionedDocument& document, const base::Findings& faults)
+  CheckContext(const PositionedDocument& document,
+               const base::Findings& field_findings)
       : m_document(document) {
-    for (const base::Finding& fault : faults) {
-      m_faulty_paths.insert(fault.path);
+    for (const base::Finding& finding : field_findings) {
+      m_field_finding_paths.insert(finding.path);
     }
   }
 
-  // Whether reading the fields already gave a finding at this path.
-  bool IsFaulty(const std::string& path) const {
-    return m_faulty_paths.contains(path);
+  // Whether reading the fields gave a finding at this path.
+  bool HasFieldFinding(const std::string& path) const {
+    return m_field_finding_paths.contains(path);
   }
 
+  // Adds a finding, unless reading the fields gave one at this path.
   void Report(const std::string& path, std::string message) {
-    if (!IsFaulty(path)) {
+    if (!HasFieldFinding(path)) {
       AddFinding(m_findings, {FindTextPosition(m_document, path), path,
                               std::move(message)});
     }
@@ -53,7 +55,7 @@
 
  private:
   const PositionedDocument& m_document;
-  std::unordered_set<std::string> m_faulty_paths;
+  std::unordered_set<std::string> m_field_finding_paths;
   base::Findings m_findings;
 };
 
@@ -99,7 +101,7 @@
       return;
     }
     context.Report(path, fmt::format("no {} is named \"{}\"{}", kind, name,
-                                     SuggestName(name, m_names)));
+                                     FormatSuggestion(name, m_names)));
   }
 
  private:
--- a/src/cassiastile/config/check_pools.cpp
+++ b/src/cassiastile/config/check_pools.cpp
@@ -18,7 +18,7 @@
 }
 
 bool HasFaultyBudget(std::size_t row, const CheckContext& context) {
-  return context.IsFaulty(RowPath(SectionName::kPools, row, "max_out"));
+  return context.HasFieldFinding(RowPath(SectionName::kPools, row, "max_out"));
 }
 
 void CheckBudget(const Pool& pool, std::size_t row, CheckContext& context) {
--- a/src/cassiastile/config/check_teams.cpp
+++ b/src/cassiastile/config/check_teams.cpp
@@ -26,7 +26,7 @@
 
 bool HasFaultyWeight(const Fleet& fleet, const CheckContext& context) {
   for (std::size_t i = 0; i < fleet.shares.size(); ++i) {
-    if (context.IsFaulty(RowPath(SectionName::kShares, i, "weight"))) {
+    if (context.HasFieldFinding(RowPath(SectionName::kShares, i, "weight"))) {
       return true;
     }
   }
@@ -55,8 +55,8 @@
   for (std::size_t i = 0; i < fleet.queues.size(); ++i) {
     const Limit* limit = FindLimit(fleet, fleet.queues[i].team);
     if (limit != nullptr && limit->tasks == 0 &&
-        !context.IsFaulty(RowPath(SectionName::kLimits,
-                                  limit - fleet.limits.data(), "tasks"))) {
+        !context.HasFieldFinding(RowPath(
+            SectionName::kLimits, limit - fleet.limits.data(), "tasks"))) {
       context.Report(RowPath(SectionName::kQueues, i, "team"),
                      fmt::format("team \"{}\" has a limit of 0 tasks, so this "
                                  "queue could never run any; raise it",
--- a/src/cassiastile/config/field_reader.cpp
+++ b/src/cassiastile/config/field_reader.cpp
@@ -218,7 +218,8 @@
         m_known_fields.end()) {
       continue;
     }
-    const std::string suggestion = SuggestName(member.name, m_known_fields);
+    const std::string suggestion =
+        FormatSuggestion(member.name, m_known_fields);
     AddFinding(m_findings,
                {{m_document.file, member.line, member.column},
                 PathOf(TruncateName(member.name)),
--- a/src/cassiastile/config/fleet_check.cpp
+++ b/src/cassiastile/config/fleet_check.cpp
@@ -6,8 +6,8 @@
 
 base::Findings CheckFleet(const Fleet& fleet,
                           const PositionedDocument& document,
-                          const base::Findings& faults) {
-  CheckContext context(document, faults);
+                          const base::Findings& field_findings) {
+  CheckContext context(document, field_findings);
   CheckNames(fleet, context);
   CheckOwnership(fleet, context);
   CheckPools(fleet, context);
--- a/src/cassiastile/config/fleet_reader.cpp
+++ b/src/cassiastile/config/fleet_reader.cpp
@@ -116,8 +116,9 @@
   const std::string section = reader.Text("section");
   const auto known = FindSection(section);
   if (!known && !section.empty()) {
-    reader.Report("section", fmt::format("\"{}\" is not a section{}", section,
-                                         SuggestName(section, SectionNames())));
+    reader.Report("section",
+                  fmt::format("\"{}\" is not a section{}", section,
+                              FormatSuggestion(section, SectionNames())));
   }
   row.section = known.value_or(SectionName::kOperators);
   row.owner = reader.Name("owner");
--- a/src/cassiastile/config/fleet_reader_test.cpp
+++ b/src/cassiastile/config/fleet_reader_test.cpp
@@ -227,6 +227,7 @@
   }
   text += "\"fleet\":\"x\"}";
   const base::Findings findings = FindingsOf(text);
+  // About kMaxFindings; a last one says that the rest are omitted.
   EXPECT_GT(findings.size(), 900U);
   EXPECT_LT(findings.size(), 1100U);
 }
--- a/src/cassiastile/config/nearest_name.cpp
+++ b/src/cassiastile/config/nearest_name.cpp
@@ -49,8 +49,8 @@
   return nearest;
 }
 
-std::string SuggestName(std::string_view name,
-                        const std::vector<std::string>& known) {
+std::string FormatSuggestion(std::string_view name,
+                             const std::vector<std::string>& known) {
   const std::string_view nearest = FindNearestName(name, known);
   return nearest.empty() ? "" : fmt::format("; did you mean \"{}\"?", nearest);
 }
--- a/src/cassiastile/config/section_edit_test.cpp
+++ b/src/cassiastile/config/section_edit_test.cpp
@@ -76,6 +76,9 @@
             std::string::npos);
 }
 
+// Guards against checking an edit by the ownership that the edit itself sets:
+// contest-office owns neither "ownership" nor "keys" before it, so both are
+// refused.
 TEST(SectionEditTest, EditorCannotMakeItselfOwnerOfASection) {
   const std::string before = Example();
   const Fleet fleet = *ReadFleet(before, "f");
--- a/src/cassiastile/daemon/command_line.cpp
+++ b/src/cassiastile/daemon/command_line.cpp
@@ -12,16 +12,18 @@
 
 namespace options = boost::program_options;
 
-options::options_description Describe(Invocation& invocation) {
+// The description stores parsed values in `command_line`, which must outlive
+// it.
+options::options_description DescribeOptions(CommandLineOptions& command_line) {
   options::options_description description("Options");
-  description.add_options()                                    //
-      ("help,h", "print this help")                            //
-      ("version", "print the version")                         //
-      ("config,c", options::value(&invocation.settings_path),  //
-       "file of settings, in JSON with comments")              //
-      ("log-level", options::value(&invocation.log_level),     //
-       "debug, info, warn or error")                           //
-      ("check", options::bool_switch(&invocation.check_only),  //
+  description.add_options()                                      //
+      ("help,h", "print this help")                              //
+      ("version", "print the version")                           //
+      ("config,c", options::value(&command_line.settings_path),  //
+       "file of settings, in JSON with comments")                //
+      ("log-level", options::value(&command_line.log_level),     //
+       "debug, info, warn or error")                             //
+      ("check", options::bool_switch(&command_line.check_only),  //
        "report findings on the settings and end");
   return description;
 }
@@ -43,11 +45,11 @@
 
 }  // namespace
 
-std::variant<Invocation, EarlyExit> ReadCommandLine(const Program& program,
-                                                    int argc,
-                                                    const char* const* argv) {
-  Invocation invocation;
-  const options::options_description description = Describe(invocation);
+std::variant<CommandLineOptions, EarlyExit>
+ReadCommandLine(const Program& program, int argc, const char* const* argv) {
+  CommandLineOptions command_line;
+  const options::options_description description =
+      DescribeOptions(command_line);
   options::variables_map values;
   try {
     options::store(options::parse_command_line(argc, argv, description),
@@ -64,10 +66,10 @@
     std::cout << program.name << ' ' << base::kVersion << '\n';
     return EarlyExit{kExitSuccess};
   }
-  if (invocation.settings_path.empty()) {
+  if (command_line.settings_path.empty()) {
     return ReportWrongUsage(program, "--config FILE is missing");
   }
-  return invocation;
+  return command_line;
 }
 
 }  // namespace cassiastile::daemon
--- a/src/cassiastile/daemon/daemon_test.cpp
+++ b/src/cassiastile/daemon/daemon_test.cpp
@@ -6,7 +6,8 @@
 namespace cassiastile::daemon {
 namespace {
 
-std::variant<Invocation, EarlyExit> Read(std::vector<const char*> arguments) {
+std::variant<CommandLineOptions, EarlyExit> Read(
+    std::vector<const char*> arguments) {
   arguments.insert(arguments.begin(), "cassia-test");
   return ReadCommandLine({"cassia-test", "is tested"},
                          static_cast<int>(arguments.size()), arguments.data());
@@ -19,10 +20,10 @@
   EXPECT_EQ(std::get<EarlyExit>(Read({"--nothing"})).exit_status, kExitUsage);
 }
 
-TEST(CommandLineTest, ReadsTheSettingsFile) {
-  const auto command = Read({"--config", "f.jsonc", "--check"});
-  EXPECT_EQ(std::get<Invocation>(command).settings_path, "f.jsonc");
-  EXPECT_TRUE(std::get<Invocation>(command).check_only);
+TEST(CommandLineTest, ReadsTheSettingsPathAndTheCheckFlag) {
+  const auto parsed = Read({"--config", "f.jsonc", "--check"});
+  EXPECT_EQ(std::get<CommandLineOptions>(parsed).settings_path, "f.jsonc");
+  EXPECT_TRUE(std::get<CommandLineOptions>(parsed).check_only);
 }
 
 TEST(HealthTest, RoutesFollowReadinessAndUpdateMetrics) {
--- a/src/cassiastile/daemon/run_daemon.cpp
+++ b/src/cassiastile/daemon/run_daemon.cpp
@@ -7,13 +7,13 @@
 namespace cassiastile::daemon {
 
 std::variant<config::Settings, EarlyExit> LoadSettings(
-    const Invocation& invocation) {
-  if (!base::StartLogging(invocation.log_level)) {
+    const CommandLineOptions& command_line) {
+  if (!base::StartLogging(command_line.log_level)) {
     std::cerr << "The log level must be debug, info, warn or error, not \""
-              << invocation.log_level << "\".\n";
+              << command_line.log_level << "\".\n";
     return EarlyExit{kExitUsage};
   }
-  auto settings = config::Settings::Load(invocation.settings_path);
+  auto settings = config::Settings::Load(command_line.settings_path);
   if (!settings) {
     AreClean(settings.error());
     return EarlyExit{kExitInvalidSettings};
