--- a/src/cassiastile/control/config_service.cpp
+++ b/src/cassiastile/control/config_service.cpp
@@ -21,6 +21,8 @@
 namespace {
 
 constexpr std::size_t kReadThreads = 2;
+// An edit has a thread of its own, as it waits there until its version is in
+// force.
 constexpr std::size_t kEditThreads = 1;
 constexpr std::size_t kMaxPendingCalls = 64;
 
--- a/src/cassiastile/control/config_service_test.cpp
+++ b/src/cassiastile/control/config_service_test.cpp
@@ -33,6 +33,7 @@
     options.name = "a";
     options.incarnation = 1;
     options.fleet_secret = "secret";
+    // The document stays fresh while a test takes the table down.
     options.times.freshness = std::chrono::hours(1);
     auto created = member::Member::Create(options, m_table, m_clock);
     ASSERT_TRUE(created);
--- a/src/cassiastile/control/decision_service_test.cpp
+++ b/src/cassiastile/control/decision_service_test.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 // A fixed document that is fresh until a test clears `fresh`.
-class FixedSource final : public config::FleetSource {
+class FixedFleetSource final : public config::FleetSource {
  public:
-  FixedSource() {
+  FixedFleetSource() {
     auto accepted = std::make_shared<config::AcceptedFleet>();
     accepted->version = 1;
     accepted->fleet.operators.push_back({"ann", base::Sha256Hex("ann-1")});
@@ -36,6 +36,7 @@
   DecisionServiceTest() {
     platform::DecisionLogOptions options;
     options.process = "c1-1";
+    // Nothing is stored during a test, so d1 can only be found in memory.
     options.flush_interval = std::chrono::hours(1);
     m_log = platform::DecisionLog::Create(m_objects, options);
     m_service =
@@ -47,7 +48,9 @@
     m_log->Record(decision);
   }
 
-  int Ask(const std::string& id, const std::string& secret) {
+  // Requests a decision, without a key if `secret` is empty, and returns the
+  // HTTP status.
+  int GetDecisionStatus(const std::string& id, const std::string& secret) {
     wire::HttpRequest request;
     request.method = "GET";
     request.path = "/v1/decisions/" + id;
@@ -63,7 +66,7 @@
   }
 
   base::ManualClock m_clock;
-  FixedSource m_source;
+  FixedFleetSource m_source;
   platform::MemoryObjectStore m_objects;
   std::unique_ptr<platform::DecisionLog> m_log;
   std::unique_ptr<DecisionService> m_service;
@@ -71,18 +74,19 @@
 };
 
 TEST_F(DecisionServiceTest, ShowsADecisionToOperatorsAndItsTeamOnly) {
-  EXPECT_EQ(Ask("d1", "ann-1"), 200);
-  EXPECT_EQ(Ask("d1", "brno-1"), 200);
-  EXPECT_EQ(Ask("d1", "zlin-1"), 403);
-  EXPECT_EQ(Ask("d1", "nobody"), 403);
-  EXPECT_EQ(Ask("d1", ""), 403);
-  EXPECT_EQ(Ask("d2", "ann-1"), 404);
+  EXPECT_EQ(GetDecisionStatus("d1", "ann-1"), 200);
+  EXPECT_EQ(GetDecisionStatus("d1", "brno-1"), 200);
+  EXPECT_EQ(GetDecisionStatus("d1", "zlin-1"), 403);
+  EXPECT_EQ(GetDecisionStatus("d1", "nobody"), 403);
+  // A missing key is denied like an unknown one.
+  EXPECT_EQ(GetDecisionStatus("d1", ""), 403);
+  EXPECT_EQ(GetDecisionStatus("d2", "ann-1"), 404);
 }
 
-TEST_F(DecisionServiceTest, KeysNeedAFreshConfiguration) {
+TEST_F(DecisionServiceTest, RejectsAllKeysWhileConfigurationIsStale) {
   m_source.fresh = false;
-  EXPECT_EQ(Ask("d1", "brno-1"), 503);
-  EXPECT_EQ(Ask("d1", "ann-1"), 503);
+  EXPECT_EQ(GetDecisionStatus("d1", "brno-1"), 503);
+  EXPECT_EQ(GetDecisionStatus("d1", "ann-1"), 503);
 }
 
 TEST_F(DecisionServiceTest, FindsDecisionsStoredByAnotherProcess) {
@@ -92,8 +96,8 @@
   base::Decision decision;
   decision.id = "d9";
   other->Record(decision);
-  other.reset();
-  EXPECT_EQ(Ask("d9", "ann-1"), 200);
+  other.reset();  // The destructor stores the waiting decision.
+  EXPECT_EQ(GetDecisionStatus("d9", "ann-1"), 200);
 }
 
 }  // namespace
--- a/src/cassiastile/control/pool_service_test.cpp
+++ b/src/cassiastile/control/pool_service_test.cpp
@@ -17,7 +17,7 @@
 constexpr const char* kAnnasKey = "annas-key";
 constexpr const char* kBertsKey = "berts-key";
 
-class FakeSource final : public config::FleetSource {
+class FakeFleetSource final : public config::FleetSource {
  public:
   std::shared_ptr<const config::AcceptedFleet> Current() const override {
     return document;
@@ -44,6 +44,7 @@
   std::set<std::string> owned;
 };
 
+// Writes the action and the operator, joined, to the row audit/1.
 class FakeAuditAppender final : public fleet::AuditAppender {
  public:
   base::Result<fleet::AuditAddition> PrepareAppend(
@@ -100,7 +101,7 @@
   }
 
   fleet::fake::World m_world{MakeDocument(1)};
-  FakeSource m_source;
+  FakeFleetSource m_source;
   FakeOwner m_owner;
   FakeAuditAppender m_audit;
   wire::Router m_router;
@@ -159,7 +160,7 @@
   EXPECT_NE(refused.body.find("2 of 2 out"), std::string::npos) << refused.body;
 }
 
-TEST_F(PoolServiceTest, DrainWorksOnAHostThatOwnsNoShard) {
+TEST_F(PoolServiceTest, DrainWorksInAProcessThatOwnsNoShard) {
   Run(1);
   m_owner.owned.clear();
   EXPECT_EQ(Call("POST", "/v1/hosts/p0-h0/drain", kAnnasKey).status, 200);
@@ -173,7 +174,7 @@
   EXPECT_EQ(m_service->Hosts("p1").size(), 3U);
 }
 
-TEST_F(PoolServiceTest, HostsOfARemovedPoolAreDrainedAndRemoved) {
+TEST_F(PoolServiceTest, HostsOfARemovedPoolAreRemoved) {
   Run(1);
   auto shorter = MakeDocument(2);
   shorter->fleet.pools.pop_back();
--- a/src/cassiastile/control/task_service_test.cpp
+++ b/src/cassiastile/control/task_service_test.cpp
@@ -11,9 +11,9 @@
 namespace cassiastile::control {
 namespace {
 
-class FixedFleet final : public config::FleetSource {
+class FixedFleetSource final : public config::FleetSource {
  public:
-  FixedFleet() {
+  FixedFleetSource() {
     auto next = std::make_shared<config::AcceptedFleet>();
     next->version = 1;
     config::Pool pool;
@@ -52,7 +52,7 @@
 
 class FixedPools final : public fleet::PoolView {
  public:
-  explicit FixedPools(const FixedFleet& fleet) : m_fleet(fleet) {}
+  explicit FixedPools(const FixedFleetSource& fleet) : m_fleet(fleet) {}
   std::vector<fleet::HostView> Hosts(const std::string& pool) const override {
     std::vector<fleet::HostView> views;
     for (const auto& host :
@@ -66,7 +66,7 @@
   }
 
  private:
-  const FixedFleet& m_fleet;
+  const FixedFleetSource& m_fleet;
 };
 
 class NoDecisions final : public base::DecisionSink {
@@ -121,7 +121,7 @@
 
   base::SystemClock m_clock;
   platform::MemoryTable m_table;
-  FixedFleet m_fleet;
+  FixedFleetSource m_fleet;
   FixedOwner m_owner;
   FixedPools m_pools{m_fleet};
   NoDecisions m_decisions;
