--- a/src/cassiastile/operator/cassiactl.cpp
+++ b/src/cassiastile/operator/cassiactl.cpp
@@ -116,13 +116,15 @@
 ExitCode RunCommand(const Command& command,
                     ParsedArguments arguments,
                     const Console& console) {
-  const std::size_t words = arguments.words.size();
-  if (words < command.min_words || words > command.max_words) {
-    return RefuseUsage(console, fmt::format("usage: cassiactl {} {}",
-                                            command.name, command.words));
+  const std::size_t count = arguments.positional_arguments.size();
+  if (count < command.min_arguments || count > command.max_arguments) {
+    return RefuseUsage(console,
+                       fmt::format("usage: cassiactl {} {}", command.name,
+                                   command.argument_syntax));
   }
   std::unique_ptr<ApiClient> api;
-  const bool reads_files = arguments.words.size() > command.files_after;
+  const bool reads_files =
+      arguments.positional_arguments.size() > command.files_after;
   if (command.calls_server && !reads_files) {
     auto connected = Connect(arguments);
     if (!connected) {
@@ -131,7 +133,8 @@
     api = std::move(*connected);
   }
   const Invocation invocation(console, std::move(arguments.options),
-                              std::move(arguments.words), std::move(api));
+                              std::move(arguments.positional_arguments),
+                              std::move(api));
   return command.run(invocation);
 }
 
--- a/src/cassiastile/operator/cassiactl_test.cpp
+++ b/src/cassiastile/operator/cassiactl_test.cpp
@@ -95,6 +95,7 @@
   const Outcome json = RunTool({"check", "--json", file});
   EXPECT_EQ(json.code, ExitCode::kRefused);
   const auto findings = nlohmann::json::parse(json.out).at("findings");
+  // The two above, and one for each of the 11 missing sections.
   EXPECT_EQ(findings.size(), 13U);
   EXPECT_EQ(RunTool({"check", "/nonexistent"}).code, ExitCode::kRefused);
 }
@@ -136,8 +137,8 @@
 }
 
 TEST_F(CassiactlTest, PutSendsTheTextAsItIs) {
-  m_control.Set("POST /v1/config", 200,
-                {{"version", 1}, {"state", "accepted"}});
+  m_control.SetAnswer("POST /v1/config", 200,
+                      {{"version", 1}, {"state", "accepted"}});
   const Outcome outcome = Call({"put", kExample});
   EXPECT_EQ(outcome.code, ExitCode::kDone) << outcome.err;
   EXPECT_EQ(LastBody().at("text"), ReadAll(kExample));
@@ -152,10 +153,10 @@
   EXPECT_TRUE(Contains(refused.err, "--base N"));
   EXPECT_EQ(LastTarget(), "GET /v1/config");
 
-  m_control.Set("POST /v1/config", 409,
-                {{"title", "The version has moved on."},
-                 {"version", 8},
-                 {"diff", "-a\n+b\x1b[2J\n"}});
+  m_control.SetAnswer("POST /v1/config", 409,
+                      {{"title", "The version has moved on."},
+                       {"version", 8},
+                       {"diff", "-a\n+b\x1b[2J\n"}});
   const Outcome conflict = Call({"put", kExample, "--base", "7"});
   EXPECT_EQ(conflict.code, ExitCode::kRefused);
   EXPECT_EQ(LastBody().at("base_version"), 7);
@@ -163,11 +164,11 @@
 }
 
 TEST_F(CassiactlTest, PutsTheFirstDocumentWhileReadingIsForbidden) {
-  m_control.Set("GET /v1/config", 403, {{"title", "Not an operator."}});
-  m_control.Set("POST /v1/config", 200,
-                {{"version", 1},
-                 {"state", "accepted"},
-                 {"missing", nlohmann::json::array()}});
+  m_control.SetAnswer("GET /v1/config", 403, {{"title", "Not an operator."}});
+  m_control.SetAnswer("POST /v1/config", 200,
+                      {{"version", 1},
+                       {"state", "accepted"},
+                       {"missing", nlohmann::json::array()}});
   const Outcome outcome = Call({"put", kExample});
   EXPECT_EQ(outcome.code, ExitCode::kDone) << outcome.err;
   EXPECT_EQ(outcome.out, "version 1 is accepted and in force everywhere\n");
@@ -187,7 +188,7 @@
 
 TEST_F(CassiactlTest, EditSendsOneSectionAgainstTheVersionRead) {
   m_control.SetDocument(7, ReadAll(kExample));
-  m_control.Set(
+  m_control.SetAnswer(
       "POST /v1/config/sections/waves", 200,
       {{"version", 8}, {"state", "pending"}, {"missing", {"e-3", "e-4"}}});
   const Outcome outcome = Call({"edit", "waves"}, "[ /* none */ ]");
@@ -223,8 +224,8 @@
 
 TEST_F(CassiactlTest, KeyAddSendsTheDigestOnly) {
   m_control.SetDocument(7, ReadAll(kExample));
-  m_control.Set("POST /v1/config/sections/keys", 200,
-                {{"version", 8}, {"state", "accepted"}});
+  m_control.SetAnswer("POST /v1/config/sections/keys", 200,
+                      {{"version", 8}, {"state", "accepted"}});
   const Outcome outcome =
       Call({"key", "add", "brno-region", "brno-2"}, kSecret + "\n");
   EXPECT_EQ(outcome.code, ExitCode::kDone) << outcome.out << outcome.err;
@@ -240,8 +241,8 @@
 
 TEST_F(CassiactlTest, KeyWithdrawRemovesOneKey) {
   m_control.SetDocument(7, ReadAll(kExample));
-  m_control.Set("POST /v1/config/sections/keys", 200,
-                {{"version", 8}, {"state", "accepted"}});
+  m_control.SetAnswer("POST /v1/config/sections/keys", 200,
+                      {{"version", 8}, {"state", "accepted"}});
   EXPECT_EQ(Call({"key", "withdraw", "praha-region-key-1"}).code,
             ExitCode::kDone);
   const std::string text = LastBody().at("text");
@@ -252,25 +253,26 @@
 }
 
 TEST_F(CassiactlTest, ServerFindingsAndDenialsExitWithOne) {
-  m_control.Set("POST /v1/config", 422,
-                {{"findings",
-                  {{{"line", 3},
-                    {"column", 4},
-                    {"path", "keys"},
-                    {"message", "the section is owned by \"x\""}}}},
-                 {"decision_id", "d7"}});
+  m_control.SetAnswer("POST /v1/config", 422,
+                      {{"findings",
+                        {{{"line", 3},
+                          {"column", 4},
+                          {"path", "keys"},
+                          {"message", "the section is owned by \"x\""}}}},
+                       {"decision_id", "d7"}});
   const Outcome findings = Call({"put", kExample});
   EXPECT_EQ(findings.code, ExitCode::kRefused);
   EXPECT_TRUE(Contains(findings.out, ":3:4: error: keys: the section is"));
   EXPECT_TRUE(Contains(findings.err, "cassiactl explain d7\n"));
-  m_control.Set("GET /v1/status", 403, {{"title", "The key is not known."}});
+  m_control.SetAnswer("GET /v1/status", 403,
+                      {{"title", "The key is not known."}});
   const Outcome denied = Call({"status"});
   EXPECT_EQ(denied.code, ExitCode::kRefused);
   EXPECT_TRUE(Contains(denied.err, "The key is not known."));
 }
 
 TEST_F(CassiactlTest, ReportsAnUnknownOutcome) {
-  m_control.Set(
+  m_control.SetAnswer(
       "POST /v1/hosts/entries-01/drain", 503,
       {{"title", "The store's answer was lost."}, {"execution", "unknown"}});
   const Outcome outcome = Call({"drain", "entries-01"});
@@ -303,6 +305,7 @@
   std::thread m_thread;
 };
 
+// A second server could carry out the change again.
 TEST_F(CassiactlTest, DoesNotFailOverAChangeWhoseAnswerWasLost) {
   const SilentPeer silent;
   const Outcome outcome =
@@ -315,7 +318,7 @@
 
 TEST_F(CassiactlTest, FailsOverAReadWhoseAnswerWasLost) {
   const SilentPeer silent;
-  m_control.Set("GET /v1/status", 200, {{"version", 7}});
+  m_control.SetAnswer("GET /v1/status", 200, {{"version", 7}});
   EXPECT_EQ(RunTool({"status", "--key-file", m_key_file, "--server",
                      silent.Url(), "--server", m_control.Url()})
                 .code,
@@ -328,8 +331,8 @@
     const FakeControl gone;
     dead = gone.Url();
   }
-  m_control.Set("POST /v1/waves/kernel-winter/start", 200,
-                {{"state", "running"}});
+  m_control.SetAnswer("POST /v1/waves/kernel-winter/start", 200,
+                      {{"state", "running"}});
   const std::string config = WriteFile(
       "config.jsonc", "{ // ours\n \"servers\": [\"" + dead + "\", \"" +
                           m_control.Url() + "\"], \"key_file\": \"" +
@@ -344,11 +347,11 @@
 }
 
 TEST_F(CassiactlTest, ShowsTablesOrJson) {
-  m_control.Set("GET /v1/status", 200,
-                {{"version", 7},
-                 {"pools",
-                  {{{"name", "entries"}, {"out", 1}},
-                   {{"name", "příjem"}, {"out", 12}}}}});
+  m_control.SetAnswer("GET /v1/status", 200,
+                      {{"version", 7},
+                       {"pools",
+                        {{{"name", "entries"}, {"out", 1}},
+                         {{"name", "příjem"}, {"out", 12}}}}});
   EXPECT_EQ(
       Call({"status"}).out,
       "pools:\n  name     out\n  entries  1\n  příjem   12\nversion: 7\n");
@@ -357,18 +360,18 @@
 }
 
 TEST_F(CassiactlTest, ExplainsADecisionInPlainText) {
-  m_control.Set("GET /v1/decisions/d1", 200,
-                {{"id", "d1"},
-                 {"kind", "refusal"},
-                 {"subject", "request r1"},
-                 {"team", "brno-region"},
-                 {"outcome", "not run"},
-                 {"at", "2026-12-03T21:00:00.000Z"},
-                 {"reasons",
-                  {{{"rule", "team limit"},
-                    {"section", "limits"},
-                    {"version", 7},
-                    {"observation", "running 220 of 220"}}}}});
+  m_control.SetAnswer("GET /v1/decisions/d1", 200,
+                      {{"id", "d1"},
+                       {"kind", "refusal"},
+                       {"subject", "request r1"},
+                       {"team", "brno-region"},
+                       {"outcome", "not run"},
+                       {"at", "2026-12-03T21:00:00.000Z"},
+                       {"reasons",
+                        {{{"rule", "team limit"},
+                          {"section", "limits"},
+                          {"version", 7},
+                          {"observation", "running 220 of 220"}}}}});
   EXPECT_EQ(Call({"explain", "d1"}).out,
             "decision d1\nrefusal of request r1 for team brno-region\n"
             "outcome: not run\nat: 2026-12-03T21:00:00.000Z\n"
@@ -377,25 +380,26 @@
 }
 
 TEST_F(CassiactlTest, ABrokenAuditChainExitsWithOne) {
-  m_control.Set("GET /v1/audit?since=12&section=keys", 200,
-                {{"rows", {{{"sequence", 12}}}}, {"chain", "ok"}});
+  m_control.SetAnswer("GET /v1/audit?since=12&section=keys", 200,
+                      {{"rows", {{{"sequence", 12}}}}, {"chain", "ok"}});
   EXPECT_EQ(Call({"audit", "--since", "12", "--section", "keys"}).code,
             ExitCode::kDone);
-  m_control.Set("GET /v1/audit", 200,
-                {{"rows", nlohmann::json::array()}, {"chain", "broken at 4"}});
+  m_control.SetAnswer(
+      "GET /v1/audit", 200,
+      {{"rows", nlohmann::json::array()}, {"chain", "broken at 4"}});
   const Outcome broken = Call({"audit"});
   EXPECT_EQ(broken.code, ExitCode::kRefused);
   EXPECT_TRUE(Contains(broken.out, "chain: broken at 4"));
-  m_control.Set("GET /v1/audit", 200,
-                {{"rows",
-                  {{{"sequence", 5},
-                    {"at", "now"},
-                    {"who", "ann"},
-                    {"what", "host drained"},
-                    {"version", 7},
-                    {"detail", "entries-03"},
-                    {"hash", std::string(64, 'a')}}}},
-                 {"chain", "ok"}});
+  m_control.SetAnswer("GET /v1/audit", 200,
+                      {{"rows",
+                        {{{"sequence", 5},
+                          {"at", "now"},
+                          {"who", "ann"},
+                          {"what", "host drained"},
+                          {"version", 7},
+                          {"detail", "entries-03"},
+                          {"hash", std::string(64, 'a')}}}},
+                       {"chain", "ok"}});
   EXPECT_TRUE(Contains(Call({"audit"}).out,
                        "5         now  ann  host drained  7        -         "
                        "entries-03  aaaaaaaaaaaa\n"));
@@ -404,10 +408,10 @@
 TEST_F(CassiactlTest, ShowsDifferencesAndHistory) {
   std::string older = ReadAll(kExample);
   older.replace(older.find("entries-01"), 10, "entries-11");
-  m_control.Set("GET /v1/config?version=6", 200,
-                {{"version", 6}, {"text", older}});
-  m_control.Set("GET /v1/config?version=7", 200,
-                {{"version", 7}, {"text", ReadAll(kExample)}});
+  m_control.SetAnswer("GET /v1/config?version=6", 200,
+                      {{"version", 6}, {"text", older}});
+  m_control.SetAnswer("GET /v1/config?version=7", 200,
+                      {{"version", 7}, {"text", ReadAll(kExample)}});
   const Outcome diff = Call({"diff", "6", "7"});
   EXPECT_EQ(diff.code, ExitCode::kDone);
   EXPECT_TRUE(Contains(diff.out, "--- version 6\n+++ version 7\n@@"));
@@ -415,22 +419,22 @@
   EXPECT_EQ(Call({"diff", "six", "7"}).code, ExitCode::kUsage);
   EXPECT_TRUE(
       Contains(Call({"get", "waves", "--version", "7"}).out, "kernel-winter"));
-  m_control.Set("GET /v1/config/history", 200,
-                {{"versions",
-                  {{{"version", 7},
-                    {"by", "key-desk"},
-                    {"at", "now"},
-                    {"sections", {"keys"}},
-                    {"digest", "0123456789abcdef"}}}}});
+  m_control.SetAnswer("GET /v1/config/history", 200,
+                      {{"versions",
+                        {{{"version", 7},
+                          {"by", "key-desk"},
+                          {"at", "now"},
+                          {"sections", {"keys"}},
+                          {"digest", "0123456789abcdef"}}}}});
   EXPECT_TRUE(Contains(Call({"history"}).out,
                        "7        key-desk  now  keys      0123456789ab\n"));
 }
 
 TEST_F(CassiactlTest, SubmitsAndCancelsTasks) {
-  m_control.Set("POST /v1/queues/brno-late-entries/tasks", 202,
-                {{"id", "t1"}, {"state", "queued"}});
-  m_control.Set("DELETE /v1/queues/brno-late-entries/tasks/t1", 200,
-                {{"state", "cancelled"}});
+  m_control.SetAnswer("POST /v1/queues/brno-late-entries/tasks", 202,
+                      {{"id", "t1"}, {"state", "queued"}});
+  m_control.SetAnswer("DELETE /v1/queues/brno-late-entries/tasks/t1", 200,
+                      {{"state", "cancelled"}});
   EXPECT_EQ(Call({"submit", "brno-late-entries", "--id", "t1", "--cores", "2",
                   "--idempotent", "--payload-file", "-"},
                  "work")
--- a/src/cassiastile/operator/check_commands.cpp
+++ b/src/cassiastile/operator/check_commands.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 ExitCode RunCheck(const Invocation& invocation) {
-  const std::string file = invocation.Word(0);
+  const std::string file = invocation.Argument(0);
   const auto text = ReadInput(invocation, file);
   if (!text) {
     return ReportFindings(invocation,
@@ -39,13 +39,13 @@
 std::vector<Command> CheckCommands() {
   Command check;
   check.name = "check";
-  check.words = "FILE";
+  check.argument_syntax = "FILE";
   check.summary = "check a document without a server and print all findings";
   check.examples =
       "  cassiactl check fleet.jsonc\n"
       "  cassiactl check --json - < fleet.jsonc\n";
-  check.min_words = 1;
-  check.max_words = 1;
+  check.min_arguments = 1;
+  check.max_arguments = 1;
   check.calls_server = false;
   check.run = RunCheck;
   return {check};
--- a/src/cassiastile/operator/command.hpp
+++ b/src/cassiastile/operator/command.hpp
@@ -17,29 +17,30 @@
 
 namespace cassiastile::operators {
 
-// One run of a command: its positional arguments (words), its options, the API
-// client and the streams.
+// One run of a command: its positional arguments, its options, the API client
+// and the streams.
 class Invocation {
  public:
   Invocation(const Console& console,
              boost::program_options::variables_map options,
-             std::vector<std::string> words,
+             std::vector<std::string> arguments,
              std::unique_ptr<ApiClient> api)
       : m_console(console),
         m_options(std::move(options)),
-        m_words(std::move(words)),
+        m_arguments(std::move(arguments)),
         m_api(std::move(api)) {}
 
   const Console& Streams() const { return m_console; }
-  // Only for commands that call a server.
+  // Only for a run that calls a server; see Command.
   const ApiClient& Api() const { return *m_api; }
   bool WantsJson() const { return Flag("json"); }
 
-  // The word at `index` after the command's name; empty if there is none.
-  std::string Word(std::size_t index) const {
-    return index < m_words.size() ? m_words[index] : "";
+  // The positional argument at `index` after the command's name; empty if there
+  // is none.
+  std::string Argument(std::size_t index) const {
+    return index < m_arguments.size() ? m_arguments[index] : "";
   }
-  std::size_t WordCount() const { return m_words.size(); }
+  std::size_t ArgumentCount() const { return m_arguments.size(); }
 
   // Whether a switch is set.
   bool Flag(const std::string& name) const {
@@ -61,20 +62,20 @@
  private:
   const Console& m_console;
   boost::program_options::variables_map m_options;
-  std::vector<std::string> m_words;
+  std::vector<std::string> m_arguments;
   std::unique_ptr<ApiClient> m_api;
 };
 
 // A command of cassiactl: how it is parsed, documented and run.
 struct Command {
   std::string_view name;
-  std::string_view words;  // As shown in the usage line.
+  std::string_view argument_syntax;  // As shown in the usage line.
   std::string_view summary;
   std::string_view examples;
-  std::size_t min_words = 0;
-  std::size_t max_words = 0;
+  std::size_t min_arguments = 0;
+  std::size_t max_arguments = 0;
   bool calls_server = true;
-  // With more words than this, the further words are files that the command
+  // With more arguments than this, the further ones are files that the command
   // reads instead of calling a server.
   std::size_t files_after = SIZE_MAX;
   void (*add_options)(boost::program_options::options_description&) = nullptr;
--- a/src/cassiastile/operator/command_line.cpp
+++ b/src/cassiastile/operator/command_line.cpp
@@ -18,7 +18,7 @@
 using base::ErrorCode;
 using base::Fail;
 
-constexpr std::string_view kWordsOption = "words";
+constexpr std::string_view kArgumentsOption = "words";
 
 po::options_description GeneralOptions() {
   po::options_description options("General options");
@@ -55,14 +55,15 @@
   if (options.find_nothrow("version", false) == nullptr) {
     AddVersionSwitch(options);
   }
-  options.add_options()(kWordsOption.data(),
+  options.add_options()(kArgumentsOption.data(),
                         po::value<std::vector<std::string>>());
   return options;
 }
 
 std::string UsageLine(const Command& command) {
   return fmt::format("usage: cassiactl {}{}{} [OPTIONS]\n", command.name,
-                     command.words.empty() ? "" : " ", command.words);
+                     command.argument_syntax.empty() ? "" : " ",
+                     command.argument_syntax);
 }
 
 std::vector<Command> CollectCommands() {
@@ -77,12 +78,12 @@
 
 // The first positional argument, which is the command's name; empty if there is
 // none.
-std::string FirstWord(const std::vector<std::string>& arguments) {
+std::string FirstArgument(const std::vector<std::string>& arguments) {
   po::positional_options_description positions;
-  positions.add(kWordsOption.data(), -1);
+  positions.add(kArgumentsOption.data(), -1);
   po::options_description options = GeneralOptions();
   AddVersionSwitch(options);
-  options.add_options()(kWordsOption.data(),
+  options.add_options()(kArgumentsOption.data(),
                         po::value<std::vector<std::string>>());
   const auto parsed = po::command_line_parser(arguments)
                           .options(options)
@@ -90,7 +91,7 @@
                           .allow_unregistered()
                           .run();
   for (const auto& option : parsed.options) {
-    if (option.string_key == kWordsOption) {
+    if (option.string_key == kArgumentsOption) {
       return option.value.front();
     }
   }
@@ -108,7 +109,7 @@
     const std::vector<std::string>& arguments) {
   std::string name;
   try {
-    name = FirstWord(arguments);
+    name = FirstArgument(arguments);
   } catch (const po::error& error) {
     return Fail(ErrorCode::kInvalid, error.what());
   }
@@ -124,7 +125,7 @@
   }
   return Fail(ErrorCode::kInvalid,
               fmt::format("\"{}\" is not a command{}", name,
-                          config::SuggestName(name, names)));
+                          config::FormatSuggestion(name, names)));
 }
 
 base::Result<ParsedArguments> ParseArguments(
@@ -133,7 +134,7 @@
   ParsedArguments parsed;
   try {
     po::positional_options_description positions;
-    positions.add(kWordsOption.data(), -1);
+    positions.add(kArgumentsOption.data(), -1);
     po::store(po::command_line_parser(arguments)
                   .options(AllOptions(command))
                   .positional(positions)
@@ -143,12 +144,13 @@
   } catch (const po::error& error) {
     return Fail(ErrorCode::kInvalid, error.what());
   }
-  const std::string key(kWordsOption);
+  const std::string key(kArgumentsOption);
   if (parsed.options.count(key) > 0) {
-    parsed.words = parsed.options[key].as<std::vector<std::string>>();
+    parsed.positional_arguments =
+        parsed.options[key].as<std::vector<std::string>>();
   }
-  if (!parsed.words.empty()) {
-    parsed.words.erase(parsed.words.begin());
+  if (!parsed.positional_arguments.empty()) {
+    parsed.positional_arguments.erase(parsed.positional_arguments.begin());
   }
   return parsed;
 }
--- a/src/cassiastile/operator/command_line.hpp
+++ b/src/cassiastile/operator/command_line.hpp
@@ -19,14 +19,14 @@
 base::Result<const Command*> FindCommand(
     const std::vector<std::string>& arguments);
 
-// The options of a command and the words after its name.
+// The options of a command and the positional arguments after its name.
 struct ParsedArguments {
   boost::program_options::variables_map options;
-  std::vector<std::string> words;
+  std::vector<std::string> positional_arguments;
 };
 
 // Parses the arguments of `command`. Fails if an option is unknown or its value
-// is invalid; doesn't check the number of words.
+// is invalid; doesn't check the number of arguments.
 base::Result<ParsedArguments> ParseArguments(
     const Command& command,
     const std::vector<std::string>& arguments);
--- a/src/cassiastile/operator/edit_commands.cpp
+++ b/src/cassiastile/operator/edit_commands.cpp
@@ -83,7 +83,7 @@
 }
 
 ExitCode RunPut(const Invocation& invocation) {
-  const std::string file = invocation.Word(0);
+  const std::string file = invocation.Argument(0);
   const auto text = ReadInput(invocation, file);
   if (!text) {
     return ReportInputError(invocation, text.error().message);
@@ -102,20 +102,20 @@
 
 tl::expected<config::SectionName, ExitCode> ReadSectionName(
     const Invocation& invocation,
-    const std::string& word) {
-  const auto section = config::FindSection(word);
+    const std::string& name) {
+  const auto section = config::FindSection(name);
   if (!section) {
     return tl::make_unexpected(ReportUsageError(
         invocation, fmt::format("\"{}\" is not a section; sections are "
                                 "operators, ownership, zones, pools, services, "
                                 "queues, teams, keys, shares, limits, waves",
-                                word)));
+                                name)));
   }
   return *section;
 }
 
 ExitCode RunEdit(const Invocation& invocation) {
-  const auto section = ReadSectionName(invocation, invocation.Word(0));
+  const auto section = ReadSectionName(invocation, invocation.Argument(0));
   if (!section) {
     return section.error();
   }
@@ -157,10 +157,10 @@
   if (document->version == 0) {
     return ReportInputError(invocation, "there is no document yet");
   }
-  if (invocation.WordCount() == 0) {
+  if (invocation.ArgumentCount() == 0) {
     return PrintText(invocation, *document, document->text);
   }
-  const auto section = ReadSectionName(invocation, invocation.Word(0));
+  const auto section = ReadSectionName(invocation, invocation.Argument(0));
   if (!section) {
     return section.error();
   }
@@ -172,13 +172,13 @@
 Command MakePut() {
   Command put;
   put.name = "put";
-  put.words = "FILE";
+  put.argument_syntax = "FILE";
   put.summary = "check a whole document and take it into force";
   put.examples =
       "  cassiactl put fleet.jsonc\n"
       "  cassiactl put fleet.jsonc --base 7 --dry-run\n";
-  put.min_words = 1;
-  put.max_words = 1;
+  put.min_arguments = 1;
+  put.max_arguments = 1;
   put.add_options = AddEditOptions;
   put.run = RunPut;
   return put;
@@ -187,15 +187,15 @@
 Command MakeEdit() {
   Command edit;
   edit.name = "edit";
-  edit.words = "SECTION";
+  edit.argument_syntax = "SECTION";
   edit.summary = "replace one section and leave the rest as it is";
   edit.examples =
       "  cassiactl get shares > shares.jsonc\n"
       "  cassiactl edit shares --file shares.jsonc --base 7 --dry-run\n"
       "  cassiactl edit shares --base 7 < shares.jsonc\n"
       "Without --base the text replaces the section as it is in force now.\n";
-  edit.min_words = 1;
-  edit.max_words = 1;
+  edit.min_arguments = 1;
+  edit.max_arguments = 1;
   edit.add_options = AddSectionOptions;
   edit.run = RunEdit;
   return edit;
@@ -204,13 +204,13 @@
 Command MakeGet() {
   Command get;
   get.name = "get";
-  get.words = "[SECTION]";
+  get.argument_syntax = "[SECTION]";
   get.summary = "print the document or one section of it";
   get.examples =
       "  cassiactl get > fleet.jsonc\n"
       "  cassiactl get waves --version 7\n"
       "The version goes to standard error.\n";
-  get.max_words = 1;
+  get.max_arguments = 1;
   get.add_options = AddGetOptions;
   get.run = RunGet;
   return get;
--- a/src/cassiastile/operator/fake_control.hpp
+++ b/src/cassiastile/operator/fake_control.hpp
@@ -12,8 +12,9 @@
 
 namespace cassiastile::operators {
 
-// A fake control process for tests. It answers each call as set for its method
-// and path, with 404 if nothing is set, and records the calls.
+// A fake control process for tests. It answers each call as set for its method,
+// path and query, with 404 if nothing is set, and records the calls.
+// Thread-safe.
 class FakeControl {
  public:
   struct Call {
@@ -33,15 +34,17 @@
     m_server = std::move(*wire::HttpServer::Start({}, std::move(router)));
   }
 
-  // Sets the answer to a call such as "GET /v1/status".
-  void Set(const std::string& call, int status, const nlohmann::json& body) {
+  // Sets the answer to a method and target, such as "GET /v1/audit?since=12".
+  void SetAnswer(const std::string& method_and_target,
+                 int status,
+                 const nlohmann::json& body) {
     const std::scoped_lock lock(m_mutex);
-    m_answers[call] = {status, {}, body.dump()};
+    m_answers[method_and_target] = {status, {}, body.dump()};
   }
 
   // Sets the document in force and its version.
   void SetDocument(std::uint64_t version, const std::string& text) {
-    Set("GET /v1/config", 200, {{"version", version}, {"text", text}});
+    SetAnswer("GET /v1/config", 200, {{"version", version}, {"text", text}});
   }
 
   std::string Url() const {
@@ -72,6 +75,7 @@
   mutable std::mutex m_mutex;
   std::map<std::string, wire::HttpResponse> m_answers;
   std::vector<Call> m_calls;
+  // Destroyed first, as its threads use the members above.
   std::unique_ptr<wire::HttpServer> m_server;
 };
 
--- a/src/cassiastile/operator/fleet_commands.cpp
+++ b/src/cassiastile/operator/fleet_commands.cpp
@@ -49,8 +49,8 @@
 // Explains an id from hosts' log files, without a server.
 ExitCode ExplainFromLogs(const Invocation& invocation) {
   LogLines lines;
-  for (std::size_t i = 1; i < invocation.WordCount(); ++i) {
-    const std::string path = invocation.Word(i);
+  for (std::size_t i = 1; i < invocation.ArgumentCount(); ++i) {
+    const std::string path = invocation.Argument(i);
     if (path == "-") {
       lines.Read(invocation.Streams().in, path);
       continue;
@@ -63,7 +63,7 @@
     lines.Read(file, path);
   }
   lines.Sort();
-  const std::string id = invocation.Word(0);
+  const std::string id = invocation.Argument(0);
   const Explanation explanation = ExplainId(lines, id);
   if (explanation.lines.empty()) {
     return ReportInputError(
@@ -89,16 +89,17 @@
 }
 
 ExitCode RunExplain(const Invocation& invocation) {
-  if (invocation.WordCount() > 1) {
+  if (invocation.ArgumentCount() > 1) {
     return ExplainFromLogs(invocation);
   }
-  const std::string path = "/v1/decisions/" + PercentEncode(invocation.Word(0));
+  const std::string path =
+      "/v1/decisions/" + PercentEncode(invocation.Argument(0));
   return ShowOutcome(invocation, invocation.Api().Get(path), FormatDecision);
 }
 
 ExitCode RunWave(const Invocation& invocation) {
-  const std::string path = "/v1/waves/" + PercentEncode(invocation.Word(0));
-  const std::string action = invocation.Word(1);
+  const std::string path = "/v1/waves/" + PercentEncode(invocation.Argument(0));
+  const std::string action = invocation.Argument(1);
   if (action == "status") {
     return ShowOutcome(invocation, invocation.Api().Get(path), FormatJson);
   }
@@ -114,8 +115,8 @@
 }
 
 ExitCode PostHostAction(const Invocation& invocation, std::string_view action) {
-  const std::string path =
-      fmt::format("/v1/hosts/{}/{}", PercentEncode(invocation.Word(0)), action);
+  const std::string path = fmt::format(
+      "/v1/hosts/{}/{}", PercentEncode(invocation.Argument(0)), action);
   return ShowOutcome(invocation,
                      invocation.Api().Post(path, nlohmann::json::object()),
                      FormatJson);
@@ -130,23 +131,23 @@
 }
 
 Command MakeCommand(std::string_view name,
-                    std::string_view words,
+                    std::string_view argument_syntax,
                     std::string_view summary,
                     std::string_view examples) {
   Command command;
   command.name = name;
-  command.words = words;
+  command.argument_syntax = argument_syntax;
   command.summary = summary;
   command.examples = examples;
   return command;
 }
 
-// Sets the number of words that the command takes and its handler.
+// Sets the number of arguments that the command takes and its handler.
 Command WithRun(Command command,
-                std::size_t word_count,
+                std::size_t argument_count,
                 ExitCode (*run)(const Invocation&)) {
-  command.min_words = word_count;
-  command.max_words = word_count;
+  command.min_arguments = argument_count;
+  command.max_arguments = argument_count;
   command.run = run;
   return command;
 }
@@ -160,7 +161,7 @@
                   "  cassiactl explain 5c0e7a21d94b36f8 host-*.log\n"
                   "  zcat logs.gz | cassiactl explain 5c0e7a21d94b36f8 -\n"),
       1, RunExplain);
-  command.max_words = SIZE_MAX;
+  command.max_arguments = SIZE_MAX;
   command.files_after = 1;
   return command;
 }
--- a/src/cassiastile/operator/history_commands.cpp
+++ b/src/cassiastile/operator/history_commands.cpp
@@ -19,10 +19,10 @@
 constexpr std::size_t kDigestDigits = 64;
 constexpr std::size_t kDigestDigitsInTables = 12;
 
-std::optional<std::uint64_t> ReadVersion(const std::string& word) {
+std::optional<std::uint64_t> ReadVersion(const std::string& text) {
   std::uint64_t version = 0;
-  const char* const end = word.data() + word.size();
-  const auto read = std::from_chars(word.data(), end, version);
+  const char* const end = text.data() + text.size();
+  const auto read = std::from_chars(text.data(), end, version);
   const bool whole = read.ec == std::errc() && read.ptr == end;
   return whole && version > 0 ? std::optional(version) : std::nullopt;
 }
@@ -66,8 +66,8 @@
 }
 
 ExitCode DiffVersions(const Invocation& invocation) {
-  const auto from = ReadVersion(invocation.Word(0));
-  const auto to = ReadVersion(invocation.Word(1));
+  const auto from = ReadVersion(invocation.Argument(0));
+  const auto to = ReadVersion(invocation.Argument(1));
   if (!from || !to) {
     return ReportUsageError(invocation, "versions are whole numbers from 1");
   }
@@ -84,7 +84,7 @@
 }
 
 ExitCode DiffFile(const Invocation& invocation) {
-  const std::string file = invocation.Word(0);
+  const std::string file = invocation.Argument(0);
   const auto text = ReadInput(invocation, file);
   if (!text) {
     return ReportInputError(invocation, text.error().message);
@@ -100,8 +100,8 @@
 }
 
 ExitCode RunDiff(const Invocation& invocation) {
-  return invocation.WordCount() == 2 ? DiffVersions(invocation)
-                                     : DiffFile(invocation);
+  return invocation.ArgumentCount() == 2 ? DiffVersions(invocation)
+                                         : DiffFile(invocation);
 }
 
 std::string FormatHistory(const nlohmann::json& body) {
@@ -173,13 +173,13 @@
 Command MakeDiff() {
   Command diff;
   diff.name = "diff";
-  diff.words = "FILE | N M";
+  diff.argument_syntax = "FILE | N M";
   diff.summary = "show what differs from the version in force, or between two";
   diff.examples =
       "  cassiactl diff fleet.jsonc\n"
       "  cassiactl diff 7 9\n";
-  diff.min_words = 1;
-  diff.max_words = 2;
+  diff.min_arguments = 1;
+  diff.max_arguments = 2;
   diff.run = RunDiff;
   return diff;
 }
--- a/src/cassiastile/operator/key_commands.cpp
+++ b/src/cassiastile/operator/key_commands.cpp
@@ -56,8 +56,8 @@
   if (!secret) {
     return secret;
   }
-  const nlohmann::json team = invocation.Word(1);
-  const nlohmann::json id = invocation.Word(2);
+  const nlohmann::json team = invocation.Argument(1);
+  const nlohmann::json id = invocation.Argument(2);
   return config::AppendItem(
       keys, fmt::format("{{ \"id\": {}, \"team\": {},\n      \"sha256\": "
                         "\"{}\" }}",
@@ -67,7 +67,7 @@
 base::Result<std::string> WithdrawKey(const Invocation& invocation,
                                       const config::Fleet& fleet,
                                       const std::string& keys) {
-  const std::string id = invocation.Word(1);
+  const std::string id = invocation.Argument(1);
   const auto found =
       std::find_if(fleet.keys.begin(), fleet.keys.end(),
                    [&id](const config::Key& key) { return key.id == id; });
@@ -90,14 +90,16 @@
   if (!fleet) {
     return Fail(ErrorCode::kInvalid, "the document in force can't be read");
   }
-  return invocation.Word(0) == "add" ? AddKey(invocation, *keys)
-                                     : WithdrawKey(invocation, *fleet, *keys);
+  return invocation.Argument(0) == "add"
+             ? AddKey(invocation, *keys)
+             : WithdrawKey(invocation, *fleet, *keys);
 }
 
 ExitCode RunKey(const Invocation& invocation) {
-  const std::string action = invocation.Word(0);
-  const bool is_valid = (action == "add" && invocation.WordCount() == 3) ||
-                        (action == "withdraw" && invocation.WordCount() == 2);
+  const std::string action = invocation.Argument(0);
+  const bool is_valid =
+      (action == "add" && invocation.ArgumentCount() == 3) ||
+      (action == "withdraw" && invocation.ArgumentCount() == 2);
   if (!is_valid) {
     return ReportUsageError(invocation,
                             "use: key add TEAM ID, or key withdraw ID");
@@ -122,14 +124,14 @@
 std::vector<Command> KeyCommands() {
   Command key;
   key.name = "key";
-  key.words = "add TEAM ID | withdraw ID";
+  key.argument_syntax = "add TEAM ID | withdraw ID";
   key.summary = "give a team a key or withdraw one";
   key.examples =
       "  cassiactl key add brno-region brno-region-key-2 < new-key.txt\n"
       "  cassiactl key withdraw brno-region-key-1 --dry-run\n"
       "Only the digest of a key is sent and kept.\n";
-  key.min_words = 2;
-  key.max_words = 3;
+  key.min_arguments = 2;
+  key.max_arguments = 3;
   key.add_options = AddKeyOptions;
   key.run = RunKey;
   return {key};
--- a/src/cassiastile/operator/report.cpp
+++ b/src/cassiastile/operator/report.cpp
@@ -88,18 +88,18 @@
 }
 
 ExitCode ReportInputError(const Invocation& invocation,
-                          const std::string& sentence) {
+                          const std::string& message) {
   if (invocation.WantsJson()) {
-    PrintJson(invocation, {{"error", sentence}, {"execution", "not-run"}});
+    PrintJson(invocation, {{"error", message}, {"execution", "not-run"}});
   } else {
-    invocation.Streams().err << Printable(sentence) << '\n';
+    invocation.Streams().err << Printable(message) << '\n';
   }
   return ExitCode::kRefused;
 }
 
 ExitCode ReportUsageError(const Invocation& invocation,
-                          const std::string& sentence) {
-  invocation.Streams().err << sentence << '\n';
+                          const std::string& message) {
+  invocation.Streams().err << message << '\n';
   return ExitCode::kUsage;
 }
 
--- a/src/cassiastile/operator/report.hpp
+++ b/src/cassiastile/operator/report.hpp
@@ -16,13 +16,13 @@
 ExitCode ReportFindings(const Invocation& invocation,
                         const base::Findings& findings);
 
-// Prints a sentence about invalid or unreadable input and returns kRefused.
+// Prints a message about invalid or unreadable input and returns kRefused.
 ExitCode ReportInputError(const Invocation& invocation,
-                          const std::string& sentence);
+                          const std::string& message);
 
-// Prints a sentence about the command line and returns kUsage.
+// Prints a message about the command line and returns kUsage.
 ExitCode ReportUsageError(const Invocation& invocation,
-                          const std::string& sentence);
+                          const std::string& message);
 
 // Prints why a call was refused or failed, and returns the exit code for it.
 // Prints nothing if the call succeeded.
--- a/src/cassiastile/operator/task_commands.cpp
+++ b/src/cassiastile/operator/task_commands.cpp
@@ -34,13 +34,14 @@
                                   "input");
 }
 
-std::string TasksPath(const Invocation& invocation) {
-  return fmt::format("/v1/queues/{}/tasks", PercentEncode(invocation.Word(0)));
+std::string QueueTasksPath(const Invocation& invocation) {
+  return fmt::format("/v1/queues/{}/tasks",
+                     PercentEncode(invocation.Argument(0)));
 }
 
 std::string TaskPath(const Invocation& invocation) {
-  return fmt::format("{}/{}", TasksPath(invocation),
-                     PercentEncode(invocation.Word(1)));
+  return fmt::format("{}/{}", QueueTasksPath(invocation),
+                     PercentEncode(invocation.Argument(1)));
 }
 
 base::Result<std::string> ReadPayload(const Invocation& invocation) {
@@ -56,9 +57,9 @@
   return base::MakeId(random);
 }
 
-nlohmann::json MakeTask(const Invocation& invocation,
-                        const std::string& id,
-                        const std::string& payload) {
+nlohmann::json MakeTaskJson(const Invocation& invocation,
+                            const std::string& id,
+                            const std::string& payload) {
   const auto number = [&invocation](const char* name) {
     return invocation.Option<std::uint32_t>(name).value_or(0);
   };
@@ -80,7 +81,7 @@
   const std::string given = invocation.Text("id");
   const std::string id = given.empty() ? MakeTaskId() : given;
   const ApiOutcome outcome = invocation.Api().Post(
-      TasksPath(invocation), MakeTask(invocation, id, *payload));
+      QueueTasksPath(invocation), MakeTaskJson(invocation, id, *payload));
   const ExitCode code = ShowOutcome(invocation, outcome, FormatJson);
   if (code == ExitCode::kUnreachable) {
     invocation.Streams().err << fmt::format(
@@ -89,7 +90,7 @@
   return code;
 }
 
-ExitCode RunTask(const Invocation& invocation) {
+ExitCode RunShowTask(const Invocation& invocation) {
   return ShowOutcome(invocation, invocation.Api().Get(TaskPath(invocation)),
                      FormatJson);
 }
@@ -102,14 +103,14 @@
 Command MakeSubmit() {
   Command submit;
   submit.name = "submit";
-  submit.words = "QUEUE";
+  submit.argument_syntax = "QUEUE";
   submit.summary = "hand a task to a queue (with a team's key)";
   submit.examples =
       "  cassiactl submit brno-late-entries --id entry-417 --kind register "
       "\\\n"
       "      --seconds 30 --payload '{\"band\": 417}'\n";
-  submit.min_words = 1;
-  submit.max_words = 1;
+  submit.min_arguments = 1;
+  submit.max_arguments = 1;
   submit.add_options = AddSubmitOptions;
   submit.run = RunSubmit;
   return submit;
@@ -121,11 +122,11 @@
                         ExitCode (*run)(const Invocation&)) {
   Command command;
   command.name = name;
-  command.words = "QUEUE ID";
+  command.argument_syntax = "QUEUE ID";
   command.summary = summary;
   command.examples = examples;
-  command.min_words = 2;
-  command.max_words = 2;
+  command.min_arguments = 2;
+  command.max_arguments = 2;
   command.run = run;
   return command;
 }
@@ -136,7 +137,7 @@
   return {MakeSubmit(),
           MakeTaskCommand("task", "show a task",
                           "  cassiactl task brno-late-entries entry-417\n",
-                          RunTask),
+                          RunShowTask),
           MakeTaskCommand("cancel", "cancel a task that has not ended",
                           "  cassiactl cancel brno-late-entries entry-417\n",
                           RunCancel)};
