--- a/include/cassiastile/config/section_edit.hpp
+++ b/include/cassiastile/config/section_edit.hpp
@@ -37,11 +37,12 @@
 // Returns the operator who owns a section, or an empty text.
 std::string FindSectionOwner(const Fleet& fleet, SectionName section);
 
-// Checks that an operator may make an edit. Each section that differs must be
+// Checks that an operator may make an edit: each section that differs must be
 // owned by the editor in the fleet before the edit, so that nobody can take
-// over a section by the edit itself. Text outside the sections belongs to the
-// owner of the section "ownership". Each finding names a section that the
-// editor doesn't own, and its owner.
+// over a section by the edit itself, and text outside the sections belongs to
+// the owner of the section "ownership". Each finding names a section that the
+// editor doesn't own, and its owner; a document that can't be parsed gives one
+// finding.
 base::Findings CheckEditPermission(std::string_view before,
                                    std::string_view after,
                                    const Fleet& fleet_before,
--- a/include/cassiastile/control/config_responses.hpp
+++ b/include/cassiastile/control/config_responses.hpp
@@ -27,7 +27,7 @@
     const std::vector<member::ConfigVersion>& versions);
 // The audit rows from `since` on that concern `section`, and whether the chain
 // of all `rows` up to `head` is intact. `since` is a sequence number or a time
-// in UTC that may be cut short, such as 2026-12-03T21:00. An empty `since` or
+// in UTC that may be cut short, such as 2026-12-03T21:00; an empty `since` or
 // `section` matches every row.
 wire::HttpResponse MakeAuditResponse(const std::vector<member::AuditRow>& rows,
                                      const member::AuditHead& head,
--- a/include/cassiastile/control/config_service.hpp
+++ b/include/cassiastile/control/config_service.hpp
@@ -21,7 +21,8 @@
   platform::Table& table;
   const base::Clock& clock;
   base::DecisionSink* decisions = nullptr;  // May be null.
-  // Returns what teams are running, for dry runs. May be empty.
+  // Returns what teams are running, to tell which of them an edit's limits
+  // affect. Called for each edit, on the service's thread; may be empty.
   std::function<std::vector<config::TeamUsage>()> team_usage;
 };
 
--- a/include/cassiastile/control/task_event_batcher.hpp
+++ b/include/cassiastile/control/task_event_batcher.hpp
@@ -66,7 +66,7 @@
   std::size_t tasks = 0;
   std::size_t waiting = 0;  // Including tasks that fit no host of the pool.
   std::size_t runs = 0;     // Runs that count against the teams' limits.
-  std::vector<TaskIssue> in_doubt;
+  std::vector<TaskIssue> in_doubt;  // At most 100.
   std::vector<TaskIssue> quarantined;
   std::map<std::string, fleet::HostWork> hosts;
 };
--- a/include/cassiastile/operator/log_explanation.hpp
+++ b/include/cassiastile/operator/log_explanation.hpp
@@ -17,9 +17,9 @@
 // and "at" (UTC).
 class LogLines {
  public:
-  // Adds the lines of one file. Lines that are truncated or aren't host events
-  // are counted as skipped. Text before the JSON object, such as a log
-  // collector's time stamp, is ignored.
+  // Adds the lines of one file, which Files() then lists as `name`. Lines that
+  // are truncated or aren't host events are counted as skipped; text before the
+  // JSON object, such as a log collector's time stamp, is ignored.
   void Read(std::istream& in, const std::string& name);
   // Sorts the events by time; call it after the last Read(). Lines of equal
   // time keep the order in which they were read.
@@ -92,9 +92,9 @@
   std::vector<nlohmann::json> lines;
 };
 
-// Explains the id of a job, a worker or a machine. `lines` must be sorted. Only
-// jobs get a cause; for other ids it is kUnknownId and `lines` of the result
-// are those that name the id, none if no line does.
+// Explains the id of a job, a worker or a machine from sorted lines. Only jobs
+// get a cause; for other ids it is kUnknownId and `lines` of the result are
+// those that name the id, none if no line does.
 Explanation ExplainId(const LogLines& lines, const std::string& id);
 
 // Formats an explanation as plain text: the cause, the reasons and one line per
--- a/src/bin/measure_tasks_faults.hpp
+++ b/src/bin/measure_tasks_faults.hpp
@@ -198,7 +198,7 @@
   result.overruns_if_forgotten = static_cast<double>(unconfirmed);
 }
 
-// A team's demand moves from five pools to one of them. The part of its limit
+// A team's demand moves from five pools to one of them; the part of its limit
 // that it can't use there ten seconds later is stranded. The baseline splits
 // the limit equally among the pools.
 inline void RunStranded(LimitResult& result) {
--- a/src/cassiastile/config/text_cursor.hpp
+++ b/src/cassiastile/config/text_cursor.hpp
@@ -5,8 +5,9 @@
 
 namespace cassiastile::config {
 
-// Moves forward through JSON text and tracks the line and column, counted from
-// one. Columns count characters, not bytes. The syntax is checked elsewhere.
+// Moves forward through JSON text, whose syntax is checked elsewhere, and
+// tracks the line and column. Both count from one, columns in characters, not
+// bytes.
 class TextCursor {
  public:
   explicit TextCursor(std::string_view text);
--- a/src/cassiastile/control/pool_service_test.cpp
+++ b/src/cassiastile/control/pool_service_test.cpp
@@ -27,7 +27,7 @@
   std::shared_ptr<const config::AcceptedFleet> document;
 };
 
-class FakeOwner final : public member::ShardOwner {
+class FakeShardOwner final : public member::ShardOwner {
  public:
   std::optional<member::ShardLease> CurrentLease(
       const std::string& shard,
@@ -102,7 +102,7 @@
 
   fleet::fake::World m_world{MakeDocument(1)};
   FakeFleetSource m_source;
-  FakeOwner m_owner;
+  FakeShardOwner m_owner;
   FakeAuditAppender m_audit;
   wire::Router m_router;
   std::unique_ptr<PoolService> m_service;
--- a/src/cassiastile/control/task_service_test.cpp
+++ b/src/cassiastile/control/task_service_test.cpp
@@ -35,7 +35,7 @@
   std::atomic<bool> fresh{true};
 };
 
-class FixedOwner final : public member::ShardOwner {
+class FixedShardOwner final : public member::ShardOwner {
  public:
   std::optional<member::ShardLease> CurrentLease(
       const std::string& shard,
@@ -50,9 +50,9 @@
   std::atomic<bool> owns{true};
 };
 
-class FixedPools final : public fleet::PoolView {
+class FixedPoolView final : public fleet::PoolView {
  public:
-  explicit FixedPools(const FixedFleetSource& fleet) : m_fleet(fleet) {}
+  explicit FixedPoolView(const FixedFleetSource& fleet) : m_fleet(fleet) {}
   std::vector<fleet::HostView> Hosts(const std::string& pool) const override {
     std::vector<fleet::HostView> views;
     for (const auto& host :
@@ -69,7 +69,7 @@
   const FixedFleetSource& m_fleet;
 };
 
-class NoDecisions final : public base::DecisionSink {
+class NullDecisionSink final : public base::DecisionSink {
  public:
   void Record(base::Decision) override {}
 };
@@ -122,9 +122,9 @@
   base::SystemClock m_clock;
   platform::MemoryTable m_table;
   FixedFleetSource m_fleet;
-  FixedOwner m_owner;
-  FixedPools m_pools{m_fleet};
-  NoDecisions m_decisions;
+  FixedShardOwner m_owner;
+  FixedPoolView m_pools{m_fleet};
+  NullDecisionSink m_decisions;
   std::unique_ptr<wire::HttpClient> m_client = wire::HttpClient::Create();
   ShardForwarder m_forwarder{m_clock, m_owner, *m_client};
   std::unique_ptr<TaskService> m_service = TaskService::Create(
@@ -183,6 +183,7 @@
   EXPECT_EQ(refused.status, 503);
   EXPECT_EQ(ExecutionOf(refused), "not-run");
   m_table.SetFaults({.lose_answer = 1});
+  // After a failure the owner refuses submissions as not run for a while.
   auto lost = Submit("2");
   while (ExecutionOf(lost) == "not-run") {
     lost = Submit("2");
@@ -190,6 +191,7 @@
   EXPECT_EQ(lost.status, 502);
   EXPECT_EQ(ExecutionOf(lost), "unknown");
   m_table.SetFaults({});
+  // The submission is confirmed once the outcome of the lost write is known.
   while (Submit("2").status != 201) {
   }
   EXPECT_FALSE(m_table.Get("task/p/q/1").value().has_value());
--- a/src/cassiastile/operator/cassiactl.cpp
+++ b/src/cassiastile/operator/cassiactl.cpp
@@ -97,8 +97,8 @@
                  std::chrono::milliseconds(connection->timeout_ms)});
 }
 
-ExitCode RefuseUsage(const Console& console, const std::string& sentence) {
-  console.err << sentence << (sentence.ends_with('\n') ? "" : "\n")
+ExitCode RefuseUsage(const Console& console, const std::string& message) {
+  console.err << message << (message.ends_with('\n') ? "" : "\n")
               << "see `cassiactl --help`\n";
   return ExitCode::kUsage;
 }
