--- a/include/cassiastile/config/positioned_json.hpp
+++ b/include/cassiastile/config/positioned_json.hpp
@@ -48,8 +48,8 @@
 struct PositionedDocument {
   std::string file;
   PositionedValue root;
-  // One finding for each name that occurs twice in one object. The first value
-  // is kept.
+  // One finding for each name that occurs twice in one object, at most 1000.
+  // The first value is kept.
   base::Findings duplicates;
 };
 
--- a/include/cassiastile/config/section_edit.hpp
+++ b/include/cassiastile/config/section_edit.hpp
@@ -11,13 +11,15 @@
 namespace cassiastile::config {
 
 // Returns the text of one section as written, from its opening to its closing
-// bracket with the comments between them. Fails when the document can't be
-// parsed or lacks the section.
+// bracket with the comments between them. Fails with kInvalid when the document
+// can't be parsed or repeats a name in an object, and with kNotFound when it
+// lacks the section.
 base::Result<std::string> SectionText(std::string_view document,
                                       SectionName section);
 
 // Returns the document with the text of one section replaced; every other byte
-// stays. The new text must be one JSON list, comments allowed.
+// stays. Fails as SectionText does, and with kInvalid when the new text is not
+// one JSON list, with its comments inside.
 base::Result<std::string> ReplaceSection(std::string_view document,
                                          SectionName section,
                                          std::string_view text);
@@ -30,7 +32,7 @@
   bool outside_sections = false;
 };
 
-// Fails when either document can't be parsed.
+// Fails with kInvalid when either document can't be parsed.
 base::Result<DocumentDifference> CompareDocuments(std::string_view before,
                                                   std::string_view after);
 
--- a/src/bin/cassia_host.cpp
+++ b/src/bin/cassia_host.cpp
@@ -1,5 +1,8 @@
 // cassia-host: the process of one host. It takes callers' jobs and, while it is
 // the leader, schedules them.
+//
+// Exit status: 0 after a stop or a valid --check, 1 if a port can't be bound, 2
+// for wrong usage or invalid settings.
 #include <csignal>
 #include <iostream>
 
--- a/src/bin/measure_member.cpp
+++ b/src/bin/measure_member.cpp
@@ -219,6 +219,7 @@
           cost.cpu_per_message / kSecondsPerMicrosecond, "us", nullptr);
     small_cpu = processes == 18 ? cost.cpu_per_message : small_cpu;
     if (processes == 108) {
+      // The baseline is a cost that grows with the number of processes.
       Print("member.cpu_per_message_108_over_18",
             cost.cpu_per_message / small_cpu, "ratio", 6);
     }
--- a/src/cassiastile/base/base_test.cpp
+++ b/src/cassiastile/base/base_test.cpp
@@ -46,7 +46,7 @@
             "f:2:5: error: a: early\nf:9:1: error: b: late\n");
 }
 
-TEST(ErrorTest, HasNames) {
+TEST(ErrorTest, NamesTheCodeOfAnUnknownOutcome) {
   EXPECT_EQ(NameOf(ErrorCode::kUnknown), "unknown");
 }
 
--- a/src/cassiastile/config/fleet_reader.cpp
+++ b/src/cassiastile/config/fleet_reader.cpp
@@ -55,7 +55,8 @@
   return number;
 }
 
-// Parses a time of day such as 22:00 as minutes from midnight.
+// Parses a time of day such as 22:00, always five characters, as minutes from
+// midnight.
 std::optional<std::uint32_t> ReadMinuteOfDay(std::string_view text) {
   const auto hour = ReadTwoDigits(text.substr(0, 2), kHoursPerDay);
   const auto minute = ReadTwoDigits(text.substr(3, 2), kMinutesPerHour);
--- a/src/cassiastile/config/fleet_reader_test.cpp
+++ b/src/cassiastile/config/fleet_reader_test.cpp
@@ -12,7 +12,7 @@
 namespace cassiastile::config {
 namespace {
 
-std::string Example(const std::string& name) {
+std::string ReadExample(const std::string& name) {
   std::ifstream file(std::string(CASSIASTILE_SOURCE_DIR) + "/examples/fleets/" +
                      name);
   return {std::istreambuf_iterator<char>(file), {}};
@@ -21,7 +21,7 @@
 // Returns the example with the first occurrence of one text replaced by
 // another.
 std::string Changed(const std::string& from, const std::string& to) {
-  std::string text = Example("plechovy-hlas.jsonc");
+  std::string text = ReadExample("plechovy-hlas.jsonc");
   const std::size_t at = text.find(from);
   EXPECT_NE(at, std::string::npos) << from;
   return text.replace(at, from.size(), to);
@@ -44,7 +44,7 @@
 
 TEST(FleetReaderTest, BothExamplesHaveNoFindings) {
   for (const char* name : {"plechovy-hlas.jsonc", "siamlink.jsonc"}) {
-    const auto fleet = ReadFleet(Example(name), name);
+    const auto fleet = ReadFleet(ReadExample(name), name);
     ASSERT_TRUE(fleet) << base::FormatFindings(fleet.error());
     EXPECT_EQ(fleet->pools.size(), 5U);
     EXPECT_EQ(fleet->services.size(), 5U);
@@ -197,7 +197,7 @@
 }
 
 TEST(FleetReaderTest, SameKeyTwiceIsFound) {
-  std::string text = Example("plechovy-hlas.jsonc");
+  std::string text = ReadExample("plechovy-hlas.jsonc");
   const std::string field = "\"sha256\": \"";
   const std::size_t first = text.find(field) + field.size();
   const std::size_t second = text.find(field, first) + field.size();
@@ -214,7 +214,7 @@
 }
 
 TEST(FleetReaderTest, AnyPrefixOfADocumentGivesFindings) {
-  const std::string text = Example("plechovy-hlas.jsonc");
+  const std::string text = ReadExample("plechovy-hlas.jsonc");
   for (std::size_t length = 0; length + 2 < text.size(); length += 97) {
     EXPECT_FALSE(FindingsOf(text.substr(0, length)).empty()) << length;
   }
@@ -235,7 +235,7 @@
 RC_GTEST_PROP(FleetReaderPropertyTest,
               DamagedExampleGivesAValueOrFindings,
               ()) {
-  static const std::string example = Example("siamlink.jsonc");
+  static const std::string example = ReadExample("siamlink.jsonc");
   std::string text = example;
   const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
   const auto length = *rc::gen::inRange<std::size_t>(0, 64);
--- a/src/cassiastile/config/section_edit_test.cpp
+++ b/src/cassiastile/config/section_edit_test.cpp
@@ -13,7 +13,7 @@
 namespace cassiastile::config {
 namespace {
 
-std::string Example() {
+std::string ReadExample() {
   std::ifstream file(std::string(CASSIASTILE_SOURCE_DIR) +
                      "/examples/fleets/plechovy-hlas.jsonc");
   return {std::istreambuf_iterator<char>(file), {}};
@@ -28,7 +28,7 @@
 }
 
 TEST(SectionEditTest, ReadsASectionWithItsComments) {
-  const auto text = SectionText(Example(), SectionName::kWaves);
+  const auto text = SectionText(ReadExample(), SectionName::kWaves);
   ASSERT_TRUE(text);
   EXPECT_TRUE(text->starts_with("[\n"));
   EXPECT_TRUE(text->ends_with("]"));
@@ -38,13 +38,14 @@
 TEST(SectionEditTest, RejectsTextThatIsNotOneList) {
   for (const char* text :
        {"", "{}", "[", "[] // ]", "/* a */ []", "[], []", "[] /* ]"}) {
-    EXPECT_FALSE(ReplaceSection(Example(), SectionName::kWaves, text)) << text;
+    EXPECT_FALSE(ReplaceSection(ReadExample(), SectionName::kWaves, text))
+        << text;
   }
   EXPECT_FALSE(ReplaceSection("{}", SectionName::kWaves, "[]"));
 }
 
 RC_GTEST_PROP(SectionEditPropertyTest, KeepsTheRestByteForByte, ()) {
-  static const std::string example = Example();
+  static const std::string example = ReadExample();
   const auto section = static_cast<SectionName>(
       *rc::gen::inRange(0, static_cast<int>(SectionName::kWaves) + 1));
   const auto comment = *rc::gen::container<std::string>(
@@ -63,7 +64,7 @@
 }
 
 TEST(SectionEditTest, OnlyTheOwnerMayEditASection) {
-  const std::string before = Example();
+  const std::string before = ReadExample();
   const Fleet fleet = *ReadFleet(before, "f");
   const std::string after = Replaced(before, "\"weight\": 4", "\"weight\": 5");
   EXPECT_TRUE(
@@ -80,7 +81,7 @@
 // contest-office owns neither "ownership" nor "keys" before it, so both are
 // refused.
 TEST(SectionEditTest, EditorCannotMakeItselfOwnerOfASection) {
-  const std::string before = Example();
+  const std::string before = ReadExample();
   const Fleet fleet = *ReadFleet(before, "f");
   const std::string after =
       Replaced(Replaced(before, R"("keys", "owner": "key-desk")",
@@ -92,7 +93,7 @@
 }
 
 TEST(SectionEditTest, TextOutsideSectionsBelongsToTheOwnerOfOwnership) {
-  const std::string before = Example();
+  const std::string before = ReadExample();
   const Fleet fleet = *ReadFleet(before, "f");
   const std::string after = Replaced(before, "// Nights only", "// Days only");
   EXPECT_TRUE(
@@ -159,7 +160,7 @@
 }
 
 TEST(DiffTest, DescribesTheEffectsOfAnEdit) {
-  const std::string before = Example();
+  const std::string before = ReadExample();
   std::string after = Replaced(before, "entries-01", "entries-11");
   after = Replaced(after, "brno-region-key-1", "brno-region-key-2");
   after = Replaced(after, "\"requests\": 220, \"tasks\": 160",
--- a/src/cassiastile/control/config_service_test.cpp
+++ b/src/cassiastile/control/config_service_test.cpp
@@ -17,7 +17,7 @@
 constexpr const char* kBoardKey = "audit-board-secret-1";
 constexpr const char* kKeyDeskKey = "key-desk-secret-1";
 
-std::string ExampleText() {
+std::string ReadExample() {
   std::ifstream file(std::string(CASSIASTILE_SOURCE_DIR) +
                      "/examples/fleets/plechovy-hlas.jsonc");
   std::ostringstream text;
@@ -47,7 +47,7 @@
     Get("/v1/config", kBoardKey);
     EXPECT_EQ(m_status, 404) << "before the first document is accepted";
     const auto body = Post("/v1/config", kBoardKey,
-                           {{"text", ExampleText()}, {"base_version", 0}});
+                           {{"text", ReadExample()}, {"base_version", 0}});
     ASSERT_EQ(body.value("state", ""), "accepted") << body.dump();
   }
 
@@ -99,7 +99,7 @@
 TEST_F(ConfigServiceTest, ReturnsTextHistoryAuditAndMembers) {
   const auto config = Get("/v1/config", kBoardKey);
   EXPECT_EQ(config.at("version"), 1);
-  EXPECT_EQ(config.at("text"), ExampleText());
+  EXPECT_EQ(config.at("text"), ReadExample());
   EXPECT_EQ(Get("/v1/config?version=1", kBoardKey).at("digest"),
             config.at("digest"));
   const auto history = Get("/v1/config/history", kBoardKey).at("versions");
@@ -123,7 +123,7 @@
 TEST_F(ConfigServiceTest, RefusesWithoutAnOperatorsKey) {
   Get("/v1/config", "wrong");
   EXPECT_EQ(m_status, 403);
-  Post("/v1/config", "wrong", {{"text", ExampleText()}, {"base_version", 1}});
+  Post("/v1/config", "wrong", {{"text", ReadExample()}, {"base_version", 1}});
   EXPECT_EQ(m_status, 403);
 }
 
--- a/src/cassiastile/daemon/daemon_test.cpp
+++ b/src/cassiastile/daemon/daemon_test.cpp
@@ -33,7 +33,7 @@
   int updates = 0;
   AddHealthRoutes(
       router, [&ready] { return ready; }, metrics, [&updates] { ++updates; });
-  const auto ask = [&router](const std::string& path) {
+  const auto get_status = [&router](const std::string& path) {
     wire::HttpRequest request;
     request.method = "GET";
     request.path = path;
@@ -43,11 +43,11 @@
     });
     return status;
   };
-  EXPECT_EQ(ask("/readyz"), 200);
+  EXPECT_EQ(get_status("/readyz"), 200);
   ready = false;
-  EXPECT_EQ(ask("/readyz"), 503);
-  EXPECT_EQ(ask("/healthz"), 200);
-  EXPECT_EQ(ask("/metrics"), 200);
+  EXPECT_EQ(get_status("/readyz"), 503);
+  EXPECT_EQ(get_status("/healthz"), 200);
+  EXPECT_EQ(get_status("/metrics"), 200);
   EXPECT_EQ(updates, 1);
 }
 
--- a/src/cassiastile/operator/report.hpp
+++ b/src/cassiastile/operator/report.hpp
@@ -38,8 +38,8 @@
 // Prints indented JSON. Invalid UTF-8 is replaced.
 void PrintJson(const Invocation& invocation, const nlohmann::json& body);
 
-// Decodes the "findings" of a server's answer. `file` is the file name that
-// they get.
+// Decodes the "findings" of a server's answer, which must have them. `file` is
+// the file name that they get.
 base::Findings ReadFindings(const nlohmann::json& body,
                             const std::string& file);
 
