--- a/src/cassiastile/control/decision_service_test.cpp
+++ b/src/cassiastile/control/decision_service_test.cpp
@@ -36,7 +36,7 @@
   DecisionServiceTest() {
     platform::DecisionLogOptions options;
     options.process = "c1-1";
-    // Nothing is stored during a test, so d1 can only be found in memory.
+    // This log stores nothing during a test, so d1 is found in memory only.
     options.flush_interval = std::chrono::hours(1);
     m_log = platform::DecisionLog::Create(m_objects, options);
     m_service =
