--- a/src/cassiastile/daemon/daemon_test.cpp
+++ b/src/cassiastile/daemon/daemon_test.cpp
@@ -6,7 +6,8 @@
 namespace cassiastile::daemon {
 namespace {
 
-std::variant<Invocation, EarlyExit> Read(std::vector<const char*> arguments) {
+std::variant<CommandLineOptions, EarlyExit> Read(
+    std::vector<const char*> arguments) {
   arguments.insert(arguments.begin(), "cassia-test");
   return ReadCommandLine({"cassia-test", "is tested"},
                          static_cast<int>(arguments.size()), arguments.data());
@@ -19,10 +20,10 @@
   EXPECT_EQ(std::get<EarlyExit>(Read({"--nothing"})).exit_status, kExitUsage);
 }
 
-TEST(CommandLineTest, ReadsTheSettingsFile) {
-  const auto command = Read({"--config", "f.jsonc", "--check"});
-  EXPECT_EQ(std::get<Invocation>(command).settings_path, "f.jsonc");
-  EXPECT_TRUE(std::get<Invocation>(command).check_only);
+TEST(CommandLineTest, ReadsTheSettingsPathAndTheCheckFlag) {
+  const auto parsed = Read({"--config", "f.jsonc", "--check"});
+  EXPECT_EQ(std::get<CommandLineOptions>(parsed).settings_path, "f.jsonc");
+  EXPECT_TRUE(std::get<CommandLineOptions>(parsed).check_only);
 }
 
 TEST(HealthTest, RoutesFollowReadinessAndUpdateMetrics) {
@@ -32,7 +33,7 @@
   int updates = 0;
   AddHealthRoutes(
       router, [&ready] { return ready; }, metrics, [&updates] { ++updates; });
-  const auto ask = [&router](const std::string& path) {
+  const auto get_status = [&router](const std::string& path) {
     wire::HttpRequest request;
     request.method = "GET";
     request.path = path;
@@ -42,11 +43,11 @@
     });
     return status;
   };
-  EXPECT_EQ(ask("/readyz"), 200);
+  EXPECT_EQ(get_status("/readyz"), 200);
   ready = false;
-  EXPECT_EQ(ask("/readyz"), 503);
-  EXPECT_EQ(ask("/healthz"), 200);
-  EXPECT_EQ(ask("/metrics"), 200);
+  EXPECT_EQ(get_status("/readyz"), 503);
+  EXPECT_EQ(get_status("/healthz"), 200);
+  EXPECT_EQ(get_status("/metrics"), 200);
   EXPECT_EQ(updates, 1);
 }
 
