--- a/include/cassiastile/jobs/fleet_config.hpp
+++ b/include/cassiastile/jobs/fleet_config.hpp
@@ -40,7 +40,7 @@
   std::string name;
   bool workers_guard_capacity = true;  // Not used by the scheduler.
   // The spare pool, whose machines are off and cost nothing.
-  bool standby = false;
+  bool is_spare = false;
 };
 
 // A customer with its share, resource limit and API keys.
--- a/src/cassiastile/host/machine_controller.cpp
+++ b/src/cassiastile/host/machine_controller.cpp
@@ -444,7 +444,7 @@
     demand.min_machines = load.min_workers;
   }
   for (const jobs::ServiceConfig& service : m_config->services) {
-    pools[service.name].is_spare = service.standby;
+    pools[service.name].is_spare = service.is_spare;
   }
   std::vector<jobs::PoolMachine> machines;
   for (auto& [name, tracked] : m_machines) {
--- a/src/cassiastile/host/virtual_world_bench.cpp
+++ b/src/cassiastile/host/virtual_world_bench.cpp
@@ -100,7 +100,7 @@
                              .advice = {}});
     config.services.push_back({.name = ServiceName(i)});
   }
-  config.services.push_back({.name = kSparePool, .standby = true});
+  config.services.push_back({.name = kSparePool, .is_spare = true});
   config.BuildIndex();
   return config;
 }
--- a/src/cassiastile/soak/fleet.cpp
+++ b/src/cassiastile/soak/fleet.cpp
@@ -247,7 +247,7 @@
                              .advice = {}});
     config.services.push_back({.name = ServiceName(i)});
   }
-  config.services.push_back({.name = kSparePool, .standby = true});
+  config.services.push_back({.name = kSparePool, .is_spare = true});
   config.customers.push_back(
       {.name = "customer", .weight = 1000, .limit = {}, .keys = {"key"}});
   m_table->Write({adapter::kOperatorTable, "", adapter::kConfigKey,
