--- a/include/cassiastile/jobs/admission.hpp
+++ b/include/cassiastile/jobs/admission.hpp
@@ -18,7 +18,7 @@
   kOverload,
   kStoreUnavailable,  // The store can't record jobs now.
   kNoScheduler,       // No host is the leader.
-  kTooLarge,          // A task exceeds the capacity of every worker.
+  kTooLarge,          // A task exceeds every worker of the pool.
 };
 
 inline constexpr std::array<base::EnumName<RefusalReason>, 5> kRefusalNames{{
@@ -62,7 +62,8 @@
 // Decides whether a job is admitted. A customer beyond its share gets only free
 // capacity, so that its burst doesn't displace the jobs of others; any other
 // job is refused if it would miss its objective behind the backlog, since it
-// would be late and make the jobs behind it late.
+// would be late and make the jobs behind it late. A pool without capacity
+// admits every job, since machines may be on their way to it.
 AdmissionVerdict Admit(const AdmissionInput& input);
 
 }  // namespace cassiastile::jobs
--- a/include/cassiastile/work/credit_ledger.hpp
+++ b/include/cassiastile/work/credit_ledger.hpp
@@ -14,7 +14,8 @@
 // One holder's credits for one resource.
 struct Holding {
   std::uint32_t granted = 0;
-  std::uint32_t wanted = 0;  // The demand that it last reported.
+  // The demand that it last reported, at least its use at that time.
+  std::uint32_t wanted = 0;
 };
 
 // Splits a limited resource (a runner's slots, a team's upper limit) among its
@@ -32,7 +33,7 @@
 // Updates the holder's entry from its current use and demand. A holder with
 // more than its fair share returns the excess that it does not use; any other
 // takes free credits up to its fair share. Its grant never drops below what it
-// has in use.
+// has in use. An entry without grant and demand is removed.
 //
 // Write the returned ledger only if the table still has the version it was
 // computed from.
