--- a/src/cassiastile/member/membership_tick.cpp
+++ b/src/cassiastile/member/membership_tick.cpp
@@ -8,10 +8,11 @@
 namespace {
 
 // One ping round in this many pings a member of the own availability zone, the
-// others a member of another zone.
+// others a member of another zone. Without such a member the other kind is
+// pinged.
 constexpr std::uint64_t kSameZonePingInterval = 6;
-// The number of pings in a round when the confirmation of the head is about to
-// expire.
+// The number of pings in a round when the confirmation of the head is missing,
+// expired or about to expire.
 constexpr int kUrgentPings = 3;
 // One ping round in this many also pings a member that is considered dead, or a
 // seed address (from the settings or the host list) that no known member has.
@@ -131,9 +132,9 @@
   }
 }
 
-// Pings the suspected member whose last ping is the oldest. It is pinged
-// directly before it is considered dead, because no other member has heard it
-// lately.
+// Pings the suspected member whose last ping is the oldest, so that a member
+// that no other member has heard lately can answer before it is considered
+// dead.
 void Membership::AddSuspectPings(MemberActions& actions, base::TimePoint now) {
   Peer* selected = nullptr;
   for (auto& [name, peer] : m_peers) {
--- a/src/cassiastile/operator/log_explanation.cpp
+++ b/src/cassiastile/operator/log_explanation.cpp
@@ -17,8 +17,8 @@
 
 using Json = nlohmann::json;
 
-// Lines about other subjects count as context of an id if they are at most this
-// far from one of its own.
+// Lines about other subjects count as context of a job from this long before
+// its first line until this long after its last.
 constexpr std::int64_t kContextWindowMs = 2500;
 
 std::string Text(const Json& line, const char* name) {
@@ -287,8 +287,9 @@
   }
 
   // The milliseconds from `from` to `to` without a serving leader. A change of
-  // the leader counts from one leader timeout before the first takeover, as the
-  // former leader may have been silent since then, until the new one serves.
+  // the leader counts from one leader timeout before the first attempt to take
+  // over, as the former leader may have been silent since then, until the new
+  // one serves.
   double TimeWithoutLeader(std::int64_t from, std::int64_t to) const {
     double gap = 0;
     std::optional<std::int64_t> taken;
@@ -356,8 +357,8 @@
     }
   }
 
-  // Adds the job's lines, and the lines about the leadership and about the
-  // job's workers around them.
+  // Adds the job's lines and, around them, those about its workers and, if a
+  // request was refused or got no answer, about the leadership.
   void AddLines() {
     std::set<std::string> workers;
     std::set<std::int64_t> unserved_times;
