--- a/include/cassiastile/config/fleet_source.hpp
+++ b/include/cassiastile/config/fleet_source.hpp
@@ -16,9 +16,10 @@
   // Returns the accepted document in force; null before the first one.
   virtual std::shared_ptr<const AcceptedFleet> Current() const = 0;
 
-  // Whether this host may still authorize callers by their keys. False once it
-  // has heard neither from the table nor from enough peers for so long that a
-  // key could have been revoked without its knowledge.
+  // Whether this host may still authorize callers by their keys. False if
+  // neither the table nor enough peers have confirmed the version in force for
+  // so long that a key could have been revoked without its knowledge, or if a
+  // later incarnation of this process has been seen.
   virtual bool IsFresh(base::TimePoint now) const = 0;
 };
 
--- a/include/cassiastile/entry/entry_host.hpp
+++ b/include/cassiastile/entry/entry_host.hpp
@@ -36,7 +36,8 @@
   static base::Result<std::unique_ptr<EntryHost>> Start(
       EntryHostOptions options);
 
-  // Finishes the accepted requests, then releases the credits.
+  // Finishes the accepted requests, cuts off those that last beyond the drain
+  // deadline, and then releases the credits.
   void Stop();
 
  private:
