--- a/src/cassiastile/jobs/arrival_meter.cpp
+++ b/src/cassiastile/jobs/arrival_meter.cpp
@@ -13,7 +13,7 @@
 // A job that is submitted again within this time counts once, since callers
 // that were refused retry within some seconds. JobsPerSecond averages over it.
 constexpr std::chrono::milliseconds kRetryWindow{3000};
-// Callers keep retrying for less than this.
+// Longer than any caller was seen to keep retrying.
 constexpr std::chrono::milliseconds kMaxFirstArrivalAge{30000};
 // Takes a few megabytes; a few hundred arrivals per second are usual.
 constexpr std::size_t kMaxFirstArrivals = 20000;
--- a/src/cassiastile/jobs/scheduler_place.cpp
+++ b/src/cassiastile/jobs/scheduler_place.cpp
@@ -35,8 +35,7 @@
 enum class Urgency : std::uint8_t {
   kLongRunning,  // Serves users as long as it runs.
   kOnTime,       // Can still meet its objective.
-  // Can't meet its objective any more, so it takes no capacity from those that
-  // can.
+  // Can't meet its objective, so it takes no capacity from those that can.
   kLate,
   kWorthless,  // Its result has no value any more.
 };
